--- a/fuzz/fuzz_targets/node.rs
+++ b/fuzz/fuzz_targets/node.rs
@@ -2,6 +2,7 @@
 //! stream gives the same events however its bytes are split.
 #![no_main]
 
+use elderstage::Time;
 use elderstage::settings::Names;
 use elderstage_platform::ask::{self, Ask};
 use elderstage_platform::list::Directory;
@@ -11,6 +12,8 @@
 use libfuzzer_sys::fuzz_target;
 
 const LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
+/// The longest time that a client waits, in microseconds: the one deadline in the names below.
+const LONGEST_WAIT: Time = 1_000_000;
 
 fn stream(bytes: &[u8], step: usize) -> (Vec<u8>, bool) {
     let (mut stream, mut out) = (Stream::new(), Vec::new());
@@ -32,14 +35,14 @@
         classes: words(&["c"]),
         tenants: Vec::new(),
         idle_close: None,
-        longest_wait: 1_000_000,
+        deadlines: vec![LONGEST_WAIT],
     };
     match first % 4 {
         0 => {
             if let Ok(Some((head, _))) = http::parse_request(rest, LIMITS) {
                 let wanted = ask::wanted(&head);
                 if let Ok(ask) = Ask::read(&head, 400, &names, names.longest_wait()) {
-                    assert!(ask.arrival.time_left <= names.longest_wait && ask.arrival.class == 0);
+                    assert!(ask.arrival.time_left <= LONGEST_WAIT && ask.arrival.class == 0);
                     assert!(ask.trace.bytes().all(|b| b.is_ascii_graphic() && b != b'/'));
                 }
                 drop(wanted);
