--- a/crates/platform/src/hub/messages.rs
+++ b/crates/platform/src/hub/messages.rs
@@ -1,4 +1,4 @@
-//! What the hub is told, and what it tells to do.
+//! The messages of the hub: inputs that report what happened on sockets, and commands for sockets.
 
 use std::net::SocketAddr;
 
@@ -7,107 +7,105 @@
 use crate::ask::Ask;
 use crate::list::List;
 
-/// What has happened.
+/// Something that happened and that the hub has to handle.
 #[derive(Debug)]
 pub enum Input {
-    /// A client's request was read whole. An id is never used twice.
+    /// A client's request was received completely. An id is never reused.
     Arrived { id: ReqId, ask: Ask },
-    /// The client has gone away.
+    /// The client disconnected.
     Gone { id: ReqId },
-    /// The first event of an attempt's stream is being passed on.
+    /// The first event of an attempt's stream is being forwarded to the client.
     First { id: ReqId, attempt: u32 },
-    /// An attempt has ended and its connection is closed or free. `events`: of its stream, passed on.
+    /// An attempt ended and its connection is closed or idle. `events` counts the stream events that were forwarded.
     Ended { id: ReqId, attempt: u32, outcome: Outcome, note: u64, report: Option<String>, events: u64 },
-    /// A probe has ended.
+    /// A probe ended.
     Probed { server: ServerId, outcome: Outcome, report: Option<String> },
-    /// The wall clock was read: so many microseconds ahead of the node's.
+    /// The wall clock was read; it is `ahead` microseconds ahead of the node's clock.
     WallClock { ahead: i64 },
-    /// A list came from discovery.
+    /// Discovery sent a list. `restored` marks the list that was known before a restart.
     Listed { list: List, restored: bool },
-    /// A release was said to an engine; `heard`: it has answered.
+    /// A release call to an engine ended. `heard`: the engine answered it.
     Said { id: ReqId, holder: ServerId, round: u32, engine: ServerId, heard: bool },
-    /// The node ends, within this time.
+    /// The node shuts down within this time.
     Stopping { within: Time },
-    /// New figures for the same classes, kinds and zones.
+    /// New settings with the same classes, kinds and zones.
     Settings { settings: Box<Settings> },
 }
 
-/// The final answer to a client, other than a stream.
+/// The final answer to a client that gets no stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Last {
-    /// Turned away; trying again is harmless. Advice in microseconds, 0 for none.
+    /// The request was rejected and did not run, so the client may retry.
     Refused {
+        /// How long the client is advised to wait before it retries, in microseconds; 0 for no advice.
         retry_after: Time,
     },
+    /// The request failed; it may have run.
     Failed,
-    /// Another request with this id is open: this one was not taken.
+    /// Another request with this id is open, so this one was not accepted.
     Open,
 }
 
-/// What is to be done on sockets.
+/// An operation to perform on sockets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// `harmless`: it has no effect, or may be repeated.
-    Send {
-        id: ReqId,
-        attempt: u32,
-        server: ServerId,
-        dial: SocketAddr,
-        timeout: Time,
-        harmless: bool,
-    },
-    /// Stops an attempt that has not been written yet: its engine drains or has left.
-    Withdraw {
-        id: ReqId,
-        attempt: u32,
-    },
-    Cancel {
-        id: ReqId,
-        attempt: u32,
-    },
-    /// Ends a running stream; its client comes again.
-    Move {
-        id: ReqId,
-    },
+    /// Sends an attempt to a server. `harmless`: the request has no effect or may be repeated.
+    Send { id: ReqId, attempt: u32, server: ServerId, dial: SocketAddr, timeout: Time, harmless: bool },
+    /// Stops an attempt that has not been written yet because its engine drains or has left the list.
+    Withdraw { id: ReqId, attempt: u32 },
+    /// Cancels an attempt.
+    Cancel { id: ReqId, attempt: u32 },
+    /// Ends a running stream; the client retries elsewhere.
+    Move { id: ReqId },
+    /// Sends the final answer to a client.
     Answer {
         id: ReqId,
         last: Last,
-        /// Attempts that were decided, and what came of the last: why the answer is none of an engine's.
+        /// Number of attempts. With `last_outcome` it explains why the answer is not an engine's.
         attempts: u32,
+        /// Outcome of the last attempt.
         last_outcome: Option<Outcome>,
     },
+    /// Tells an engine to release the KV state that the holder keeps for a request.
     Release {
         id: ReqId,
         trace: Box<str>,
         holder: ServerId,
-        /// Which release of the request it belongs to.
+        /// Number of the release within its request.
         round: u32,
-        /// Who is told: every engine passes it on.
+        /// The engine to call. Every engine forwards a release to the holder.
         engine: ServerId,
         dial: SocketAddr,
     },
-    Probe {
-        server: ServerId,
-        dial: SocketAddr,
-    },
-    /// Nothing more will be said of it.
-    Forget {
-        id: ReqId,
-    },
+    /// Probes a server.
+    Probe { server: ServerId, dial: SocketAddr },
+    /// Drops a request; no further command names its id.
+    Forget { id: ReqId },
 }
 
 /// What a node has counted since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Requests that were accepted.
     pub taken: u64,
+    /// Requests that were served completely.
     pub served: u64,
+    /// Requests that were rejected without effect.
     pub refused: u64,
+    /// Requests that failed without a stream.
     pub failed: u64,
+    /// Requests whose stream broke off.
     pub broken: u64,
+    /// Requests whose client disconnected.
     pub gone: u64,
+    /// Attempts that were sent.
     pub attempts: u64,
+    /// Probes that were requested.
     pub probes: u64,
+    /// Probes without a readable load report.
     pub probes_unread: u64,
+    /// Release calls to engines.
     pub releases: u64,
+    /// Waves of release calls after the first wave of a release.
     pub releases_again: u64,
 }
--- a/crates/platform/src/hub/mod.rs
+++ b/crates/platform/src/hub/mod.rs
@@ -1,5 +1,8 @@
-//! The state of a front node: what has happened on its sockets becomes the module's events, and the module's actions
-//! become commands for sockets. One owner drives it; it does no I/O and is told the time.
+//! The state of a front node. The hub translates what happened on sockets into events of the decision module, and the
+//! module's actions into commands for sockets.
+//!
+//! It does no I/O, reads no clock and starts no threads: one owner calls it with the current time. It forgets a request
+//! once the request is finished and has no attempt in flight.
 
 mod messages;
 mod release;
@@ -17,80 +20,84 @@
 use crate::engine_start::EngineStarts;
 use crate::leases::Leases;
 use crate::list::{Directory, Host, List};
-use crate::reach::Reach;
+use crate::reach::Reachability;
 use crate::report;
 
 pub use messages::{Command, Counts, Input, Last};
-use release::WaveDue;
+use release::WaveTimer;
 use requests::AttemptEnd;
 
+/// The attempt of a request that is in flight.
 #[derive(Debug)]
-struct Out {
+struct InFlightAttempt {
     attempt: u32,
     server: ServerId,
-    dial: Option<SocketAddr>,
-    sent: Time,
-    /// It reads a prompt and leaves a state behind.
-    reads: bool,
+    address: Option<SocketAddr>,
+    sent_at: Time,
+    /// The server is a reader: the attempt reads the prompt and leaves KV state at the server.
+    is_prompt_read: bool,
 }
 
+/// A request that is open.
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     trace: Box<str>,
-    /// May run any number of times.
-    safe: bool,
+    /// The request may run any number of times.
+    is_repeatable: bool,
     attempts: u32,
     last_outcome: Option<Outcome>,
-    out: Option<Out>,
-    streaming: bool,
-    /// Answered, or its client has gone.
-    over: bool,
+    in_flight: Option<InFlightAttempt>,
+    is_streaming: bool,
+    /// The client was answered or has disconnected.
+    is_finished: bool,
 }
 
 /// The state of a front node.
 pub struct Hub {
     router: Router,
-    fields: Vec<ReportField>,
+    report_fields: Vec<ReportField>,
     roles: Vec<Role>,
-    /// By class: it may run any number of times.
-    safe: Vec<bool>,
+    /// For each class, whether its requests may run any number of times.
+    repeatable_classes: Vec<bool>,
     directory: Directory,
     engine_starts: EngineStarts,
-    /// Servers whose role is to read.
+    /// For each listed server, whether it is a reader.
     readers: HashMap<ServerId, bool>,
-    open: BTreeMap<ReqId, Open>,
-    ids: HashMap<Box<str>, ReqId>,
+    open_requests: BTreeMap<ReqId, OpenRequest>,
+    ids_by_trace: HashMap<Box<str>, ReqId>,
     leases: Leases,
-    reach: Reach,
-    /// This node's zone, and the time that the settings give to let go.
+    reachability: Reachability,
+    /// Zone of this node.
     zone: u32,
-    let_go_by: Time,
-    /// When the next wave of a release is due.
-    waves: BinaryHeap<Reverse<WaveDue>>,
+    /// Time limit of the settings for the release of held state.
+    release_time_limit: Time,
+    /// When the next wave of each release is due.
+    wave_timers: BinaryHeap<Reverse<WaveTimer>>,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     counts: Counts,
-    /// For an agent beside this node; `None` where nobody asked for it.
+    /// Counts by class for the agent on this node's machine; `None` unless the configuration asks for them.
     counting: Option<Counting>,
 }
 
 impl Hub {
+    /// Creates the hub of a node. `seed` seeds the random choices of the module.
     pub fn new(settings: Settings, seed: u64) -> Hub {
         Hub {
-            fields: settings.report_fields.clone(),
+            report_fields: settings.report_fields.clone(),
             roles: settings.roles.clone(),
-            safe: settings.classes.iter().map(|class| class.repeat == Repeat::Safe).collect(),
+            repeatable_classes: settings.classes.iter().map(|class| class.repeat == Repeat::Safe).collect(),
             directory: Directory::default(),
             engine_starts: EngineStarts::default(),
             readers: HashMap::new(),
-            open: BTreeMap::new(),
-            ids: HashMap::new(),
+            open_requests: BTreeMap::new(),
+            ids_by_trace: HashMap::new(),
             leases: Leases::default(),
-            reach: Reach::default(),
+            reachability: Reachability::default(),
             zone: settings.zone,
-            let_go_by: settings.let_go_by,
-            waves: BinaryHeap::new(),
+            release_time_limit: settings.let_go_by,
+            wave_timers: BinaryHeap::new(),
             timers: BinaryHeap::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
@@ -100,55 +107,59 @@
         }
     }
 
+    /// Returns the counts since the node's start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Counts by class from now on, for an agent beside this node.
+    /// Starts counting by class, for the agent on this node's machine.
     pub fn count(&mut self, counting: Counting) {
         self.counting = Some(counting);
     }
 
+    /// Returns the counts by class, if they are enabled.
     pub fn counting(&mut self) -> Option<&mut Counting> {
         self.counting.as_mut()
     }
 
-    /// Requests that are open, and requests for which something may be held.
+    /// Returns the number of open requests and the number of requests for which KV state may be held.
     pub fn held(&self) -> (usize, usize) {
-        (self.open.len(), self.leases.len())
+        (self.open_requests.len(), self.leases.len())
     }
 
-    /// Servers that the module's passes over the list have looked at since the start.
+    /// Returns the number of servers that the module's passes over the list have examined since the start.
     pub fn examined(&self) -> u64 {
         self.router.examined()
     }
 
-    /// Releases that have not been heard yet.
+    /// Returns the number of requests with a release that no engine has acknowledged yet.
     pub fn letting_go(&self) -> usize {
-        self.leases.letting_go()
+        self.leases.pending_releases()
     }
 
+    /// Returns the number of listed servers.
     pub fn servers(&self) -> usize {
         self.directory.len()
     }
 
-    /// By address, the attempts that the module counts there: what a trace compares with open sockets.
+    /// Returns the number of attempts that the module counts at each address. The node compares it with its open sockets.
     pub fn in_flight(&self) -> BTreeMap<SocketAddr, usize> {
-        let mut by = BTreeMap::new();
-        for dial in self.open.values().filter_map(|open| open.out.as_ref()?.dial) {
-            *by.entry(dial).or_insert(0) += 1;
+        let mut by_address = BTreeMap::new();
+        for address in self.open_requests.values().filter_map(|request| request.in_flight.as_ref()?.address) {
+            *by_address.entry(address).or_insert(0) += 1;
         }
-        by
+        by_address
     }
 
+    /// Returns the time at which [`Hub::wake`] is to be called next.
     pub fn next_timer(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let wave = self.waves.peek().map(|Reverse(due)| due.at);
+        let wave = self.wave_timers.peek().map(|Reverse(timer)| timer.at);
         timer.into_iter().chain(wave).min()
     }
 
-    /// Called at or after the time of the next timer.
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Command>) {
+    /// Runs the timers that are due. Called at or after the time of the next timer.
+    pub fn wake(&mut self, now: Time, commands: &mut Vec<Command>) {
         while let Some(Reverse((at, name))) = self.timers.peek().copied() {
             if at > now {
                 break;
@@ -156,22 +167,26 @@
             self.timers.pop();
             self.events.push_back(Event::Timer { name });
         }
-        while self.waves.peek().is_some_and(|Reverse(due)| due.at <= now) {
-            let Some(Reverse(WaveDue { id, holder, round, wave, .. })) = self.waves.pop() else { break };
-            if let Some(call) = self.leases.due(id, &holder, round, wave, now) {
+        while self.wave_timers.peek().is_some_and(|Reverse(timer)| timer.at <= now) {
+            let Some(Reverse(WaveTimer { id, holder, round, wave, .. })) = self.wave_timers.pop() else {
+                break;
+            };
+            if let Some(wave) = self.leases.handle_wave_timer(id, &holder, round, wave, now) {
                 self.counts.releases_again += 1;
-                self.call(now, id, call, out);
+                self.send_release_wave(now, id, wave, commands);
             }
         }
-        self.run(now, out);
+        self.process_events(now, commands);
     }
 
-    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Command>) {
+    /// Handles an input and appends the commands that follow from it.
+    pub fn handle(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
         match input {
-            Input::Arrived { id, ask } => self.arrived(now, id, ask, out),
+            Input::Arrived { id, ask } => self.handle_arrival(now, id, ask, commands),
             Input::Gone { id } => {
-                if let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) {
-                    open.over = true;
+                if let Some(request) = self.open_requests.get_mut(&id).filter(|request| !request.is_finished)
+                {
+                    request.is_finished = true;
                     self.counts.gone += 1;
                     if let Some(counting) = &mut self.counting {
                         counting.end(now, id, End::Gone);
@@ -179,100 +194,108 @@
                     self.events.push_back(Event::ClientGone { id });
                 }
             }
-            Input::First { id, attempt } => self.first(now, id, attempt),
+            Input::First { id, attempt } => self.handle_first_event(now, id, attempt),
             Input::Ended { id, attempt, outcome, note, report, events } => {
-                self.ended(now, AttemptEnd { id, attempt, outcome, note, report, events });
+                self.handle_attempt_end(now, AttemptEnd { id, attempt, outcome, note, report, events });
             }
             Input::Probed { server, outcome, report } => {
-                self.outcome(&server, outcome, now);
-                let load = report.as_deref().and_then(|text| report::parse(text, &self.fields));
+                self.record_outcome(&server, outcome, now);
+                let load = report.as_deref().and_then(|text| report::parse(text, &self.report_fields));
                 self.counts.probes_unread += u64::from(load.is_none());
                 self.events.push_back(Event::Probed { server, outcome, took: 0, load });
             }
-            Input::WallClock { ahead } => self.engine_starts.wall_clock(ahead),
-            Input::Listed { list, restored } => self.listed(now, list, restored, out),
+            Input::WallClock { ahead } => self.engine_starts.set_wall_clock_offset(ahead),
+            Input::Listed { list, restored } => self.apply_list(now, list, restored, commands),
             Input::Stopping { within } => self.events.push_back(Event::Stopping { within }),
             Input::Settings { settings } => {
-                self.fields = settings.report_fields.clone();
+                self.report_fields = settings.report_fields.clone();
                 self.roles = settings.roles.clone();
-                self.safe = settings.classes.iter().map(|class| class.repeat == Repeat::Safe).collect();
-                (self.zone, self.let_go_by) = (settings.zone, settings.let_go_by);
+                self.repeatable_classes =
+                    settings.classes.iter().map(|class| class.repeat == Repeat::Safe).collect();
+                (self.zone, self.release_time_limit) = (settings.zone, settings.let_go_by);
                 self.router.adopt(*settings);
             }
             Input::Said { id, holder, round, engine, heard } => {
-                self.heard(&engine, heard, now);
-                if let Some(call) = self.leases.said(id, &holder, round, heard, now) {
+                self.record_contact(&engine, heard, now);
+                if let Some(wave) = self.leases.handle_call_end(id, &holder, round, heard, now) {
                     self.counts.releases_again += 1;
-                    self.call(now, id, call, out);
+                    self.send_release_wave(now, id, wave, commands);
                 }
             }
         }
-        self.run(now, out);
+        self.process_events(now, commands);
     }
 
-    fn listed(&mut self, now: Time, mut list: List, restored: bool, out: &mut Vec<Command>) {
+    /// Applies a list from discovery to the directory and passes it on to the module.
+    fn apply_list(&mut self, now: Time, mut list: List, restored: bool, commands: &mut Vec<Command>) {
         for Host { entry, .. } in &mut list.hosts {
-            entry.ready_at = self.engine_starts.place(&entry.server, entry.ready_at, now);
+            entry.ready_at = self.engine_starts.to_node_clock(&entry.server, entry.ready_at, now);
         }
         if list.whole {
             self.readers.clear();
         }
         for host in &list.hosts {
-            let reads = self.roles.get(host.entry.kind) == Some(&Role::Prefill);
-            self.readers.insert(host.entry.server.clone(), reads);
+            let is_reader = self.roles.get(host.entry.kind) == Some(&Role::Prefill);
+            self.readers.insert(host.entry.server.clone(), is_reader);
         }
         let (mode, entries) = self.directory.take(list, restored);
         let directory = &self.directory;
-        self.readers.retain(|server, _| directory.dial(server).is_some());
-        self.reach.keep(directory);
-        self.engine_starts.keep(directory);
-        self.withdraw_from_leavers(out);
+        self.readers.retain(|server, _| directory.address(server).is_some());
+        self.reachability.retain_listed(directory);
+        self.engine_starts.retain_listed(directory);
+        self.withdraw_from_leaving_engines(commands);
         self.events.push_back(Event::Servers { mode, entries });
     }
 
-    /// An attempt may have been decided before its engine was told to drain, and still wait for its connection.
-    fn withdraw_from_leavers(&self, out: &mut Vec<Command>) {
-        for (id, open) in &self.open {
-            if let Some(of) = open.out.as_ref().filter(|of| !self.directory.is_running(&of.server)) {
-                out.push(Command::Withdraw { id: *id, attempt: of.attempt });
+    /// Withdraws the attempts at engines that are no longer running. Such an attempt may have been decided before its
+    /// engine was told to drain, and may still wait for its connection.
+    fn withdraw_from_leaving_engines(&self, commands: &mut Vec<Command>) {
+        for (id, request) in &self.open_requests {
+            if let Some(attempt) =
+                request.in_flight.as_ref().filter(|attempt| !self.directory.is_running(&attempt.server))
+            {
+                commands.push(Command::Withdraw { id: *id, attempt: attempt.attempt });
             }
         }
     }
 
-    /// Feeds the module until nothing is left to be told.
-    fn run(&mut self, now: Time, out: &mut Vec<Command>) {
+    /// Passes queued events to the module and executes its actions until no event is left.
+    fn process_events(&mut self, now: Time, commands: &mut Vec<Command>) {
         while let Some(event) = self.events.pop_front() {
-            let of = match &event {
+            let request_id = match &event {
                 Event::Ended { id, .. } | Event::ClientGone { id } => Some(*id),
                 _ => None,
             };
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.execute_action(now, action, commands);
             }
             self.actions = actions;
-            if let Some(id) = of {
-                self.forget(id, out);
+            if let Some(id) = request_id {
+                self.forget_if_finished(id, commands);
             }
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Command>) {
+    /// Turns an action of the module into commands.
+    fn execute_action(&mut self, now: Time, action: Action, commands: &mut Vec<Command>) {
         match action {
-            Action::Send { id, server, timeout } => self.send(now, id, server, timeout, out),
-            Action::Refuse { id, retry_after } => self.answer(now, id, Last::Refused { retry_after }, out),
-            Action::Fail { id } => self.answer(now, id, Last::Failed, out),
-            Action::Cancel { id, attempt } => out.push(Command::Cancel { id, attempt }),
+            Action::Send { id, server, timeout } => self.send_attempt(now, id, server, timeout, commands),
+            Action::Refuse { id, retry_after } => {
+                self.answer_client(now, id, Last::Refused { retry_after }, commands)
+            }
+            Action::Fail { id } => self.answer_client(now, id, Last::Failed, commands),
+            Action::Cancel { id, attempt } => commands.push(Command::Cancel { id, attempt }),
             Action::Release { id } => {
-                for call in self.leases.release(id, now, self.let_go_by) {
-                    self.call(now, id, call, out);
+                for wave in self.leases.start_release(id, now, self.release_time_limit) {
+                    self.send_release_wave(now, id, wave, commands);
                 }
             }
             Action::Probe { server } => {
                 self.counts.probes += 1;
-                match self.directory.dial(&server) {
-                    Some(dial) => out.push(Command::Probe { server, dial }),
+                match self.directory.address(&server) {
+                    Some(dial) => commands.push(Command::Probe { server, dial }),
                     None => self.events.push_back(Event::Probed {
                         server,
                         outcome: Outcome::NoConnection,
@@ -282,11 +305,11 @@
                 }
             }
             Action::Timer { after, name } => self.timers.push(Reverse((now + after, name))),
-            // The watch is always open: what it has brought is all there is.
+            // The watch on discovery is always open, so there is nothing to fetch beyond what it has delivered.
             Action::Subscribe => {
                 self.events.push_back(Event::Servers { mode: ListMode::Changes, entries: Vec::new() });
             }
-            Action::Move { id } => out.push(Command::Move { id }),
+            Action::Move { id } => commands.push(Command::Move { id }),
         }
     }
 }
--- a/crates/platform/src/hub/release.rs
+++ b/crates/platform/src/hub/release.rs
@@ -1,4 +1,4 @@
-//! Whom a release is said to, and what is learned of who can be reached.
+//! Selects the engines that a release is sent to, and records which engines can be reached.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 use elderstage::{Outcome, ReqId, ServerId, Time};
 
 use super::{Command, Hub};
-use crate::leases::{Call, wave_interval};
+use crate::leases::{ReleaseWave, wave_interval};
 
-/// When the next wave of a release is due.
+/// When the next wave of a release is due. The heap of timers orders by the fields in their order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct WaveDue {
+pub(super) struct WaveTimer {
     pub(super) at: Time,
     pub(super) id: ReqId,
     pub(super) holder: ServerId,
@@ -19,45 +19,71 @@
 }
 
 impl Hub {
-    pub(super) fn heard(&mut self, server: &ServerId, heard: bool, now: Time) {
-        if heard { self.reach.answered(server, now) } else { self.reach.silent(server, now) }
+    /// Records whether a server answered.
+    pub(super) fn record_contact(&mut self, server: &ServerId, answered: bool, now: Time) {
+        if answered {
+            self.reachability.record_answer(server, now)
+        } else {
+            self.reachability.record_silence(server, now)
+        }
     }
 
-    /// What an ended attempt or probe tells of who can be reached.
-    pub(super) fn outcome(&mut self, server: &ServerId, outcome: Outcome, now: Time) {
+    /// Records what the outcome of an attempt or probe shows about whether a server can be reached.
+    pub(super) fn record_outcome(&mut self, server: &ServerId, outcome: Outcome, now: Time) {
         match outcome {
-            Outcome::Served | Outcome::Read | Outcome::Error | Outcome::Full => self.heard(server, true, now),
-            Outcome::TimedOut | Outcome::NoConnection => self.heard(server, false, now),
+            Outcome::Served | Outcome::Read | Outcome::Error | Outcome::Full => {
+                self.record_contact(server, true, now)
+            }
+            Outcome::TimedOut | Outcome::NoConnection => self.record_contact(server, false, now),
             Outcome::Broken | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    /// One wave of a release: to the holder, or to one engine of each zone.
-    pub(super) fn call(&mut self, now: Time, id: ReqId, call: Call, out: &mut Vec<Command>) {
-        let own = self.directory.dial(&call.holder).map(|dial| (call.holder.clone(), dial));
-        let mut whom: Vec<(ServerId, SocketAddr)> = Vec::new();
-        if call.wave == 0 {
-            whom.extend(own);
+    /// Sends one wave of a release: to the holder, to one engine of each zone, or to both.
+    pub(super) fn send_release_wave(
+        &mut self,
+        now: Time,
+        id: ReqId,
+        wave: ReleaseWave,
+        commands: &mut Vec<Command>,
+    ) {
+        let holder_address =
+            self.directory.address(&wave.holder).map(|address| (wave.holder.clone(), address));
+        let mut targets: Vec<(ServerId, SocketAddr)> = Vec::new();
+        if wave.number == 0 {
+            targets.extend(holder_address);
         }
-        if call.wide || whom.is_empty() {
+        if wave.to_all_zones || targets.is_empty() {
             let salt = id.0 as usize;
-            let zones = self.reach.one_of_each_zone(&self.directory, self.zone, &call.told, call.wave, salt);
-            whom.extend(zones.into_iter().filter(|(server, _)| call.wave > 0 || *server != call.holder));
+            let zones = self.reachability.select_engine_per_zone(
+                &self.directory,
+                self.zone,
+                &wave.calls_by_engine,
+                wave.number,
+                salt,
+            );
+            targets.extend(zones.into_iter().filter(|(server, _)| wave.number > 0 || *server != wave.holder));
         }
-        if whom.is_empty() {
-            // No engine is known at all: there is nobody to tell, and nobody who holds anything.
-            self.leases.taken(id);
+        if targets.is_empty() {
+            // No engine is known at all, so none can be called and none holds any state.
+            self.leases.remove(id);
             return;
         }
-        let engines: Vec<ServerId> = whom.iter().map(|(server, _)| server.clone()).collect();
-        let (round, wave) = (call.round, call.wave);
-        self.leases.called(id, &call.holder, round, &engines);
-        let at = now + wave_interval(self.let_go_by);
-        self.waves.push(Reverse(WaveDue { at, id, holder: call.holder.clone(), round, wave }));
-        for (engine, dial) in whom {
+        let engines: Vec<ServerId> = targets.iter().map(|(server, _)| server.clone()).collect();
+        let (round, wave_number) = (wave.round, wave.number);
+        self.leases.record_wave(id, &wave.holder, round, &engines);
+        let at = now + wave_interval(self.release_time_limit);
+        self.wave_timers.push(Reverse(WaveTimer {
+            at,
+            id,
+            holder: wave.holder.clone(),
+            round,
+            wave: wave_number,
+        }));
+        for (engine, dial) in targets {
             self.counts.releases += 1;
-            let (trace, holder) = (call.trace.clone(), call.holder.clone());
-            out.push(Command::Release { id, trace, holder, round, engine, dial });
+            let (trace, holder) = (wave.trace.clone(), wave.holder.clone());
+            commands.push(Command::Release { id, trace, holder, round, engine, dial });
         }
     }
 }
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -1,8 +1,9 @@
-//! Requests and their attempts, from the client's last byte to the last thing that is said of them.
+//! The lifecycle of requests and their attempts, from the last byte of the client's request until the request is
+//! forgotten.
 
 use elderstage::{Arrival, Event, Outcome, ReqId, ServerId, Time};
 
-use super::{Command, Hub, Last, Open, Out};
+use super::{Command, Hub, InFlightAttempt, Last, OpenRequest};
 use crate::ask::Ask;
 use crate::counting::End;
 use crate::report;
@@ -13,74 +14,84 @@
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
     pub(super) note: u64,
-    /// The engine's load report, if it told one.
+    /// The engine's load report, if it sent one.
     pub(super) report: Option<String>,
-    /// Events of its stream that were passed on.
+    /// Number of stream events that were forwarded to the client.
     pub(super) events: u64,
 }
 
 impl AttemptEnd {
+    /// The end of an attempt that brought no answer.
     fn without_answer(id: ReqId, attempt: u32, outcome: Outcome) -> AttemptEnd {
         AttemptEnd { id, attempt, outcome, note: 0, report: None, events: 0 }
     }
 }
 
 impl Hub {
-    pub(super) fn arrived(&mut self, now: Time, id: ReqId, ask: Ask, out: &mut Vec<Command>) {
-        if self.ids.contains_key(&ask.trace) {
-            out.push(Command::Answer { id, last: Last::Open, attempts: 0, last_outcome: None });
-            out.push(Command::Forget { id });
+    /// Opens a request, unless another request with the same id is open.
+    pub(super) fn handle_arrival(&mut self, now: Time, id: ReqId, ask: Ask, commands: &mut Vec<Command>) {
+        if self.ids_by_trace.contains_key(&ask.trace) {
+            commands.push(Command::Answer { id, last: Last::Open, attempts: 0, last_outcome: None });
+            commands.push(Command::Forget { id });
             return;
         }
         self.counts.taken += 1;
         if let Some(counting) = &mut self.counting {
             counting.asked(now, id, ask.arrival.class, ask.arrival.prompt);
         }
-        self.ids.insert(ask.trace.clone(), id);
-        let safe = self.safe.get(ask.arrival.class).copied().unwrap_or(false);
-        let open = Open {
+        self.ids_by_trace.insert(ask.trace.clone(), id);
+        let is_repeatable = self.repeatable_classes.get(ask.arrival.class).copied().unwrap_or(false);
+        let request = OpenRequest {
             trace: ask.trace,
-            safe,
+            is_repeatable,
             attempts: 0,
             last_outcome: None,
-            out: None,
-            streaming: false,
-            over: false,
+            in_flight: None,
+            is_streaming: false,
+            is_finished: false,
         };
-        self.open.insert(id, open);
+        self.open_requests.insert(id, request);
         self.events.push_back(Event::Arrived(Arrival { id, ..ask.arrival }));
     }
 
-    pub(super) fn first(&mut self, now: Time, id: ReqId, attempt: u32) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(of) = open.out.as_ref().filter(|of| of.attempt == attempt) else { return };
-        open.streaming = true;
-        self.leases.taken(id);
+    /// Handles the first stream event of an attempt: from here on the request is bound to it.
+    pub(super) fn handle_first_event(&mut self, now: Time, id: ReqId, attempt: u32) {
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let Some(in_flight) = request.in_flight.as_ref().filter(|in_flight| in_flight.attempt == attempt)
+        else {
+            return;
+        };
+        request.is_streaming = true;
+        self.leases.remove(id);
         if let Some(counting) = &mut self.counting {
             counting.first(now, id);
         }
-        let (server, took) = (of.server.clone(), now.saturating_sub(of.sent));
+        let (server, took) = (in_flight.server.clone(), now.saturating_sub(in_flight.sent_at));
         self.events.push_back(Event::Streaming { id, attempt, server, took });
     }
 
-    pub(super) fn ended(&mut self, now: Time, end: AttemptEnd) {
+    /// Handles the end of an attempt: settles the request if it is finished and reports the outcome to the module.
+    pub(super) fn handle_attempt_end(&mut self, now: Time, end: AttemptEnd) {
         let AttemptEnd { id, attempt, outcome, note, report, events } = end;
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(of) = open.out.take_if(|of| of.attempt == attempt) else { return };
-        // The rule's time goes on while connections do not come up: what was never sent was never out.
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let Some(in_flight) = request.in_flight.take_if(|in_flight| in_flight.attempt == attempt) else {
+            return;
+        };
+        // The time limit on held state keeps running while connections fail, because an attempt that was never sent reached
+        // no engine.
         let may_have_arrived = !matches!(outcome, Outcome::NoConnection | Outcome::NotSent);
-        open.last_outcome = Some(outcome);
-        self.leases.attempt_ended(id, may_have_arrived, now);
-        self.outcome(&of.server, outcome, now);
-        let Some(open) = self.open.get_mut(&id) else { return };
-        // A read may have ended well at the moment its connection was closed or broke.
-        let left = outcome == Outcome::Read || !outcome.never_ran();
-        if of.reads && left && !open.streaming {
-            self.leases.may_hold(id, &open.trace, &of.server, now);
+        request.last_outcome = Some(outcome);
+        self.leases.end_attempt(id, may_have_arrived, now);
+        self.record_outcome(&in_flight.server, outcome, now);
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        // A read may have succeeded at the moment its connection was closed or broke.
+        let may_have_left_state = outcome == Outcome::Read || !outcome.never_ran();
+        if in_flight.is_prompt_read && may_have_left_state && !request.is_streaming {
+            self.leases.record_holder(id, &request.trace, &in_flight.server, now);
         }
-        let settled = outcome == Outcome::Served || open.streaming;
-        if settled && !open.over {
-            open.over = true;
+        let settled = outcome == Outcome::Served || request.is_streaming;
+        if settled && !request.is_finished {
+            request.is_finished = true;
             let served = outcome == Outcome::Served;
             if served {
                 self.counts.served += 1
@@ -91,48 +102,53 @@
                 counting.end(now, id, if served { End::Served { events } } else { End::Broken });
             }
         }
-        let settled = open.over;
-        let load = report.and_then(|text| report::parse(&text, &self.fields));
+        let settled = request.is_finished;
+        let load = report.and_then(|text| report::parse(&text, &self.report_fields));
         self.events.push_back(Event::Ended {
             id,
             attempt,
-            server: of.server,
+            server: in_flight.server,
             outcome,
-            took: now.saturating_sub(of.sent),
+            took: now.saturating_sub(in_flight.sent_at),
             settled,
             note,
             load,
         });
     }
 
-    pub(super) fn send(
+    /// Sends the next attempt of a request.
+    pub(super) fn send_attempt(
         &mut self,
         now: Time,
         id: ReqId,
         server: ServerId,
         timeout: Time,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let attempt = open.attempts;
-        open.attempts += 1;
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let attempt = request.attempts;
+        request.attempts += 1;
         self.counts.attempts += 1;
-        let reads = self.readers.get(&server).copied().unwrap_or(false);
-        let harmless = reads || open.safe;
-        let dial = self.directory.dial(&server);
-        open.out = Some(Out { attempt, server: server.clone(), dial, sent: now, reads });
-        // A read leaves a state of its own and comes for none.
-        self.leases.attempt_begins(id, !reads);
-        match dial {
-            Some(dial) => out.push(Command::Send { id, attempt, server, dial, timeout, harmless }),
-            None => self.ended(now, AttemptEnd::without_answer(id, attempt, Outcome::NoConnection)),
+        let is_prompt_read = self.readers.get(&server).copied().unwrap_or(false);
+        let harmless = is_prompt_read || request.is_repeatable;
+        let address = self.directory.address(&server);
+        request.in_flight =
+            Some(InFlightAttempt { attempt, server: server.clone(), address, sent_at: now, is_prompt_read });
+        // A read creates KV state of its own and fetches none.
+        self.leases.start_attempt(id, !is_prompt_read);
+        match address {
+            Some(dial) => commands.push(Command::Send { id, attempt, server, dial, timeout, harmless }),
+            None => {
+                self.handle_attempt_end(now, AttemptEnd::without_answer(id, attempt, Outcome::NoConnection))
+            }
         }
     }
 
-    pub(super) fn answer(&mut self, now: Time, id: ReqId, last: Last, out: &mut Vec<Command>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        if !open.over {
-            open.over = true;
+    /// Sends the final answer to a client that has neither a final answer yet nor disconnected.
+    pub(super) fn answer_client(&mut self, now: Time, id: ReqId, last: Last, commands: &mut Vec<Command>) {
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        if !request.is_finished {
+            request.is_finished = true;
             match last {
                 Last::Refused { .. } => self.counts.refused += 1,
                 _ => self.counts.failed += 1,
@@ -141,18 +157,22 @@
                 let refused = matches!(last, Last::Refused { .. });
                 counting.end(now, id, if refused { End::Refused } else { End::Failed });
             }
-            let (attempts, last_outcome) = (open.attempts, open.last_outcome);
-            out.push(Command::Answer { id, last, attempts, last_outcome });
+            let (attempts, last_outcome) = (request.attempts, request.last_outcome);
+            commands.push(Command::Answer { id, last, attempts, last_outcome });
         }
-        self.forget(id, out);
+        self.forget_if_finished(id, commands);
     }
 
-    pub(super) fn forget(&mut self, id: ReqId, out: &mut Vec<Command>) {
-        if self.open.get(&id).is_some_and(|open| open.over && open.out.is_none())
-            && let Some(open) = self.open.remove(&id)
+    /// Forgets a request that is finished and has no attempt in flight.
+    pub(super) fn forget_if_finished(&mut self, id: ReqId, commands: &mut Vec<Command>) {
+        if self
+            .open_requests
+            .get(&id)
+            .is_some_and(|request| request.is_finished && request.in_flight.is_none())
+            && let Some(request) = self.open_requests.remove(&id)
         {
-            self.ids.remove(&open.trace);
-            out.push(Command::Forget { id });
+            self.ids_by_trace.remove(&request.trace);
+            commands.push(Command::Forget { id });
         }
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,5 @@
-//! Discovery's lists: lines of JSON to entries of the module, and how each server is reached.
+//! Parses the lists of discovery into entries for the decision module, and keeps the directory of the listed servers with
+//! their addresses. The directory holds no server that has left the list. Reading from discovery is up to the caller.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,7 +10,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a list is not taken; what stood before stays.
+/// Why a list is rejected. The previous list stays in effect.
 #[derive(Debug, Error)]
 pub enum ListError {
     #[error("bad JSON: {0}")]
@@ -18,9 +19,10 @@
     Host { host: String, what: String },
 }
 
-/// A position that the settings do not name: no role, zone or kind of theirs.
-const UNNAMED: usize = u32::MAX as usize;
+/// Position of a zone or kind that the settings do not name.
+const UNNAMED_POSITION: usize = u32::MAX as usize;
 
+/// A list as discovery writes it.
 #[derive(Deserialize)]
 struct WireList {
     #[serde(default)]
@@ -31,6 +33,7 @@
     hosts: Vec<WireHost>,
 }
 
+/// A server as discovery writes it.
 #[derive(Deserialize)]
 struct WireHost {
     host: String,
@@ -44,71 +47,76 @@
     block: u32,
     #[serde(default)]
     health: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     share: f64,
     #[serde(default)]
     born_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
-/// A server of a list, and where it is reached. A server that has left may come without an address.
+/// A server of a list and its address. A server that has left may have none.
 #[derive(Clone, Debug)]
 pub struct Host {
     pub entry: Entry,
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
 }
 
-/// A list or the changes to one.
+/// A whole list of servers, or changes to it.
 #[derive(Clone, Debug)]
 pub struct List {
+    /// Version of the list.
     pub seq: u64,
+    /// The list replaces all earlier ones; otherwise it holds changes only.
     pub whole: bool,
+    /// The servers, in the order of the list.
     pub hosts: Vec<Host>,
 }
 
-/// Where the servers are that the lists have named.
+/// The listed servers and their addresses.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// Where each is reached, what the list says of it, and its zone.
-    dials: HashMap<ServerId, (SocketAddr, Listed, u32)>,
-    /// Those that run, by zone: kept with the changes, since a pass over thousands for each call would delay all else.
-    running: BTreeMap<u32, BTreeMap<ServerId, SocketAddr>>,
+    /// Address, listed state and zone of each server.
+    servers: HashMap<ServerId, (SocketAddr, Listed, u32)>,
+    /// The running servers by zone. Updated with each change, because a pass over thousands of servers for each release call
+    /// would delay everything else.
+    running_by_zone: BTreeMap<u32, BTreeMap<ServerId, SocketAddr>>,
 }
 
 impl Directory {
-    /// Reads a list; names become positions in the settings.
+    /// Parses a list from a JSON value. Names become positions in the settings.
     pub fn read(value: &Value, names: &Names) -> Result<List, ListError> {
         Directory::convert(serde::de::Deserialize::deserialize(value)?, names)
     }
 
-    /// Reads one line of a watch, or a whole answer.
+    /// Parses a list from the text of one JSON object.
     pub fn parse(text: &[u8], names: &Names) -> Result<List, ListError> {
         Directory::convert(serde_json::from_slice(text)?, names)
     }
 
     fn convert(list: WireList, names: &Names) -> Result<List, ListError> {
-        let position =
-            |of: &[String], name: &str| of.iter().position(|known| known == name).unwrap_or(UNNAMED);
+        let position = |names: &[String], name: &str| {
+            names.iter().position(|known| known == name).unwrap_or(UNNAMED_POSITION)
+        };
         let mut hosts = Vec::with_capacity(list.hosts.len());
         for host in list.hosts {
-            let wrong = |what: String| ListError::Host { host: host.host.clone(), what };
+            let error = |what: String| ListError::Host { host: host.host.clone(), what };
             let listed = match host.health.as_str() {
                 "SERVING" => Listed::Running,
                 "DRAINING" => Listed::Draining,
                 "DELETED" => Listed::Gone,
                 other => {
-                    return Err(wrong(format!("health {other:?} is none of SERVING, DRAINING, DELETED")));
+                    return Err(error(format!("health {other:?} is none of SERVING, DRAINING, DELETED")));
                 }
             };
-            let dial = host.dial.parse::<SocketAddr>().ok();
-            if dial.is_none() && listed != Listed::Gone {
-                return Err(wrong(format!("dial {:?} is no address and port", host.dial)));
+            let address = host.dial.parse::<SocketAddr>().ok();
+            if address.is_none() && listed != Listed::Gone {
+                return Err(error(format!("dial {:?} is not an address and port", host.dial)));
             }
             if host.host.is_empty() {
-                return Err(wrong("has no name".into()));
+                return Err(error("the name is empty".into()));
             }
             let entry = Entry {
                 server: ServerId(host.host.as_str().into()),
@@ -117,23 +125,23 @@
                 zone: position(&names.zones, &host.site) as u32,
                 cell: host.block,
                 weight: if host.share.is_finite() && host.share > 0.0 { host.share } else { 1.0 },
-                // As wall time; `engine_start` puts it on the node's clock.
+                // Wall time; `engine_start` converts it to the node's clock.
                 ready_at: host.born_ms.saturating_mul(1000) as Time,
             };
-            hosts.push(Host { entry, dial });
+            hosts.push(Host { entry, address });
         }
         Ok(List { seq: list.seq, whole: list.whole, hosts })
     }
 
-    /// Takes a list over and gives the module's entries. `restored`: it is what was known before a restart.
+    /// Applies a list and returns the entries for the module. `restored` marks the list that was known before a restart.
     pub fn take(&mut self, list: List, restored: bool) -> (ListMode, Vec<Entry>) {
         if list.whole {
-            self.dials.clear();
-            self.running.clear();
+            self.servers.clear();
+            self.running_by_zone.clear();
         }
         let mut entries = Vec::with_capacity(list.hosts.len());
         for host in list.hosts {
-            self.put(&host);
+            self.insert(&host);
             entries.push(host.entry);
         }
         let mode = match (restored, list.whole) {
@@ -144,43 +152,46 @@
         (mode, entries)
     }
 
-    pub fn dial(&self, server: &ServerId) -> Option<SocketAddr> {
-        self.dials.get(server).map(|(dial, ..)| *dial)
+    /// Returns the address of a listed server.
+    pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
+        self.servers.get(server).map(|(address, ..)| *address)
     }
 
-    /// Whether the list has it as running: neither draining nor gone.
+    /// Returns whether a server is listed as running, that is, neither draining nor gone.
     pub fn is_running(&self, server: &ServerId) -> bool {
-        self.dials.get(server).is_some_and(|(_, listed, _)| *listed == Listed::Running)
+        self.servers.get(server).is_some_and(|(_, listed, _)| *listed == Listed::Running)
     }
 
-    fn put(&mut self, host: &Host) {
+    fn insert(&mut self, host: &Host) {
         let entry = &host.entry;
-        if let Some((_, _, zone)) = self.dials.remove(&entry.server)
-            && let Some(of_zone) = self.running.get_mut(&zone)
+        if let Some((_, _, zone)) = self.servers.remove(&entry.server)
+            && let Some(servers_of_zone) = self.running_by_zone.get_mut(&zone)
         {
-            of_zone.remove(&entry.server);
-            if of_zone.is_empty() {
-                self.running.remove(&zone);
+            servers_of_zone.remove(&entry.server);
+            if servers_of_zone.is_empty() {
+                self.running_by_zone.remove(&zone);
             }
         }
-        // Guards against a long day's growth: a server that has left is forgotten.
-        let Some(dial) = host.dial.filter(|_| entry.listed != Listed::Gone) else { return };
-        self.dials.insert(entry.server.clone(), (dial, entry.listed, entry.zone));
+        // A server that has left is forgotten, so that the directory does not grow over a long day.
+        let Some(address) = host.address.filter(|_| entry.listed != Listed::Gone) else { return };
+        self.servers.insert(entry.server.clone(), (address, entry.listed, entry.zone));
         if entry.listed == Listed::Running {
-            self.running.entry(entry.zone).or_default().insert(entry.server.clone(), dial);
+            self.running_by_zone.entry(entry.zone).or_default().insert(entry.server.clone(), address);
         }
     }
 
-    /// Those that run, by zone and in the order of their names. No zone is empty.
-    pub fn running(&self) -> &BTreeMap<u32, BTreeMap<ServerId, SocketAddr>> {
-        &self.running
+    /// Returns the running servers by zone, in the order of their names. No zone is empty.
+    pub fn running_by_zone(&self) -> &BTreeMap<u32, BTreeMap<ServerId, SocketAddr>> {
+        &self.running_by_zone
     }
 
+    /// Returns the number of listed servers.
     pub fn len(&self) -> usize {
-        self.dials.len()
+        self.servers.len()
     }
 
+    /// Returns whether no server is listed.
     pub fn is_empty(&self) -> bool {
-        self.dials.is_empty()
+        self.servers.is_empty()
     }
 }
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -1,9 +1,8 @@
-//! Who can be reached: what this node has lately heard from engines, by zone, and whom to tell what any engine may be
-//! told.
+//! Tracks which engines answered lately, and selects the engines for a message that any engine accepts.
 //!
-//! A cut between zones, or a zone that is lost, leaves most engines of a list silent, and nothing says which until
-//! one is tried. So one engine of every zone is told at the same time, the one heard last: whatever single zone is
-//! cut off, lost or all that is left, one of them is on the right side.
+//! A partition between zones, or the loss of a zone, leaves most engines of a list silent, and nothing shows which ones
+//! until one is called. So one engine of every zone is called at the same time, the one that answered last: whichever
+//! single zone is partitioned, lost or the only one left, one of the engines can be reached. The caller sends the calls.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,77 +11,89 @@
 
 use crate::list::Directory;
 
-/// Zones told in one wave. Guards against a storm where a list has many zones: the next wave takes the next ones.
-const ZONES: usize = 4;
+/// Zones that are called in one wave. Bounds the calls where a list has many zones: the next wave takes the next zones.
+const MAX_ZONES_PER_WAVE: usize = 4;
 
-/// What was last heard of an engine.
+/// When an engine last answered, and when it last failed to answer; 0 for never.
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    answered: Time,
-    silent: Time,
+struct LastContact {
+    answered_at: Time,
+    silent_at: Time,
 }
 
-/// When each engine last answered, and when it last did not.
+/// When each engine last answered, and when it last failed to answer.
 #[derive(Debug, Default)]
-pub struct Reach(HashMap<ServerId, Heard>);
+pub struct Reachability(HashMap<ServerId, LastContact>);
 
-impl Reach {
-    pub fn answered(&mut self, server: &ServerId, now: Time) {
-        self.0.entry(server.clone()).or_default().answered = now;
+impl Reachability {
+    /// Records that an engine answered.
+    pub fn record_answer(&mut self, server: &ServerId, now: Time) {
+        self.0.entry(server.clone()).or_default().answered_at = now;
     }
 
-    pub fn silent(&mut self, server: &ServerId, now: Time) {
-        self.0.entry(server.clone()).or_default().silent = now;
+    /// Records that an engine did not answer.
+    pub fn record_silence(&mut self, server: &ServerId, now: Time) {
+        self.0.entry(server.clone()).or_default().silent_at = now;
     }
 
-    /// Forgets who has left the list.
-    pub fn keep(&mut self, directory: &Directory) {
-        self.0.retain(|server, _| directory.dial(server).is_some());
+    /// Forgets the engines that have left the list.
+    pub fn retain_listed(&mut self, directory: &Directory) {
+        self.0.retain(|server, _| directory.address(server).is_some());
     }
 
+    /// Returns the number of engines with a record.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Returns whether no engine has a record.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Best first: those that answered since they were last silent, the latest first; then those never tried; then
-    /// those that were silent, the one whose silence is oldest first.
+    /// Returns a sort key, best first: engines whose last contact was an answer, the latest first; then engines never
+    /// called; then engines whose last contact was silence, the oldest silence first.
     fn rank(&self, server: &ServerId) -> (u8, Time) {
         match self.0.get(server) {
-            Some(heard) if heard.answered > heard.silent => (0, Time::MAX - heard.answered),
-            Some(heard) if heard.silent > 0 => (2, heard.silent),
+            Some(contact) if contact.answered_at > contact.silent_at => (0, Time::MAX - contact.answered_at),
+            Some(contact) if contact.silent_at > 0 => (2, contact.silent_at),
             _ => (1, 0),
         }
     }
 
-    /// One engine of each zone, `own` first: of those told least often the best, ties by `salt`. `told` is how often
-    /// this message went to each engine already; `wave` turns the zones where there are many.
-    pub fn one_of_each_zone(
+    /// Selects one engine of each zone, `own_zone` first: among the engines called least often the one with the best rank;
+    /// `salt` breaks ties. `calls_by_engine` is how often this message was already sent to each engine; `wave` rotates the
+    /// zones where there are many.
+    pub fn select_engine_per_zone(
         &self,
         directory: &Directory,
-        own: u32,
-        told: &BTreeMap<ServerId, u32>,
+        own_zone: u32,
+        calls_by_engine: &BTreeMap<ServerId, u32>,
         wave: u32,
         salt: usize,
     ) -> Vec<(ServerId, SocketAddr)> {
-        let best = |of: &BTreeMap<ServerId, SocketAddr>| {
-            // Guards against 350 nodes that all tell the first engine of a list.
-            let turn = salt % of.len();
-            let ranked = of.iter().enumerate().map(|(n, (server, dial))| {
-                let place = (n + of.len() - turn) % of.len();
-                (told.get(server).copied().unwrap_or(0), self.rank(server), place, server, dial)
+        let select_best = |engines: &BTreeMap<ServerId, SocketAddr>| {
+            // Without the offset 350 nodes would all call the first engine of a list.
+            let offset = salt % engines.len();
+            let ranked = engines.iter().enumerate().map(|(index, (server, address))| {
+                let position = (index + engines.len() - offset) % engines.len();
+                (
+                    calls_by_engine.get(server).copied().unwrap_or(0),
+                    self.rank(server),
+                    position,
+                    server,
+                    address,
+                )
             });
-            ranked.min().map(|(_, _, _, server, dial)| (server.clone(), *dial))
+            ranked.min().map(|(_, _, _, server, address)| (server.clone(), *address))
         };
-        let running = directory.running();
-        let mine = running.get(&own).and_then(best);
-        let other_zones = running.iter().filter(|(zone, _)| **zone != own);
-        let mut others: Vec<_> = other_zones.filter_map(|(_, of)| best(of)).collect();
-        let turn = (wave as usize).saturating_mul(ZONES - 1) % others.len().max(1);
-        others.rotate_left(turn);
-        mine.into_iter().chain(others).take(ZONES).collect()
+        let running = directory.running_by_zone();
+        let of_own_zone = running.get(&own_zone).and_then(select_best);
+        let other_zones = running.iter().filter(|(zone, _)| **zone != own_zone);
+        let mut of_other_zones: Vec<_> =
+            other_zones.filter_map(|(_, engines)| select_best(engines)).collect();
+        let rotation = (wave as usize).saturating_mul(MAX_ZONES_PER_WAVE - 1) % of_other_zones.len().max(1);
+        of_other_zones.rotate_left(rotation);
+        of_own_zone.into_iter().chain(of_other_zones).take(MAX_ZONES_PER_WAVE).collect()
     }
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -268,7 +268,7 @@
     let other =
         list(r#"{"seq":6,"whole":true,"hosts":[{"host":"c","dial":"127.0.0.1:3","health":"SERVING"}]}"#);
     directory.take(other.unwrap(), false);
-    let running = directory.running().values().map(|of_zone| of_zone.len()).sum::<usize>();
+    let running = directory.running_by_zone().values().map(|of_zone| of_zone.len()).sum::<usize>();
     assert_eq!((directory.len(), running), (1, 1));
     for bad in [
         "{",
--- a/crates/platform/tests/engine_start.rs
+++ b/crates/platform/tests/engine_start.rs
@@ -11,9 +11,9 @@
 /// node's own have been stepped by so much since the node's start.
 fn age(true_age: Time, theirs: i64, own: i64) -> Time {
     let mut starts = EngineStarts::default();
-    starts.wall_clock(own);
+    starts.set_wall_clock_offset(own);
     let told = (NOW - true_age).saturating_add_signed(theirs);
-    NOW - starts.place(&ServerId("s".into()), told, NOW)
+    NOW - starts.to_node_clock(&ServerId("s".into()), told, NOW)
 }
 
 #[test]
@@ -29,16 +29,16 @@
 #[test]
 fn an_engine_is_not_cold_for_as_long_as_a_step() {
     let mut starts = EngineStarts::default();
-    starts.wall_clock(HOUR as i64);
+    starts.set_wall_clock_offset(HOUR as i64);
     let server = ServerId("s".into());
     let told = NOW + HOUR - 2 * SECOND;
-    let placed = starts.place(&server, told, NOW);
+    let placed = starts.to_node_clock(&server, told, NOW);
     assert!(placed <= NOW, "its cold time begins by now");
     // Told again with the next lists, also after the wall clock has been set right: it grows older all the same.
-    starts.wall_clock(0);
-    assert_eq!(starts.place(&server, told, NOW + 20 * SECOND), placed);
+    starts.set_wall_clock_offset(0);
+    assert_eq!(starts.to_node_clock(&server, told, NOW + 20 * SECOND), placed);
     // A new start counts anew.
-    let again = starts.place(&server, NOW + 29 * SECOND, NOW + 30 * SECOND);
+    let again = starts.to_node_clock(&server, NOW + 29 * SECOND, NOW + 30 * SECOND);
     assert_eq!(again, NOW + 29 * SECOND);
 }
 
@@ -46,6 +46,6 @@
 fn a_start_long_ago_stays_long_ago_and_clocks_that_agree_change_nothing() {
     let mut starts = EngineStarts::default();
     let server = ServerId("s".into());
-    assert_eq!(starts.place(&server, 0, NOW), 0);
-    assert_eq!(starts.place(&server, NOW - 5 * SECOND, NOW), NOW - 5 * SECOND);
+    assert_eq!(starts.to_node_clock(&server, 0, NOW), 0);
+    assert_eq!(starts.to_node_clock(&server, NOW - 5 * SECOND, NOW), NOW - 5 * SECOND);
 }
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -38,7 +38,7 @@
         let server = ServerId(name.into());
         let entry =
             Entry { server, listed: Listed::Running, kind, zone: 0, cell: 0, weight: 1.0, ready_at: 0 };
-        Host { entry, dial: Some(SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))) }
+        Host { entry, address: Some(SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))) }
     };
     let names = [("reader", 0), ("writer-1", 1), ("writer-2", 1), ("writer-3", 1)];
     List { seq: 1, whole: true, hosts: names.iter().enumerate().map(|(n, of)| host(n, of.0, of.1)).collect() }
--- a/crates/platform/tests/hub.rs
+++ b/crates/platform/tests/hub.rs
@@ -24,7 +24,7 @@
 fn host(name: &str, kind: usize, port: u16, listed: Listed) -> Host {
     let server = ServerId(name.into());
     let entry = Entry { server, listed, kind, zone: 0, cell: 0, weight: 1.0, ready_at: 0 };
-    Host { entry, dial: Some(addr(port)) }
+    Host { entry, address: Some(addr(port)) }
 }
 
 fn ask(trace: &str) -> Ask {
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -47,7 +47,7 @@
             weight: 1.0,
             ready_at: 0,
         };
-        Host { entry, dial: Some(SocketAddr::from(([127, 0, 0, 1], 1 + engine as u16))) }
+        Host { entry, address: Some(SocketAddr::from(([127, 0, 0, 1], 1 + engine as u16))) }
     };
     List { seq: 1, whole: true, hosts: (0..ENGINES).map(host).collect() }
 }
