--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,58 +1,71 @@
-//! Clients' requests: a head and a body to what the module is told, or the status that says why not.
+//! Parses clients' requests into arrivals for the decision module, or into a refusal with a status. It reads no socket. A
+//! request is refused by its head alone wherever possible, before its body is read.
 
 use elderstage::settings::Names;
 use elderstage::{Arrival, ReqId, TextKey, Time};
 use elderstage_protocol::http::{Framing, Request};
 use thiserror::Error;
 
-/// Where clients ask, and where the platform asks whether the node can serve.
-pub const CHAT: &str = "/v1/chat/completions";
-pub const READY: &str = "/-/ready";
-/// Most bytes of a body.
+/// Path of chat requests from clients.
+pub const CHAT_PATH: &str = "/v1/chat/completions";
+/// Path at which the platform asks whether the node can serve.
+pub const READY_PATH: &str = "/-/ready";
+/// Largest body in bytes.
 pub const MOST_BODY: usize = 256 << 10;
-/// Most bytes of an id: it becomes a part of a path.
-const MOST_ID: usize = 128;
-/// Most bytes of the name of a conversation or an opening.
-const MOST_KEY: usize = 256;
-/// Characters that stand for one token.
-const TOKEN: usize = 4;
-/// Milliseconds to the clock's unit.
-const MS: u64 = 1000;
+/// Longest id in bytes. The id becomes part of a path.
+const MAX_ID_BYTES: usize = 128;
+/// Longest name of a session or a shared prefix, in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// Characters that are counted as one token where the client gives no prompt length.
+const CHARS_PER_TOKEN: usize = 4;
+/// Microseconds, the unit of the clock, in a millisecond.
+const US_PER_MS: u64 = 1000;
 
-pub const ID: &str = "x-trace-id";
-const CLASS: &str = "x-qos";
-const TENANT: &str = "x-customer";
-const SESSION: &str = "x-object";
-pub const DEADLINE: &str = "x-expires-in-ms";
-const PROPS: &str = "x-props";
-const AGAIN: &str = "x-second-try";
-const HINT: &str = "x-size-hint";
+/// Header with the id of a request.
+pub const ID_HEADER: &str = "x-trace-id";
+const CLASS_HEADER: &str = "x-qos";
+const TENANT_HEADER: &str = "x-customer";
+const SESSION_HEADER: &str = "x-object";
+/// Header with the time that is left to the client, in milliseconds.
+pub const DEADLINE_HEADER: &str = "x-expires-in-ms";
+const PROPS_HEADER: &str = "x-props";
+const AGAIN_HEADER: &str = "x-second-try";
+const HINT_HEADER: &str = "x-size-hint";
 
-/// Why a request is not taken.
+/// Why a request is refused. The text goes to the client.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
+    /// The path does not exist.
     #[error("no such path")]
     Path,
+    /// The path accepts this other method only.
     #[error("this path takes {0} only")]
     Method(&'static str),
+    /// A required header is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
+    /// A header occurs more than once.
     #[error("{0} comes more than once")]
-    Doubled(&'static str),
+    Duplicate(&'static str),
+    /// The value of a header is invalid.
     #[error("{0} can't be read")]
     Unreadable(&'static str),
+    /// The class is unknown.
     #[error("class is not one of this deployment")]
     Class,
+    /// The body is larger than [`MOST_BODY`].
     #[error("body over {MOST_BODY} bytes")]
     TooLarge,
+    /// The body is not a JSON object.
     #[error("body is no JSON object")]
     Body,
+    /// Another request with the same id is open.
     #[error("a request with this id is open")]
     Open,
 }
 
 impl Refusal {
-    /// RFC 9110, 15.5.
+    /// Returns the HTTP status of the refusal (RFC 9110, section 15.5).
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Path => 404,
@@ -64,34 +77,37 @@
     }
 }
 
-/// What a head asks for.
+/// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Wanted {
+    /// A chat completion.
     Chat,
+    /// Whether the node can serve.
     Ready,
 }
 
-/// What the module is told of a request, and the id that it goes by. The module's own number is the node's to give.
+/// A client's request: the id that the client gave it, and its arrival for the module. The number in the arrival is
+/// assigned by the node.
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub trace: Box<str>,
     pub arrival: Arrival,
 }
 
-/// What is asked for, from the head alone: a body is refused before it is read.
+/// Determines from the head alone what a request asks for, so that a body is refused before it is read.
 pub fn wanted(head: &Request) -> Result<Wanted, Refusal> {
     let path = head.target.split('?').next().unwrap_or_default();
     let wanted = match path {
-        CHAT if head.method == "POST" => Wanted::Chat,
-        CHAT => return Err(Refusal::Method("POST")),
-        READY if head.method == "GET" => Wanted::Ready,
-        READY => return Err(Refusal::Method("GET")),
+        CHAT_PATH if head.method == "POST" => Wanted::Chat,
+        CHAT_PATH => return Err(Refusal::Method("POST")),
+        READY_PATH if head.method == "GET" => Wanted::Ready,
+        READY_PATH => return Err(Refusal::Method("GET")),
         _ => return Err(Refusal::Path),
     };
     let mut lengths = head.headers.0.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
-    // A doubled length is read by one program in one way and by another in the other, even where both agree here.
+    // Other programs may interpret a repeated length differently, even where both values are equal here.
     if lengths.next().is_some_and(|(_, value)| value.contains(',')) || lengths.next().is_some() {
-        return Err(Refusal::Doubled("content-length"));
+        return Err(Refusal::Duplicate("content-length"));
     }
     match head.framing {
         Framing::Length(n) if n > MOST_BODY as u64 => Err(Refusal::TooLarge),
@@ -99,53 +115,64 @@
     }
 }
 
-/// The one value of a field; a field that comes twice could be read in two ways.
-fn single<'a>(head: &'a Request, name: &'static str) -> Result<Option<&'a str>, Refusal> {
+/// Returns the only value of a header. A repeated header is refused, because it is ambiguous.
+fn single_value<'a>(head: &'a Request, name: &'static str) -> Result<Option<&'a str>, Refusal> {
     let mut values = head.headers.0.iter().filter(|(key, _)| key.eq_ignore_ascii_case(name));
     let first = values.next().map(|(_, value)| value.trim());
-    if values.next().is_some() { Err(Refusal::Doubled(name)) } else { Ok(first) }
+    if values.next().is_some() { Err(Refusal::Duplicate(name)) } else { Ok(first) }
 }
 
-fn whole(value: &str, name: &'static str) -> Result<u64, Refusal> {
+/// Parses a whole number.
+fn parse_number(value: &str, name: &'static str) -> Result<u64, Refusal> {
     let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
     digits.then(|| value.parse::<u64>().ok()).flatten().ok_or(Refusal::Unreadable(name))
 }
 
-fn key(value: &str, name: &'static str) -> Result<Option<TextKey>, Refusal> {
+/// Parses the name of a session or a prefix; an empty name is none.
+fn parse_key(value: &str, name: &'static str) -> Result<Option<TextKey>, Refusal> {
     match value {
         "" => Ok(None),
-        long if long.len() > MOST_KEY => Err(Refusal::Unreadable(name)),
+        long if long.len() > MAX_KEY_BYTES => Err(Refusal::Unreadable(name)),
         value => Ok(Some(TextKey(value.into()))),
     }
 }
 
-/// Whether an id can go into a path and a head as it is.
-fn plain(id: &str) -> bool {
+/// Returns whether an id can be written into a path and a head without escaping.
+fn is_plain_id(id: &str) -> bool {
     !id.is_empty()
-        && id.len() <= MOST_ID
+        && id.len() <= MAX_ID_BYTES
         && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.~".contains(&b))
 }
 
 impl Ask {
-    /// Reads the head of a chat request. `body` is its length in bytes; no client waits longer than `longest_wait`.
+    /// Parses the head of a chat request. `body` is the length of the body in bytes. The time left is at most `longest_wait`,
+    /// the longest time that any client waits.
     pub fn read(head: &Request, body: usize, names: &Names, longest_wait: Time) -> Result<Ask, Refusal> {
-        let trace = single(head, ID)?.filter(|id| !id.is_empty()).ok_or(Refusal::Missing(ID))?;
-        if !plain(trace) {
-            return Err(Refusal::Unreadable(ID));
+        let trace =
+            single_value(head, ID_HEADER)?.filter(|id| !id.is_empty()).ok_or(Refusal::Missing(ID_HEADER))?;
+        if !is_plain_id(trace) {
+            return Err(Refusal::Unreadable(ID_HEADER));
         }
-        let class = single(head, CLASS)?.ok_or(Refusal::Missing(CLASS))?;
+        let class = single_value(head, CLASS_HEADER)?.ok_or(Refusal::Missing(CLASS_HEADER))?;
         let class = names.classes.iter().position(|name| name == class).ok_or(Refusal::Class)?;
-        let left = whole(single(head, DEADLINE)?.ok_or(Refusal::Missing(DEADLINE))?, DEADLINE)?;
-        let time_left = left.saturating_mul(MS).min(longest_wait);
-        let tenant = match single(head, TENANT)? {
-            Some(name) if !names.tenants.is_empty() => {
-                names.tenants.iter().position(|known| known == name).ok_or(Refusal::Unreadable(TENANT))?
-            }
+        let left = parse_number(
+            single_value(head, DEADLINE_HEADER)?.ok_or(Refusal::Missing(DEADLINE_HEADER))?,
+            DEADLINE_HEADER,
+        )?;
+        let time_left = left.saturating_mul(US_PER_MS).min(longest_wait);
+        let tenant = match single_value(head, TENANT_HEADER)? {
+            Some(name) if !names.tenants.is_empty() => names
+                .tenants
+                .iter()
+                .position(|known| known == name)
+                .ok_or(Refusal::Unreadable(TENANT_HEADER))?,
             _ => 0,
         };
-        let session = single(head, SESSION)?.map_or(Ok(None), |value| key(value, SESSION))?;
-        let hint = single(head, HINT)?.map_or(Ok(0), |value| whole(value, HINT))?;
-        let again = single(head, AGAIN)?.unwrap_or_default();
+        let session =
+            single_value(head, SESSION_HEADER)?.map_or(Ok(None), |value| parse_key(value, SESSION_HEADER))?;
+        let hint =
+            single_value(head, HINT_HEADER)?.map_or(Ok(0), |value| parse_number(value, HINT_HEADER))?;
+        let again = single_value(head, AGAIN_HEADER)?.unwrap_or_default();
         let mut arrival = Arrival {
             id: ReqId::default(),
             class,
@@ -154,22 +181,25 @@
             prefix: None,
             time_left,
             hint,
-            prompt: (body / TOKEN) as f64,
+            prompt: (body / CHARS_PER_TOKEN) as f64,
             shared: 0.0,
             max_out: 0.0,
             repeat: again == "1",
             returned: again == "again",
         };
-        for part in single(head, PROPS)?.unwrap_or_default().split(',').filter(|part| !part.trim().is_empty())
+        for part in single_value(head, PROPS_HEADER)?
+            .unwrap_or_default()
+            .split(',')
+            .filter(|part| !part.trim().is_empty())
         {
-            let (name, value) = part.split_once('=').ok_or(Refusal::Unreadable(PROPS))?;
+            let (name, value) = part.split_once('=').ok_or(Refusal::Unreadable(PROPS_HEADER))?;
             let value = value.trim();
             match name.trim() {
-                "prefix" => arrival.prefix = key(value, PROPS)?,
-                "prompt_len" => arrival.prompt = whole(value, PROPS)? as f64,
-                "prefix_len" => arrival.shared = whole(value, PROPS)? as f64,
-                "max_out" => arrival.max_out = whole(value, PROPS)? as f64,
-                // Later versions may tell more.
+                "prefix" => arrival.prefix = parse_key(value, PROPS_HEADER)?,
+                "prompt_len" => arrival.prompt = parse_number(value, PROPS_HEADER)? as f64,
+                "prefix_len" => arrival.shared = parse_number(value, PROPS_HEADER)? as f64,
+                "max_out" => arrival.max_out = parse_number(value, PROPS_HEADER)? as f64,
+                // Later versions may add properties.
                 _ => {}
             }
         }
@@ -177,8 +207,9 @@
     }
 }
 
-/// Whether a body is one JSON object. What no engine could read must not cost one of them its good name.
+/// Returns whether a body is one JSON object. A body that no engine can parse is refused here, because an engine's error
+/// for it would count against that engine.
 pub fn is_object(body: &[u8]) -> bool {
-    let begun = body.iter().find(|b| !b.is_ascii_whitespace()) == Some(&b'{');
-    begun && serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
+    let starts_object = body.iter().find(|b| !b.is_ascii_whitespace()) == Some(&b'{');
+    starts_object && serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
 }
--- a/crates/platform/src/reply.rs
+++ b/crates/platform/src/reply.rs
@@ -1,32 +1,33 @@
-//! What an engine's answer, or the lack of one, proves.
+//! Derives the outcome of an attempt from an engine's answer, or from the way in which the attempt ended without one. An
+//! outcome says that the request did not run only where the answer proves it. Bodies of streams are parsed in `stream.rs`.
 
 use elderstage::Outcome;
 use elderstage_protocol::http::{Framing, Response};
 
-/// Told by an engine that has not begun a request.
-const NEVER_RAN: &str = "x-never-ran";
+/// Header of an engine that has not started a request.
+const NEVER_RAN_HEADER: &str = "x-never-ran";
 
 /// How far an attempt got before its connection failed or its time was up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reached {
     /// The last byte of the request was not written.
     NotWhole,
-    /// It was: the engine may run it.
+    /// The request was written completely: the engine may run it.
     Whole,
 }
 
 /// Why an attempt ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// The connection was refused, did not come up, broke, or brought what can't be read.
+    /// The connection was refused, was not established, broke, or delivered an unreadable answer.
     Broken,
     /// The node stopped waiting.
     TimedOut,
-    /// The node gave it up.
+    /// The node cancelled the attempt.
     Cancelled,
 }
 
-/// The outcome of an attempt that brought no answer.
+/// Returns the outcome of an attempt that ended without an answer.
 pub fn without_answer(reached: Reached, cut: Cut) -> Outcome {
     match (reached, cut) {
         (Reached::NotWhole, Cut::Cancelled) => Outcome::NotSent,
@@ -37,34 +38,34 @@
     }
 }
 
-/// What the head of an answer says.
+/// The result of the head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// A stream of events follows.
     Stream,
-    /// The prompt has been read; the body tells what was found kept.
+    /// The prompt has been read; the body gives the number of cached prompt tokens.
     Read,
-    /// Ended so, with a note for the module.
+    /// The attempt ended with this outcome and a note for the module.
     Ended(Outcome, u64),
 }
 
-/// Note of a writer that found no state to fetch.
-const NO_STATE: u64 = 1;
+/// Note for a writer that found no KV state to fetch.
+const NO_STATE_NOTE: u64 = 1;
 
-/// Reads the head of an answer.
+/// Derives the verdict from the head of an answer.
 pub fn verdict(head: &Response) -> Verdict {
-    let never = head.headers.get(NEVER_RAN).is_some_and(|value| value.trim() == "1");
+    let never_ran = head.headers.get(NEVER_RAN_HEADER).is_some_and(|value| value.trim() == "1");
     match head.status {
         200 if head.framing == Framing::Chunked => Verdict::Stream,
         202 => Verdict::Read,
-        410 if never => Verdict::Ended(Outcome::Full, NO_STATE),
-        503 | 504 if never => Verdict::Ended(Outcome::Full, 0),
-        // Whatever else comes proves nothing.
+        410 if never_ran => Verdict::Ended(Outcome::Full, NO_STATE_NOTE),
+        503 | 504 if never_ran => Verdict::Ended(Outcome::Full, 0),
+        // No other answer proves that the request did not run.
         _ => Verdict::Ended(Outcome::Error, 0),
     }
 }
 
-/// Prompt tokens found kept, from the body of a reader's answer. What can't be read counts as none found.
+/// Returns the number of cached prompt tokens from the body of a reader's answer; 0 if it is unreadable.
 pub fn cached(body: &[u8]) -> u64 {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     value.and_then(|value| value.get("cached_tokens")?.as_f64()).filter(|n| *n >= 0.0).map_or(0, |n| n as u64)
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -1,7 +1,7 @@
-//! An engine's stream: chunks in any split to whole events that may be passed on.
+//! Parses an engine's stream of server-sent events, in chunks that may be split anywhere, into complete events to forward.
 //!
-//! Only what can't turn out to be noise is passed on: the content of chunks whose end has come where their size said,
-//! and of that only whole events. Nothing is held beyond a bound.
+//! Only verified content is forwarded: the content of chunks that ended where their size said, and of that only complete
+//! events. The buffer is bounded. Sockets and deadlines are the caller's.
 
 use elderstage_protocol::http::{Body, Framing, HttpError};
 use memchr::memmem;
@@ -9,44 +9,47 @@
 
 use crate::report;
 
-/// Most bytes of a chunk; an engine's whole answer is no longer.
-const MOST_CHUNK: u64 = 256 << 10;
-/// Most bytes of an event that is not whole yet.
-const MOST_EVENT: usize = 256 << 10;
+/// Largest chunk in bytes; an engine's whole answer is not longer.
+const MAX_CHUNK_BYTES: u64 = 256 << 10;
+/// Most bytes that are buffered for an incomplete event.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Why a stream is of no more use.
+/// Why a stream is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum StreamError {
+    /// The chunked encoding is invalid.
     #[error("{0}")]
     Http(#[from] HttpError),
-    #[error("an event over {MOST_EVENT} bytes")]
+    /// An event exceeds the bound.
+    #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
-    #[error("a line that is no event's")]
-    NoEvent,
+    /// A line does not belong to an event.
+    #[error("a line is not part of a server-sent event")]
+    NotAnEvent,
 }
 
-/// Takes a stream's bytes.
+/// The state of a stream.
 #[derive(Debug)]
 pub struct Stream {
     body: Body,
-    /// Content of chunks; the last bytes may be of a chunk that is not whole.
-    held: Vec<u8>,
-    /// The engine's own mark of the end has come.
-    marked: bool,
-    cached: u64,
+    /// Content of chunks; the last bytes may belong to an incomplete chunk.
+    buffer: Vec<u8>,
+    /// The end mark of the engine, `[DONE]`, has come.
+    has_end_mark: bool,
+    cached_tokens: u64,
     report: Option<String>,
-    /// Events passed on.
-    events: u64,
+    /// Number of events that were forwarded.
+    forwarded_events: u64,
 }
 
-/// What a stream came to.
+/// What a stream reported up to its end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// Prompt tokens found kept.
+pub struct StreamSummary {
+    /// Number of cached prompt tokens.
     pub cached: u64,
-    /// The text of a load report.
+    /// The text of the load report, if one came.
     pub report: Option<String>,
-    /// Events that were passed on.
+    /// Number of events that were forwarded.
     pub events: u64,
 }
 
@@ -57,47 +60,56 @@
 }
 
 impl Stream {
+    /// Creates the state before the first byte of a stream.
     pub fn new() -> Stream {
-        let body = Body::new(Framing::Chunked).with_most_chunk(MOST_CHUNK);
-        Stream { body, held: Vec::new(), marked: false, cached: 0, report: None, events: 0 }
+        let body = Body::new(Framing::Chunked).with_most_chunk(MAX_CHUNK_BYTES);
+        Stream {
+            body,
+            buffer: Vec::new(),
+            has_end_mark: false,
+            cached_tokens: 0,
+            report: None,
+            forwarded_events: 0,
+        }
     }
 
-    /// The last chunk has come.
+    /// Returns whether the last chunk has come.
     pub fn done(&self) -> bool {
         self.body.done()
     }
 
-    /// Whether it ended as a stream should: with the mark of its end, and nothing half behind it.
+    /// Returns whether the stream ended completely: with the end mark, and without a partial event after it.
     pub fn whole(&self) -> bool {
-        self.done() && self.marked && self.held.is_empty()
+        self.done() && self.has_end_mark && self.buffer.is_empty()
     }
 
-    /// What its end told.
-    pub fn told(self) -> Told {
-        Told { cached: self.cached, report: self.report, events: self.events }
+    /// Returns what the stream reported.
+    pub fn told(self) -> StreamSummary {
+        StreamSummary { cached: self.cached_tokens, report: self.report, events: self.forwarded_events }
     }
 
-    /// Takes bytes, adds whole events to `out`, unchanged, and tells how many bytes belonged to the stream.
-    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Spoilt> {
-        let taken = self.body.push(bytes, &mut self.held);
-        // What came before a bad chunk is good.
-        let sure = self.held.len() - self.body.unsure().min(self.held.len());
+    /// Takes bytes, appends complete events to `out` unchanged, and returns how many of the bytes belonged to the stream.
+    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, StreamError> {
+        let taken = self.body.push(bytes, &mut self.buffer);
+        // Content that came before an invalid chunk is valid.
+        let verified = self.buffer.len() - self.body.unsure().min(self.buffer.len());
         let mut at = 0;
-        while let Some(end) = memmem::find(&self.held[at..sure], b"\n\n") {
+        while let Some(end) = memmem::find(&self.buffer[at..verified], b"\n\n") {
             let block = at..at + end + 2;
             at = block.end;
-            self.block(block, out)?;
+            self.forward_block(block, out)?;
         }
-        self.held.drain(..at);
-        if self.held.len() > MOST_EVENT {
-            return Err(Spoilt::TooLarge);
+        self.buffer.drain(..at);
+        if self.buffer.len() > MAX_EVENT_BYTES {
+            return Err(StreamError::TooLarge);
         }
         Ok(taken?)
     }
 
-    fn block(&mut self, at: std::ops::Range<usize>, out: &mut Vec<u8>) -> Result<(), Spoilt> {
-        let block = &self.held[at];
-        let mut events = false;
+    /// Handles one block, which ends with an empty line: forwards it if it holds data, and evaluates its comments.
+    fn forward_block(&mut self, at: std::ops::Range<usize>, out: &mut Vec<u8>) -> Result<(), StreamError> {
+        let block = &self.buffer[at];
+        let mut has_data = false;
         for line in block.split(|b| *b == b'\n').filter(|line| !line.is_empty()) {
             if let Some(comment) = line.strip_prefix(b":") {
                 let comment = String::from_utf8_lossy(comment);
@@ -109,25 +121,26 @@
                     self.report = Some(comment.to_owned());
                 }
             } else if let Some(data) = line.strip_prefix(b"data:") {
-                events = true;
-                self.marked |= data.trim_ascii() == b"[DONE]";
+                has_data = true;
+                self.has_end_mark |= data.trim_ascii() == b"[DONE]";
                 if memmem::find(data, b"\"cached_tokens\"").is_some() {
-                    self.cached = usage(data).unwrap_or(self.cached);
+                    self.cached_tokens = parse_cached_tokens(data).unwrap_or(self.cached_tokens);
                 }
             } else if ![&b"event:"[..], b"id:", b"retry:"].iter().any(|name| line.starts_with(name)) {
-                return Err(Spoilt::NoEvent);
+                return Err(StreamError::NotAnEvent);
             }
         }
-        // Comments are the engine's word to the node.
-        if events {
+        // Blocks of comments only are for the node, not for the client.
+        if has_data {
             out.extend_from_slice(block);
-            self.events += 1;
+            self.forwarded_events += 1;
         }
         Ok(())
     }
 }
 
-fn usage(data: &[u8]) -> Option<u64> {
+/// Returns the number of cached prompt tokens from the usage in an event's data.
+fn parse_cached_tokens(data: &[u8]) -> Option<u64> {
     let value: serde_json::Value = serde_json::from_slice(data).ok()?;
     let usage = value.get("usage")?;
     let cached = usage.get("prompt_tokens_details").and_then(|details| details.get("cached_tokens"));
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -1,109 +1,115 @@
-//! JSON objects one after another in a stream of bytes, whole ones taken out as they come.
+//! Splits a stream of bytes into complete JSON objects. It does not parse their content, and it buffers no more than one
+//! object of bounded size.
 //!
-//! Discovery writes one object a line, or spreads an object over indented lines: its end is told by its brackets, not
-//! by a line's end. Home-made, since the JSON library reads a value anew from its start each time more has come, which
-//! a list of a thousand servers over many reads would pay for.
+//! Discovery writes one object per line or spreads an object over indented lines, so the end of an object is found by its
+//! brackets and not by the end of a line. The JSON library is not used for this, because it parses a value again from
+//! its start each time more bytes have come, which is expensive for a list of a thousand servers over many reads.
 
 use thiserror::Error;
 
-/// Most bytes of an object: some 10,000 servers.
+/// Largest object in bytes: a list of about 10,000 servers.
 pub const MOST: usize = 4 << 20;
 
-/// Why the bytes are no objects. Nothing after them can be trusted to begin where an object does.
+/// Why the bytes cannot be split into objects. The start of the next object cannot be found after such an error.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum NoValue {
-    #[error("something that is no object")]
-    NoObject,
-    #[error("an empty line inside an object")]
-    Broken,
-    #[error("an object over {MOST} bytes")]
+pub enum SplitError {
+    /// The bytes do not start an object.
+    #[error("expected a JSON object")]
+    NotAnObject,
+    /// An object was broken off.
+    #[error("an object is incomplete: a line break in a string or an empty line inside the object")]
+    Incomplete,
+    /// An object exceeds the bound.
+    #[error("an object is larger than {MOST} bytes")]
     TooLarge,
 }
 
-/// What is found next.
+/// An item of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// A whole object.
+pub enum Item {
+    /// The bytes of a complete object.
     Object(Vec<u8>),
-    /// An empty line: the peer is alive and has nothing to tell.
-    Beat,
+    /// An empty line: the peer is alive and has nothing to report.
+    Heartbeat,
 }
 
-/// Takes bytes and gives what is whole.
+/// Takes bytes and returns the complete items.
 #[derive(Debug, Default)]
-pub struct Values {
-    held: Vec<u8>,
-    /// Bytes looked at already.
-    at: usize,
+pub struct ObjectSplitter {
+    buffer: Vec<u8>,
+    /// Number of buffered bytes that were already scanned.
+    scanned: usize,
     depth: usize,
-    in_string: bool,
-    escaped: bool,
-    /// Only white space since the last line's end.
-    blank: bool,
+    is_in_string: bool,
+    is_escaped: bool,
+    /// Only white space has come since the last line break.
+    is_line_blank: bool,
 }
 
-impl Values {
+impl ObjectSplitter {
+    /// Adds bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an object has begun and not ended.
+    /// Returns whether an object has started and not ended.
     pub fn is_inside(&self) -> bool {
         self.depth > 0
     }
 
-    /// The next whole thing, or `None` until more comes.
-    pub fn next_found(&mut self) -> Result<Option<Found>, NoValue> {
-        while let Some(byte) = self.held.get(self.at).copied() {
-            self.at += 1;
-            if self.in_string {
+    /// Returns the next complete item, or `None` if more bytes are needed.
+    pub fn next_item(&mut self) -> Result<Option<Item>, SplitError> {
+        while let Some(byte) = self.buffer.get(self.scanned).copied() {
+            self.scanned += 1;
+            if self.is_in_string {
                 match byte {
-                    _ if self.escaped => self.escaped = false,
-                    b'\\' => self.escaped = true,
-                    b'"' => self.in_string = false,
-                    // RFC 8259, 7: a string holds no bare control character, so it was broken off.
-                    b'\n' => return Err(NoValue::Broken),
+                    _ if self.is_escaped => self.is_escaped = false,
+                    b'\\' => self.is_escaped = true,
+                    b'"' => self.is_in_string = false,
+                    // RFC 8259, section 7: a string contains no unescaped control character, so it was broken off.
+                    b'\n' => return Err(SplitError::Incomplete),
                     _ => {}
                 }
                 continue;
             }
             match byte {
                 b'\n' if self.depth == 0 => {
-                    let empty = self.held[..self.at].trim_ascii().is_empty();
-                    self.take();
-                    if empty {
-                        return Ok(Some(Found::Beat));
+                    let is_empty = self.buffer[..self.scanned].trim_ascii().is_empty();
+                    self.take_scanned();
+                    if is_empty {
+                        return Ok(Some(Item::Heartbeat));
                     }
                 }
-                // A new empty line comes while nothing else does: the object before it will never be whole.
-                b'\n' if self.blank => return Err(NoValue::Broken),
-                b'\n' => self.blank = true,
+                // An empty line is sent only between objects, so the current object will never be complete.
+                b'\n' if self.is_line_blank => return Err(SplitError::Incomplete),
+                b'\n' => self.is_line_blank = true,
                 b' ' | b'\t' | b'\r' => {}
                 b'{' | b'[' => {
                     if self.depth == 0 && byte == b'[' {
-                        return Err(NoValue::NoObject);
+                        return Err(SplitError::NotAnObject);
                     }
                     self.depth += 1;
-                    self.blank = false;
+                    self.is_line_blank = false;
                 }
-                _ if self.depth == 0 => return Err(NoValue::NoObject),
+                _ if self.depth == 0 => return Err(SplitError::NotAnObject),
                 b'}' | b']' => {
                     self.depth -= 1;
-                    self.blank = false;
+                    self.is_line_blank = false;
                     if self.depth == 0 {
-                        return Ok(Some(Found::Object(self.take())));
+                        return Ok(Some(Item::Object(self.take_scanned())));
                     }
                 }
-                b'"' => (self.in_string, self.blank) = (true, false),
-                _ => self.blank = false,
+                b'"' => (self.is_in_string, self.is_line_blank) = (true, false),
+                _ => self.is_line_blank = false,
             }
         }
-        if self.held.len() > MOST { Err(NoValue::TooLarge) } else { Ok(None) }
+        if self.buffer.len() > MOST { Err(SplitError::TooLarge) } else { Ok(None) }
     }
 
-    fn take(&mut self) -> Vec<u8> {
-        let rest = self.held.split_off(self.at);
-        (self.at, self.blank) = (0, false);
-        std::mem::replace(&mut self.held, rest)
+    /// Removes the scanned bytes from the buffer and returns them.
+    fn take_scanned(&mut self) -> Vec<u8> {
+        let rest = self.buffer.split_off(self.scanned);
+        (self.scanned, self.is_line_blank) = (0, false);
+        std::mem::replace(&mut self.buffer, rest)
     }
 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,91 +1,103 @@
-//! The watch on discovery, free of I/O: what its bytes tell, when it is held to be broken, and when it is taken up anew.
+//! The watch on discovery: parses the bytes of its answer, decides when a watch is broken and when the next one may be
+//! opened. It does no I/O; sockets and the clock are the caller's. It never accepts a list that is older than the newest
+//! one, unless discovery has numbered its versions anew.
 //!
-//! One clock for silence. The head of an answer comes at once, since the agent is on the node's own machine, and an empty
-//! line at least every [`HEARTBEAT`]; a watch that keeps to neither is broken, whatever TCP says of its connection, and what
-//! it misses counts as told a few seconds later. While discovery is down its agent is silent, and what that learns at the
-//! return counts at once: so a new watch is tried all the time. Tries are [`RETRY_SPACING`] from beginning to beginning, so that
-//! one that is ended as soon as it is opened does not keep the node busy. At 350 nodes each talks to an agent of its own.
+//! A single deadline covers silence. The head of an answer comes at once, because the agent runs on the node's own machine,
+//! and an empty line comes at least every [`HEARTBEAT_INTERVAL`]. A watch without either is broken, whatever the state of
+//! its TCP connection, and a few seconds later the node is held to know what the watch missed. While discovery is down its
+//! agent is silent, and what the agent learns when discovery is back counts at once, so opening a watch is retried without
+//! end. Attempts start [`RETRY_SPACING`] apart, so that a watch that ends as soon as it is opened does not keep the
+//! node busy. With 350 nodes, each node talks to an agent of its own.
 
 use elderstage::Time;
 use elderstage::settings::Names;
 use thiserror::Error;
 
 use crate::list::{Directory, List, ListError};
-use crate::values::{Found, NoValue, Values};
+use crate::values::{Item, ObjectSplitter, SplitError};
 
-/// Wait for the head of an answer.
+/// Longest wait for the head of an answer, in microseconds.
 const HEAD_TIMEOUT: Time = 300_000;
-/// An empty line comes as often, where nothing changes.
-const HEARTBEAT: Time = 2_000_000;
-/// What a line may be late on a busy machine. With the wait for a new head a broken watch is replaced within 3 s.
+/// Interval of the empty lines that are sent when nothing changes, in microseconds.
+const HEARTBEAT_INTERVAL: Time = 2_000_000;
+/// How late an empty line may be on a busy machine, in microseconds. Including the wait for a new head, a broken watch is
+/// replaced within 3 s.
 const HEARTBEAT_SLACK: Time = 500_000;
-/// Least time between the beginnings of two tries.
+/// Shortest time between the starts of two watches, in microseconds.
 const RETRY_SPACING: Time = 100_000;
 
-/// A discovery that tells nothing but older versions for so long numbers them anew: half of the time after which what it
-/// has counts as told. Until then it is one that has not caught up, and what it tells would undo what is known.
+/// A discovery that sends only older versions for this time, in microseconds, has numbered its versions anew. Until then it
+/// is taken as not caught up, and its lists would undo newer ones. The time is half of the time after which the node is held
+/// to know the list of discovery.
 const RENUMBERED_AFTER: Time = 3_000_000;
 
-/// Why a watch is of no more use.
+/// Why a watch has to be replaced.
 #[derive(Debug, Error)]
-pub enum Spoilt {
-    #[error("version {found} after {known}: whole lists are asked for until it has caught up")]
-    Older { found: u64, known: u64 },
-    #[error("a list that can't be read: {0}")]
+pub enum WatchError {
+    #[error("version {found} is older than {known}: whole lists are requested until discovery has caught up")]
+    OlderVersion { found: u64, known: u64 },
+    #[error("unreadable list: {0}")]
     List(#[from] ListError),
-    #[error("a list that can't be read: {0}")]
-    Value(#[from] NoValue),
+    #[error("unreadable list: {0}")]
+    Value(#[from] SplitError),
 }
 
-/// One watch after the other.
+/// The state of the current watch and what the next one needs.
 #[derive(Debug)]
 pub struct Watch {
-    /// The version from which the next watch asks.
+    /// The version from which the next watch requests changes; 0 for the whole list.
     seq: u64,
-    /// The newest version that was taken.
+    /// The newest version that was accepted.
     newest: u64,
-    /// Since when nothing but older versions was told.
+    /// Since when only older versions have come.
     older_since: Option<Time>,
-    values: Values,
-    begun: Time,
+    objects: ObjectSplitter,
+    started_at: Time,
     deadline: Time,
 }
 
 impl Watch {
-    /// `seq`: version of the list that the node knows; 0 for none.
+    /// Creates the state before the first watch. `seq` is the version of the list that the node knows; 0 for none.
     pub fn new(seq: u64) -> Watch {
-        Watch { seq, newest: seq, older_since: None, values: Values::default(), begun: 0, deadline: 0 }
+        Watch {
+            seq,
+            newest: seq,
+            older_since: None,
+            objects: ObjectSplitter::default(),
+            started_at: 0,
+            deadline: 0,
+        }
     }
 
-    /// A watch is being opened; it is to be asked for from this version on.
+    /// Starts a new watch and returns the version from which it requests changes.
     pub fn begin(&mut self, now: Time) -> u64 {
-        self.values = Values::default();
-        (self.begun, self.deadline) = (now, now + HEAD_TIMEOUT);
+        self.objects = ObjectSplitter::default();
+        (self.started_at, self.deadline) = (now, now + HEAD_TIMEOUT);
         self.seq
     }
 
-    /// The head of its answer has come.
+    /// Records that the head of the answer has come.
     pub fn answered(&mut self, now: Time) {
-        self.deadline = now + HEARTBEAT + HEARTBEAT_SLACK;
+        self.deadline = now + HEARTBEAT_INTERVAL + HEARTBEAT_SLACK;
     }
 
-    /// Bytes of its body have come: the lists that are whole. After an error the next watch begins with the whole list,
-    /// so that nothing is lost that this one told.
-    pub fn take(&mut self, now: Time, bytes: &[u8], names: &Names) -> Result<Vec<List>, Spoilt> {
+    /// Takes bytes of the body and returns the lists that are complete. After an error the next watch starts with the whole
+    /// list, so that no change of this watch is lost.
+    pub fn take(&mut self, now: Time, bytes: &[u8], names: &Names) -> Result<Vec<List>, WatchError> {
         let mut lists = Vec::new();
-        self.values.push(bytes);
-        let taken = self.lists(now, names, &mut lists);
-        taken.inspect_err(|_| self.seq = 0)?;
+        self.objects.push(bytes);
+        let parsed = self.parse_lists(now, names, &mut lists);
+        parsed.inspect_err(|_| self.seq = 0)?;
         Ok(lists)
     }
 
-    fn lists(&mut self, now: Time, names: &Names, lists: &mut Vec<List>) -> Result<(), Spoilt> {
-        while let Some(found) = self.values.next_found()? {
-            // Half a list that never ends is no sign of life.
-            self.deadline = now + HEARTBEAT + HEARTBEAT_SLACK;
-            if let Found::Object(text) = found {
+    fn parse_lists(&mut self, now: Time, names: &Names, lists: &mut Vec<List>) -> Result<(), WatchError> {
+        while let Some(item) = self.objects.next_item()? {
+            // Only a complete item extends the deadline: part of a list that never ends is no sign of life.
+            self.deadline = now + HEARTBEAT_INTERVAL + HEARTBEAT_SLACK;
+            if let Item::Object(text) = item {
                 let list = Directory::parse(&text, names)?;
-                self.follows(now, &list)?;
+                self.check_version(now, &list)?;
                 self.seq = list.seq;
                 lists.push(list);
             }
@@ -93,12 +105,13 @@
         Ok(())
     }
 
-    /// Whether a list may be taken after what is known: an older one would undo a drain that was told.
-    fn follows(&mut self, now: Time, list: &List) -> Result<(), Spoilt> {
+    /// Rejects a list that is older than the newest one, because it would undo a drain that is already known. A whole list
+    /// is accepted if only older versions have come for [`RENUMBERED_AFTER`].
+    fn check_version(&mut self, now: Time, list: &List) -> Result<(), WatchError> {
         if list.seq < self.newest {
             let since = *self.older_since.get_or_insert(now);
             if !(list.whole && now >= since + RENUMBERED_AFTER) {
-                return Err(Spoilt::Older { found: list.seq, known: self.newest });
+                return Err(WatchError::OlderVersion { found: list.seq, known: self.newest });
             }
         }
         self.older_since = None;
@@ -106,13 +119,13 @@
         Ok(())
     }
 
-    /// When it is broken, if nothing whole comes before.
+    /// Returns when the watch counts as broken, unless a complete item comes before.
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// It has ended or is broken: when the next one may be opened.
+    /// Returns when the next watch may be opened after this one has ended or is broken.
     pub fn retry_at(&self, now: Time) -> Time {
-        now.max(self.begun + RETRY_SPACING)
+        now.max(self.started_at + RETRY_SPACING)
     }
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -8,7 +8,7 @@
 use elderstage_platform::reply::{self, Cut, Reached, Verdict};
 use elderstage_platform::report;
 use elderstage_platform::start::{Companions, Start, StartError};
-use elderstage_platform::stream::{Spoilt, Stream};
+use elderstage_platform::stream::{Stream, StreamError};
 use elderstage_protocol::http::{self, HttpError, Limits, Request, Response};
 use proptest::prelude::*;
 
@@ -69,7 +69,7 @@
         ("X-Trace-Id: 9b1f03aa\n", "", Refusal::Missing("x-trace-id")),
         ("9b1f03aa", "", Refusal::Missing("x-trace-id")),
         ("9b1f03aa", "a/../b", Refusal::Unreadable("x-trace-id")),
-        ("X-Qos: once", "X-Trace-Id: other", Refusal::Doubled("x-trace-id")),
+        ("X-Qos: once", "X-Trace-Id: other", Refusal::Duplicate("x-trace-id")),
         ("X-Qos: once\n", "", Refusal::Missing("x-qos")),
         ("once", "twice", Refusal::Class),
         ("X-Expires-In-Ms: 4800\n", "", Refusal::Missing("x-expires-in-ms")),
@@ -95,7 +95,7 @@
         Err(Refusal::TooLarge)
     );
     assert_eq!(of("Content-Length: 2", &format!("Content-Length: {MOST_BODY}")), Ok(Wanted::Chat));
-    let doubled = Err(Refusal::Doubled("content-length"));
+    let doubled = Err(Refusal::Duplicate("content-length"));
     assert_eq!(of("Content-Length: 2", "Content-Length: 2\nContent-Length: 2"), doubled);
     assert_eq!(of("Content-Length: 2", "Content-Length: 2, 2"), doubled);
     assert_eq!(of("POST", "PUT"), Err(Refusal::Method("POST")));
@@ -202,7 +202,7 @@
         let (mut stream, mut out) = (Stream::new(), Vec::new());
         assert!(stream.push(&bytes, &mut out).is_ok());
         let spoilt = stream.push(bad.as_bytes(), &mut out);
-        assert!(matches!(spoilt, Err(Spoilt::Http(HttpError::Chunk))), "{why}: {spoilt:?}");
+        assert!(matches!(spoilt, Err(StreamError::Http(HttpError::Chunk))), "{why}: {spoilt:?}");
         assert_eq!(String::from_utf8(out).unwrap(), EVENTS[0], "{why}");
     }
 }
@@ -219,7 +219,7 @@
     assert_eq!(whole(&[EVENTS[0], EVENTS[2], "data: half"]), (true, false), "half an event");
     let mut stream = Stream::new();
     let noise = stream.push(&chunked(&["<html>no events</html>\n\n"]), &mut Vec::new());
-    assert_eq!(noise, Err(Spoilt::NoEvent));
+    assert_eq!(noise, Err(StreamError::NotAnEvent));
 }
 
 #[test]
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform/tests/watch.rs
@@ -3,7 +3,7 @@
 use elderstage::settings::Names;
 use elderstage::{Listed, Time};
 use elderstage_platform::list::List;
-use elderstage_platform::values::{Found, NoValue, Values};
+use elderstage_platform::values::{Item, ObjectSplitter, SplitError};
 use elderstage_platform::watch::Watch;
 
 const MS: Time = 1_000;
@@ -83,13 +83,13 @@
 
 #[test]
 fn an_object_without_end_is_bounded() {
-    let mut values = Values::default();
+    let mut values = ObjectSplitter::default();
     values.push(b"{\"a\":[");
     let piece = vec![b'1'; 1 << 20];
     let mut ended = None;
     for _ in 0..8 {
         values.push(&piece);
-        match values.next_found() {
+        match values.next_item() {
             Ok(None) => {}
             other => {
                 ended = Some(other);
@@ -97,12 +97,12 @@
             }
         }
     }
-    assert_eq!(ended, Some(Err(NoValue::TooLarge)));
-    let mut values = Values::default();
+    assert_eq!(ended, Some(Err(SplitError::TooLarge)));
+    let mut values = ObjectSplitter::default();
     values.push(b" \r\n{}");
-    assert_eq!(values.next_found(), Ok(Some(Found::Beat)));
-    assert_eq!(values.next_found(), Ok(Some(Found::Object(b"{}".to_vec()))));
-    assert_eq!(values.next_found(), Ok(None));
+    assert_eq!(values.next_item(), Ok(Some(Item::Heartbeat)));
+    assert_eq!(values.next_item(), Ok(Some(Item::Object(b"{}".to_vec()))));
+    assert_eq!(values.next_item(), Ok(None));
 }
 
 /// The page's clock: what a silent watch misses counts as told six seconds after it fell silent. The next one has to be
