--- a/crates/platform/src/check.rs
+++ b/crates/platform/src/check.rs
@@ -1,94 +1,102 @@
-//! What no front node could serve under: settings that are readable but leave something out, contradict each other or
-//! leave no time. Each is one error that names the key and the reason; a running node keeps its old settings then.
+//! Rejects settings under which no front node can serve: settings that parse but are incomplete, contradict each other or
+//! leave no time. Parsing is done elsewhere. An error names the key and the reason; a running node keeps its old settings.
 
 use std::collections::BTreeSet;
 
 use elderstage::settings::{Names, SettingsError};
 use elderstage::{Settings, Time};
 
-/// Deadlines are told to engines in whole milliseconds: a shorter one can't be told.
-const LEAST_DEADLINE: Time = 1_000;
+/// Shortest deadline, in microseconds: engines are sent deadlines in whole milliseconds.
+const MIN_DEADLINE: Time = 1_000;
 
-fn wrong<T>(path: impl Into<String>, what: impl Into<String>) -> Result<T, SettingsError> {
+/// The error for a key.
+fn invalid<T>(path: impl Into<String>, what: impl Into<String>) -> Result<T, SettingsError> {
     Err(SettingsError { path: path.into(), what: what.into() })
 }
 
-/// Names by which requests or lists refer to something: each once, none empty.
-fn distinct(key: &str, names: &[String]) -> Result<(), SettingsError> {
+/// Checks names by which requests or lists refer to something: no name is empty or occurs twice.
+fn check_distinct(key: &str, names: &[String]) -> Result<(), SettingsError> {
     let mut seen = BTreeSet::new();
     for (position, name) in names.iter().enumerate() {
         if name.is_empty() {
-            return wrong(format!("{key}[{position}]"), "has no name");
+            return invalid(format!("{key}[{position}]"), "has no name");
         }
         if !seen.insert(name) {
-            return wrong(format!("{key}[{position}]"), format!("{name:?} is named twice"));
+            return invalid(format!("{key}[{position}]"), format!("{name:?} is named twice"));
         }
     }
     Ok(())
 }
 
-fn some(key: &str, names: &[String], without: &str) -> Result<(), SettingsError> {
+/// Checks names of which there has to be at least one. `without` says what is impossible without any.
+fn check_not_empty(key: &str, names: &[String], without: &str) -> Result<(), SettingsError> {
     if names.is_empty() {
-        wrong(key, format!("is empty or missing: {without}"))
+        invalid(key, format!("is empty or missing: {without}"))
     } else {
-        distinct(key, names)
+        check_distinct(key, names)
     }
 }
 
-fn classes(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
-    some("services", &names.classes, "no request could be of any class")?;
-    let round = LEAST_DEADLINE.max(settings.tick);
+fn check_classes(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+    check_not_empty("services", &names.classes, "no request could be of any class")?;
+    let round_trip = MIN_DEADLINE.max(settings.tick);
     for (position, class) in settings.classes.iter().enumerate() {
         let deadline = names.deadlines.get(position).copied().unwrap_or(Time::MAX);
-        if deadline < round {
+        if deadline < round_trip {
             let what = format!(
-                "{deadline} is shorter than a round trip ({round}): nothing could be answered in time"
+                "{deadline} is shorter than a round trip ({round_trip}): nothing could be answered in time"
             );
-            return wrong(format!("services[{position}].give-up-us"), what);
+            return invalid(format!("services[{position}].give-up-us"), what);
         }
         if class.ttft_aim == 0 {
-            return wrong(format!("services[{position}].aim-us"), "0 leaves no time for an answer");
+            return invalid(format!("services[{position}].aim-us"), "0 leaves no time for an answer");
         }
     }
     Ok(())
 }
 
-fn kinds(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
-    some("skus", &names.kinds, "no engine could be of any kind")?;
+fn check_kinds(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+    check_not_empty("skus", &names.kinds, "no engine could be of any kind")?;
     let (roles, kinds) = (settings.roles.len(), names.kinds.len());
     if roles > 0 && roles != kinds {
-        return wrong("domain.kind-role", format!("tells the roles of {roles} kinds, and there are {kinds}"));
+        return invalid(
+            "domain.kind-role",
+            format!("lists the roles of {roles} kinds, and there are {kinds} kinds"),
+        );
     }
     Ok(())
 }
 
-fn zones(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
-    distinct("zones", &names.zones)?;
+fn check_zones(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+    check_distinct("zones", &names.zones)?;
     let (zone, zones) = (settings.zone as usize, names.zones.len());
     if zones > 0 && zone >= zones {
-        return wrong("zone", format!("{zone} is not the position of one of {zones} zones"));
+        return invalid("zone", format!("{zone} is not the position of one of {zones} zones"));
     }
     Ok(())
 }
 
-fn limits(settings: &Settings) -> Result<(), SettingsError> {
+fn check_limits(settings: &Settings) -> Result<(), SettingsError> {
     if settings.most_tries == 0 {
-        return wrong("limits.most-tries", "0 allows no attempt");
+        return invalid("limits.most-tries", "0 allows no attempt");
     }
     if settings.connect_timeout == 0 {
-        return wrong("limits.connect-timeout-us", "is 0 or missing: no connection could be made");
+        return invalid("limits.connect-timeout-us", "is 0 or missing: no connection could be made");
     }
     if settings.tick == 0 && settings.let_go_by == 0 {
-        return wrong("tick-us", "is 0 or missing, and so is domain.let-go-by-us: no time to act in is told");
+        return invalid(
+            "tick-us",
+            "is 0 or missing, and so is domain.let-go-by-us: there is no time limit to act in",
+        );
     }
     Ok(())
 }
 
-/// Whether a node could serve under these settings.
+/// Checks whether a node can serve under these settings.
 pub fn check(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
-    classes(settings, names)?;
-    kinds(settings, names)?;
-    zones(settings, names)?;
-    distinct("orgs", &names.tenants)?;
-    limits(settings)
+    check_classes(settings, names)?;
+    check_kinds(settings, names)?;
+    check_zones(settings, names)?;
+    check_distinct("orgs", &names.tenants)?;
+    check_limits(settings)
 }
--- a/crates/platform/src/counting.rs
+++ b/crates/platform/src/counting.rs
@@ -1,44 +1,53 @@
-//! What a node counts of its requests for the agent beside it, where its configuration asks for that.
+//! Counts a node's requests by class for the agent on its machine, if the configuration asks for that.
 //!
-//! Decides nothing and is read by nobody in this process: a node without it does the same.
+//! The counts influence no decision, and nothing in this process reads them back. Each request is counted with one end.
 
 use std::collections::HashMap;
 
 use elderstage::{ReqId, Settings, Time};
 use elderstage_tally::{Counts, Key, Tally};
 
+/// A request that is open.
 #[derive(Debug)]
-struct Asked {
+struct OpenRequest {
     class: usize,
-    at: Time,
-    aim: Time,
-    first: Option<Time>,
+    arrived_at: Time,
+    /// The longest time to the first token that counts as in time.
+    first_token_aim: Time,
+    first_token_at: Option<Time>,
 }
 
-/// How a request came to its end.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Served whole, in so many events.
+pub enum RequestEnd {
+    /// The request was served completely.
     Served {
+        /// Number of stream events that were forwarded.
         events: u64,
     },
+    /// The request was rejected without effect.
     Refused,
+    /// The request failed without a stream.
     Failed,
+    /// The stream broke off.
     Broken,
+    /// The client disconnected.
     Gone,
 }
 
+/// The counts of a node's requests.
 #[derive(Debug)]
 pub struct Counting {
     release: String,
-    /// By class: what it is counted under now, its aim for the first token, and for each prompt token, microseconds.
+    /// For each class: its current key in the tally, its aim for the time to the first token, and the addition to the aim for
+    /// each prompt token, in microseconds.
     classes: Vec<(Key, Time, f64)>,
     tally: Tally,
-    open: HashMap<ReqId, Asked>,
+    open: HashMap<ReqId, OpenRequest>,
 }
 
 impl Counting {
-    /// `settings`: what the settings are known by; the classes' names are in their order.
+    /// Creates empty counts. `digest` identifies the settings; `names` are the names of their classes, in order.
     pub fn new(release: &str, digest: &str, names: &[String], settings: &Settings) -> Counting {
         let (tally, open) = (Tally::default(), HashMap::new());
         let mut counting = Counting { release: release.into(), classes: Vec::new(), tally, open };
@@ -46,58 +55,63 @@
         counting
     }
 
-    /// Counts under other settings from now on, also what is under way.
+    /// Counts under other settings from now on, including the requests that are open.
     pub fn under(&mut self, digest: &str, names: &[String], settings: &Settings) {
-        let of = |(n, class): (usize, &elderstage::Class)| {
-            let name = names.get(n).cloned().unwrap_or_else(|| n.to_string());
+        let class_entry = |(index, class): (usize, &elderstage::Class)| {
+            let name = names.get(index).cloned().unwrap_or_else(|| index.to_string());
             let key =
                 Key { class: name, release: self.release.clone(), settings: digest.into(), ..Key::default() };
             (key, class.ttft_aim, class.ttft_aim_per_1000 / 1000.0)
         };
-        self.classes = settings.classes.iter().enumerate().map(of).collect();
+        self.classes = settings.classes.iter().enumerate().map(class_entry).collect();
     }
 
+    /// Returns the counts.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
+    /// Returns the counts of a class.
     fn counts(&mut self, class: usize) -> &mut Counts {
         let rest = Key::rest();
         self.tally.of(self.classes.get(class).map_or(&rest, |(key, ..)| key))
     }
 
-    pub fn asked(&mut self, now: Time, id: ReqId, class: usize, prompt: f64) {
-        let aim = self.classes.get(class).map_or(0, |(_, aim, per)| aim + (per * prompt.max(0.0)) as Time);
+    /// Records the arrival of a request.
+    pub fn record_arrival(&mut self, now: Time, id: ReqId, class: usize, prompt: f64) {
+        let first_token_aim =
+            self.classes.get(class).map_or(0, |(_, aim, per)| aim + (per * prompt.max(0.0)) as Time);
         self.counts(class).asked += 1;
-        self.open.insert(id, Asked { class, at: now, aim, first: None });
+        self.open.insert(id, OpenRequest { class, arrived_at: now, first_token_aim, first_token_at: None });
     }
 
-    pub fn first(&mut self, now: Time, id: ReqId) {
-        if let Some(asked) = self.open.get_mut(&id) {
-            asked.first.get_or_insert(now);
+    /// Records the first event of a request's stream; later calls have no effect.
+    pub fn record_first_event(&mut self, now: Time, id: ReqId) {
+        if let Some(request) = self.open.get_mut(&id) {
+            request.first_token_at.get_or_insert(now);
         }
     }
 
-    /// The one end of a request; a second one is not counted.
-    pub fn end(&mut self, now: Time, id: ReqId, end: End) {
-        let Some(asked) = self.open.remove(&id) else { return };
-        let counts = self.counts(asked.class);
-        let wait = asked.first.map(|first| first.saturating_sub(asked.at));
+    /// Records the end of a request; further ends of the same request are not counted.
+    pub fn record_end(&mut self, now: Time, id: ReqId, end: RequestEnd) {
+        let Some(request) = self.open.remove(&id) else { return };
+        let counts = self.counts(request.class);
+        let wait = request.first_token_at.map(|first| first.saturating_sub(request.arrived_at));
         if let Some(wait) = wait {
             counts.first_token.record(wait);
         }
         match end {
-            End::Served { events } => {
-                let in_time = wait.is_some_and(|wait| wait <= asked.aim);
+            RequestEnd::Served { events } => {
+                let in_time = wait.is_some_and(|wait| wait <= request.first_token_aim);
                 *(if in_time { &mut counts.in_time } else { &mut counts.late }) += 1;
-                if let Some(first) = asked.first.filter(|_| events > 1) {
+                if let Some(first) = request.first_token_at.filter(|_| events > 1) {
                     counts.token_gap.record(now.saturating_sub(first) / (events - 1));
                 }
             }
-            End::Refused => counts.refused += 1,
-            End::Failed => counts.failed += 1,
-            End::Broken => counts.broken += 1,
-            End::Gone => counts.gone += 1,
+            RequestEnd::Refused => counts.refused += 1,
+            RequestEnd::Failed => counts.failed += 1,
+            RequestEnd::Broken => counts.broken += 1,
+            RequestEnd::Gone => counts.gone += 1,
         }
     }
 }
--- a/crates/platform/src/hub/mod.rs
+++ b/crates/platform/src/hub/mod.rs
@@ -16,7 +16,7 @@
     Action, Event, ListMode, Outcome, Repeat, ReportField, ReqId, Role, Router, ServerId, Settings, Time,
 };
 
-use crate::counting::{Counting, End};
+use crate::counting::{Counting, RequestEnd};
 use crate::engine_start::EngineStarts;
 use crate::leases::Leases;
 use crate::list::{Directory, Host, List};
@@ -189,7 +189,7 @@
                     request.is_finished = true;
                     self.counts.gone += 1;
                     if let Some(counting) = &mut self.counting {
-                        counting.end(now, id, End::Gone);
+                        counting.record_end(now, id, RequestEnd::Gone);
                     }
                     self.events.push_back(Event::ClientGone { id });
                 }
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -5,7 +5,7 @@
 
 use super::{Command, Hub, InFlightAttempt, Last, OpenRequest};
 use crate::ask::Ask;
-use crate::counting::End;
+use crate::counting::RequestEnd;
 use crate::report;
 
 /// How an attempt ended.
@@ -37,7 +37,7 @@
         }
         self.counts.taken += 1;
         if let Some(counting) = &mut self.counting {
-            counting.asked(now, id, ask.arrival.class, ask.arrival.prompt);
+            counting.record_arrival(now, id, ask.arrival.class, ask.arrival.prompt);
         }
         self.ids_by_trace.insert(ask.trace.clone(), id);
         let is_repeatable = self.repeatable_classes.get(ask.arrival.class).copied().unwrap_or(false);
@@ -64,7 +64,7 @@
         request.is_streaming = true;
         self.leases.remove(id);
         if let Some(counting) = &mut self.counting {
-            counting.first(now, id);
+            counting.record_first_event(now, id);
         }
         let (server, took) = (in_flight.server.clone(), now.saturating_sub(in_flight.sent_at));
         self.events.push_back(Event::Streaming { id, attempt, server, took });
@@ -99,7 +99,11 @@
                 self.counts.broken += 1
             }
             if let Some(counting) = &mut self.counting {
-                counting.end(now, id, if served { End::Served { events } } else { End::Broken });
+                counting.record_end(
+                    now,
+                    id,
+                    if served { RequestEnd::Served { events } } else { RequestEnd::Broken },
+                );
             }
         }
         let settled = request.is_finished;
@@ -155,7 +159,7 @@
             }
             if let Some(counting) = &mut self.counting {
                 let refused = matches!(last, Last::Refused { .. });
-                counting.end(now, id, if refused { End::Refused } else { End::Failed });
+                counting.record_end(now, id, if refused { RequestEnd::Refused } else { RequestEnd::Failed });
             }
             let (attempts, last_outcome) = (request.attempts, request.last_outcome);
             commands.push(Command::Answer { id, last, attempts, last_outcome });
--- a/crates/platform/src/kept.rs
+++ b/crates/platform/src/kept.rs
@@ -1,31 +1,34 @@
-//! Whether kept connections can be trusted.
+//! Decides whether idle connections to engines can be reused. The connections themselves are the caller's.
 //!
-//! Between a node and an engine something may drop connections that it holds to be idle, and tell neither: the next
-//! request on one is reset, and may have run for all that is known. A new connection costs a handshake, a reset costs
-//! an attempt. So kept connections are used while hardly any of them breaks; once some did, new ones are made, and now
-//! and then one that is kept carries what is harmless to lose, to learn whether it can be trusted again.
+//! A device between a node and an engine may drop connections that it takes for idle without notifying either end: the next
+//! request on such a connection is reset, and it is unknown whether the request ran. A new connection costs a handshake, a
+//! reset costs an attempt. So idle connections are reused while hardly any of them breaks. After breaks new connections are
+//! opened, and now and then a harmless request uses an idle connection to find out whether reuse works again.
 
-/// Weight that the past keeps at each use of a kept connection: some fifty uses of memory.
-const KEEP: f64 = 0.98;
-/// Broken uses, older ones fading, from which on kept connections are not trusted: a handshake takes milliseconds, a
-/// lost attempt what it takes to find another engine, or a request that can't be sent again.
-const DISTRUST: f64 = 0.5;
-/// One in so many harmless requests tries a kept connection all the same.
-const TRIAL: u32 = 16;
+/// Factor by which earlier breaks decay with each reuse: the memory spans about fifty reuses.
+const DECAY: f64 = 0.98;
+/// Decayed number of breaks above which connections are not reused. It is low because a handshake takes milliseconds, while
+/// a lost attempt costs the time to find another engine, or a request that cannot be sent again.
+const MAX_RECENT_BREAKS: f64 = 0.5;
+/// While connections are not reused, one in this many harmless requests reuses one as a trial.
+const TRIAL_INTERVAL: u32 = 16;
 
-/// What was learned of kept connections.
+/// How well reuse of connections has worked lately.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Kept {
-    broken: f64,
-    passed_over: u32,
+    /// Number of breaks, in which older ones count less.
+    recent_breaks: f64,
+    /// Harmless requests while connections are not reused.
+    untrusted_requests: u32,
 }
 
 impl Kept {
+    /// Returns whether connections are reused for all requests.
     pub fn is_trusted(&self) -> bool {
-        self.broken <= DISTRUST
+        self.recent_breaks <= MAX_RECENT_BREAKS
     }
 
-    /// Whether the next request goes on a kept connection. `harmless`: it may be repeated, whatever came of it.
+    /// Returns whether the next request may reuse a connection. `harmless`: it may be repeated, whatever its outcome.
     pub fn may_use(&mut self, harmless: bool) -> bool {
         if self.is_trusted() {
             return true;
@@ -33,13 +36,13 @@
         if !harmless {
             return false;
         }
-        self.passed_over += 1;
-        self.passed_over.is_multiple_of(TRIAL)
+        self.untrusted_requests += 1;
+        self.untrusted_requests.is_multiple_of(TRIAL_INTERVAL)
     }
 
-    /// A request on a kept connection was answered, or the connection broke before a byte of an answer.
+    /// Records the result of a reuse: the request was answered, or the connection `broke` before a byte of an answer.
     pub fn told(&mut self, broke: bool) {
-        self.broken = self.broken * KEEP + f64::from(u8::from(broke));
+        self.recent_breaks = self.recent_breaks * DECAY + f64::from(u8::from(broke));
     }
 }
 
--- a/crates/platform/src/kept/tests.rs
+++ b/crates/platform/src/kept/tests.rs
@@ -1,27 +1,27 @@
 use super::*;
 
 #[test]
-fn one_reset_is_enough_for_what_must_not_be_lost_and_trust_comes_back() {
+fn one_reset_stops_reuse_for_requests_that_must_not_be_lost_until_trials_succeed() {
     let mut kept = Kept::default();
     assert!((0..100).all(|_| kept.may_use(false)));
     (0..100).for_each(|_| kept.told(false));
     kept.told(true);
-    assert!(!kept.may_use(false), "after one reset, nothing that could be lost");
-    let tried = (0..160).filter(|_| kept.may_use(true)).count();
-    assert_eq!(tried, 10, "one harmless request in sixteen");
+    assert!(!kept.may_use(false), "one reset stops reuse for requests that must not be lost");
+    let trials = (0..160).filter(|_| kept.may_use(true)).count();
+    assert_eq!(trials, 10, "one harmless request in sixteen is a trial");
     (0..200).for_each(|_| kept.told(false));
-    assert!(kept.may_use(false), "trusted again");
+    assert!(kept.may_use(false), "successful trials restore reuse");
 }
 
 #[test]
-fn connections_that_always_break_are_hardly_used() {
+fn connections_that_always_break_are_rarely_reused() {
     let mut kept = Kept::default();
-    let mut used = 0;
+    let mut reuses = 0;
     for _ in 0..1_600 {
         if kept.may_use(true) {
-            used += 1;
+            reuses += 1;
             kept.told(true);
         }
     }
-    assert!(used <= 102, "{used}");
+    assert!(reuses <= 102, "{reuses} reuses");
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,10 @@
-//! The platform's front-node protocol, free of I/O: what a node is told at its start, what clients ask, what engines'
-//! answers prove, what discovery tells, and the state that ties these to the decision module.
+//! The platform's protocol for front nodes, without I/O: a node's configuration, clients' requests, engines' answers, the
+//! lists of discovery, and the state that connects these to the decision module.
 //!
-//! Nothing here reads a clock, opens a socket or starts a thread, and nothing here decides: [`hub::Hub`] turns what
-//! happened on sockets into the module's events and the module's actions into commands for sockets. The rules of its
-//! own are those of the protocol itself (what can't be read is answered as such; an id that is open is not taken
-//! twice), and the delivery of a release until it is known to have reached an engine.
+//! Nothing in this crate reads a clock, opens a socket or starts a thread, and routing decisions are left to the decision
+//! module: [`hub::Hub`] turns what happened on sockets into events of the module, and the module's actions into commands
+//! for sockets. The crate's own rules are those of the protocol (an unreadable request is refused as such; an id that is
+//! open is not accepted twice), and the repetition of a release until it is known to have reached an engine.
 
 pub mod ask;
 pub mod check;
