--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! What is read from clients, engines and discovery, without a socket.
+//! Tests of the parsers for clients, engines, discovery and the configuration, without sockets.
 
 use elderstage::settings::Names;
 use elderstage::{ListMode, Listed, Outcome, ReportField, Time};
@@ -13,7 +13,7 @@
 use proptest::prelude::*;
 
 /// The longest time that a client of these tests waits, in microseconds.
-const LONGEST: Time = 12_000_000;
+const LONGEST_WAIT: Time = 12_000_000;
 
 fn names() -> Names {
     let words = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect();
@@ -23,48 +23,54 @@
         classes: words(&["plain", "once"]),
         tenants: Vec::new(),
         idle_close: Some(15_000_000),
-        deadlines: vec![LONGEST],
+        deadlines: vec![LONGEST_WAIT],
     }
 }
 
-fn parse(text: &str) -> Result<Start, StartError> {
+fn parse_configuration(text: &str) -> Result<Start, StartError> {
     Start::parse(text, &Companions::default())
 }
 
-fn head(text: &str) -> Request {
+/// Parses the head of a request.
+fn request_head(text: &str) -> Request {
     let text = text.replace('\n', "\r\n") + "\r\n\r\n";
     http::parse_request(text.as_bytes(), Limits::default()).unwrap().unwrap().0
 }
 
-const GOOD: &str = "POST /v1/chat/completions HTTP/1.1\nHost: backend.local\nX-Trace-Id: 9b1f03aa\nX-Qos: once\n\
+/// A valid head of a chat request.
+const VALID_HEAD: &str = "POST /v1/chat/completions HTTP/1.1\nHost: backend.local\nX-Trace-Id: 9b1f03aa\nX-Qos: once\n\
                     X-Object: talk-1\nX-Expires-In-Ms: 4800\nX-Size-Hint: 90000\n\
                     X-Props: prefix=opening-1,prompt_len=5120,prefix_len=2048,max_out=800\nContent-Length: 2";
 
-fn changed(from: &str, to: &str) -> Result<Ask, Refusal> {
-    assert!(GOOD.contains(from));
-    Ask::read(&head(&GOOD.replace(from, to)), 2, &names(), LONGEST)
+/// Parses [`VALID_HEAD`] with one replacement.
+fn ask_with_change(from: &str, to: &str) -> Result<Ask, Refusal> {
+    assert!(VALID_HEAD.contains(from));
+    Ask::read(&request_head(&VALID_HEAD.replace(from, to)), 2, &names(), LONGEST_WAIT)
 }
 
 #[test]
-fn a_request_becomes_what_the_module_is_told() {
-    let head = head(GOOD);
+fn a_request_becomes_an_arrival_for_the_module() {
+    let head = request_head(VALID_HEAD);
     assert_eq!(ask::wanted(&head), Ok(Wanted::Chat));
-    let read = Ask::read(&head, 2, &names(), LONGEST).unwrap();
+    let read = Ask::read(&head, 2, &names(), LONGEST_WAIT).unwrap();
     let ask = read.arrival;
     assert_eq!((&*read.trace, ask.class, ask.time_left, ask.hint), ("9b1f03aa", 1, 4_800_000, 90_000));
     assert_eq!((ask.prompt, ask.shared, ask.max_out), (5120.0, 2048.0, 800.0));
     assert_eq!(ask.session.unwrap().0.as_ref(), "talk-1");
     assert_eq!(ask.prefix.unwrap().0.as_ref(), "opening-1");
     assert!(!ask.repeat && !ask.returned);
-    assert!(changed("X-Size-Hint: 90000", "X-Second-Try: again").unwrap().arrival.returned);
-    assert!(changed("X-Size-Hint: 90000", "X-Second-Try: 1").unwrap().arrival.repeat);
-    // Where clients tell no lengths, the body's own is taken: four characters a token.
-    let bare = GOOD.split("\nX-Props").next().unwrap();
-    assert_eq!(Ask::read(&self::head(bare), 400, &names(), LONGEST).unwrap().arrival.prompt, 100.0);
+    assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: again").unwrap().arrival.returned);
+    assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: 1").unwrap().arrival.repeat);
+    // Where the client gives no prompt length, the length of the body counts: four characters for each token.
+    let without_props = VALID_HEAD.split("\nX-Props").next().unwrap();
+    assert_eq!(
+        Ask::read(&self::request_head(without_props), 400, &names(), LONGEST_WAIT).unwrap().arrival.prompt,
+        100.0
+    );
 }
 
 #[test]
-fn what_cannot_be_read_is_a_clients_error_and_says_which_field() {
+fn an_invalid_request_is_a_client_error_that_names_the_header() {
     for (from, to, why) in [
         ("X-Trace-Id: 9b1f03aa\n", "", Refusal::Missing("x-trace-id")),
         ("9b1f03aa", "", Refusal::Missing("x-trace-id")),
@@ -80,44 +86,48 @@
         ("prompt_len=5120", "prompt_len=many", Refusal::Unreadable("x-props")),
         ("prompt_len=5120", "prompt_len", Refusal::Unreadable("x-props")),
     ] {
-        let refusal = changed(from, to).unwrap_err();
+        let refusal = ask_with_change(from, to).unwrap_err();
         assert_eq!((refusal.status(), &refusal), (400, &why), "{from:?} -> {to:?}");
     }
-    // A deadline beyond what any client waits is held to that.
-    assert_eq!(changed("4800", "99999999999").unwrap().arrival.time_left, 12_000_000);
+    // A deadline beyond the longest wait of any client is limited to it.
+    assert_eq!(ask_with_change("4800", "99999999999").unwrap().arrival.time_left, 12_000_000);
 }
 
 #[test]
-fn a_body_is_refused_by_its_head() {
-    let of = |from: &str, to: &str| ask::wanted(&head(&GOOD.replace(from, to)));
+fn a_request_is_refused_by_its_head_before_its_body_is_read() {
+    let wanted_with_change = |from: &str, to: &str| ask::wanted(&request_head(&VALID_HEAD.replace(from, to)));
     assert_eq!(
-        of("Content-Length: 2", &format!("Content-Length: {}", MOST_BODY + 1)),
+        wanted_with_change("Content-Length: 2", &format!("Content-Length: {}", MOST_BODY + 1)),
         Err(Refusal::TooLarge)
     );
-    assert_eq!(of("Content-Length: 2", &format!("Content-Length: {MOST_BODY}")), Ok(Wanted::Chat));
-    let doubled = Err(Refusal::Duplicate("content-length"));
-    assert_eq!(of("Content-Length: 2", "Content-Length: 2\nContent-Length: 2"), doubled);
-    assert_eq!(of("Content-Length: 2", "Content-Length: 2, 2"), doubled);
-    assert_eq!(of("POST", "PUT"), Err(Refusal::Method("POST")));
-    assert_eq!(of("/v1/chat/completions", "/v1/other"), Err(Refusal::Path));
-    let bad = |field: &str| {
-        let text = GOOD.replace("Content-Length: 2", field).replace('\n', "\r\n") + "\r\n\r\n";
+    assert_eq!(
+        wanted_with_change("Content-Length: 2", &format!("Content-Length: {MOST_BODY}")),
+        Ok(Wanted::Chat)
+    );
+    let duplicate = Err(Refusal::Duplicate("content-length"));
+    assert_eq!(wanted_with_change("Content-Length: 2", "Content-Length: 2\nContent-Length: 2"), duplicate);
+    assert_eq!(wanted_with_change("Content-Length: 2", "Content-Length: 2, 2"), duplicate);
+    assert_eq!(wanted_with_change("POST", "PUT"), Err(Refusal::Method("POST")));
+    assert_eq!(wanted_with_change("/v1/chat/completions", "/v1/other"), Err(Refusal::Path));
+    let parse_error = |field: &str| {
+        let text = VALID_HEAD.replace("Content-Length: 2", field).replace('\n', "\r\n") + "\r\n\r\n";
         http::parse_request(text.as_bytes(), Limits::default()).unwrap_err()
     };
-    assert_eq!(bad("Content-Length: -2"), HttpError::Length);
-    assert_eq!(bad("Content-Length: 18446744073709551616"), HttpError::Length);
-    assert_eq!(bad("Content-Length: 2\nTransfer-Encoding: chunked"), HttpError::Ambiguous);
+    assert_eq!(parse_error("Content-Length: -2"), HttpError::Length);
+    assert_eq!(parse_error("Content-Length: 18446744073709551616"), HttpError::Length);
+    assert_eq!(parse_error("Content-Length: 2\nTransfer-Encoding: chunked"), HttpError::Ambiguous);
     assert!(ask::is_object(b" {\"a\":[1]}") && !ask::is_object(b"[1]") && !ask::is_object(b"{\"a\":"));
 }
 
-fn answer(text: &str) -> Response {
+/// Parses the head of an answer.
+fn response_head(text: &str) -> Response {
     let text = text.replace('\n', "\r\n") + "\r\n\r\n";
     http::parse_response(text.as_bytes(), Limits::default()).unwrap().unwrap().0
 }
 
 #[test]
-fn each_end_of_an_attempt_proves_what_the_protocol_says() {
-    let verdict = |text: &str| reply::verdict(&answer(text));
+fn the_outcome_of_an_attempt_follows_from_its_answer_or_its_end() {
+    let verdict = |text: &str| reply::verdict(&response_head(text));
     assert_eq!(verdict("HTTP/1.1 200 OK\nTransfer-Encoding: chunked"), Verdict::Stream);
     assert_eq!(verdict("HTTP/1.1 202 Accepted\nContent-Length: 20"), Verdict::Read);
     let full = Verdict::Ended(Outcome::Full, 0);
@@ -127,7 +137,7 @@
         verdict("HTTP/1.1 410 Gone\nX-Never-Ran: 1\nContent-Length: 0"),
         Verdict::Ended(Outcome::Full, 1)
     );
-    // Without the proof it may have run, whatever the status.
+    // Without the header that proves otherwise the request may have run, whatever the status.
     for status in ["500 Error", "503 Busy", "504 Over", "410 Gone", "429 Many", "400 Bad", "204 Nothing"] {
         let text = format!("HTTP/1.1 {status}\nX-Never-Ran: 0\nContent-Length: 0");
         assert_eq!(verdict(&text), Verdict::Ended(Outcome::Error, 0), "{status}");
@@ -155,9 +165,10 @@
 }
 
 proptest! {
-    /// However the bytes are split, the events come whole, unchanged and once, and what follows is not the stream's.
+    /// However the bytes are split, each event is forwarded complete, unchanged and once, and bytes after the end are not
+    /// taken as part of the stream.
     #[test]
-    fn a_stream_is_passed_on_in_any_split(cuts in prop::collection::vec(1usize..40, 1..40)) {
+    fn a_stream_is_forwarded_in_any_split(cuts in prop::collection::vec(1usize..40, 1..40)) {
         let comment = ": Endpoint-Load-Metrics: TEXT util=0.5\n\n";
         let mut bytes = chunked(&[EVENTS[0], comment, EVENTS[1], EVENTS[2]]);
         bytes.extend_from_slice(b"HTTP/1.1 200 OK\r\n");
@@ -173,64 +184,71 @@
         prop_assert_eq!(String::from_utf8(out).unwrap(), EVENTS.concat());
         prop_assert_eq!(taken, bytes.len() - b"HTTP/1.1 200 OK\r\n".len());
         prop_assert!(stream.whole());
-        let told = stream.told();
-        prop_assert_eq!((told.cached, told.report.is_some()), (64, true));
+        let summary = stream.told();
+        prop_assert_eq!((summary.cached, summary.report.is_some()), (64, true));
     }
 
-    /// No bytes from an engine, a client or discovery make a codec panic.
+    /// No bytes from an engine, discovery or a configuration file make a parser panic.
     #[test]
-    fn noise_is_read_without_a_panic(noise in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_parsed_without_a_panic(noise in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = Stream::new().push(&noise, &mut Vec::new());
         let _ = Directory::parse(&noise, &names());
         let text = String::from_utf8_lossy(&noise);
         let _ = report::parse(&text, &[ReportField::Queue]);
-        let _ = parse(&text);
+        let _ = parse_configuration(&text);
         let _ = reply::cached(&noise);
     }
 }
 
 #[test]
-fn nothing_of_a_chunk_that_does_not_fit_is_passed_on() {
+fn nothing_of_an_invalid_chunk_is_forwarded() {
     for (bad, why) in [
-        ("xyz\r\ndata: {}\n\n\r\n", "no size"),
-        ("5\r\ndata: {}\n\n\r\n", "too short a size"),
-        ("12\r\ndata: {}\n\n\r\n8\r\ndata: 1\n\n\r\n0\r\n\r\n", "too long a size"),
-        ("c0000000\r\nxxxx", "3 GB"),
+        ("xyz\r\ndata: {}\n\n\r\n", "an invalid size"),
+        ("5\r\ndata: {}\n\n\r\n", "a size that is too small"),
+        ("12\r\ndata: {}\n\n\r\n8\r\ndata: 1\n\n\r\n0\r\n\r\n", "a size that is too large"),
+        ("c0000000\r\nxxxx", "a size of 3 GB"),
     ] {
         let mut bytes = chunked(&[EVENTS[0]]);
         bytes.truncate(bytes.len() - http::LAST_CHUNK.len());
         let (mut stream, mut out) = (Stream::new(), Vec::new());
         assert!(stream.push(&bytes, &mut out).is_ok());
-        let spoilt = stream.push(bad.as_bytes(), &mut out);
-        assert!(matches!(spoilt, Err(StreamError::Http(HttpError::Chunk))), "{why}: {spoilt:?}");
+        let result = stream.push(bad.as_bytes(), &mut out);
+        assert!(matches!(result, Err(StreamError::Http(HttpError::Chunk))), "{why}: {result:?}");
         assert_eq!(String::from_utf8(out).unwrap(), EVENTS[0], "{why}");
     }
 }
 
 #[test]
-fn a_stream_without_its_end_is_not_whole() {
+fn a_stream_without_its_end_mark_is_incomplete() {
     let whole = |parts: &[&str]| {
         let mut stream = Stream::new();
         let _ = stream.push(&chunked(parts), &mut Vec::new());
         (stream.done(), stream.whole())
     };
     assert_eq!(whole(&EVENTS), (true, true));
-    assert_eq!(whole(&EVENTS[..2]), (true, false), "no mark of the end");
-    assert_eq!(whole(&[EVENTS[0], EVENTS[2], "data: half"]), (true, false), "half an event");
+    assert_eq!(whole(&EVENTS[..2]), (true, false), "no end mark");
+    assert_eq!(
+        whole(&[EVENTS[0], EVENTS[2], "data: half"]),
+        (true, false),
+        "a partial event after the end mark"
+    );
     let mut stream = Stream::new();
-    let noise = stream.push(&chunked(&["<html>no events</html>\n\n"]), &mut Vec::new());
-    assert_eq!(noise, Err(StreamError::NotAnEvent));
+    let result = stream.push(&chunked(&["<html>no events</html>\n\n"]), &mut Vec::new());
+    assert_eq!(result, Err(StreamError::NotAnEvent));
 }
 
 #[test]
-fn a_report_is_read_whole_or_not_at_all() {
+fn a_report_with_a_missing_or_invalid_value_is_rejected() {
     let fields = [ReportField::LatencyMs, ReportField::MemoryShare, ReportField::PendingThousands];
-    let told = Some(vec![12.5, 0.25, 3.0]);
-    assert_eq!(report::parse("TEXT lat_ms=12.5, x0=0.25, x1=3", &fields), told);
-    assert_eq!(report::parse("Endpoint-Load-Metrics: TEXT x1=3, x0=0.25, latency_ms=12.5", &fields), told);
+    let expected = Some(vec![12.5, 0.25, 3.0]);
+    assert_eq!(report::parse("TEXT lat_ms=12.5, x0=0.25, x1=3", &fields), expected);
+    assert_eq!(
+        report::parse("Endpoint-Load-Metrics: TEXT x1=3, x0=0.25, latency_ms=12.5", &fields),
+        expected
+    );
     assert_eq!(
         report::parse("JSON {\"named_metrics\":{\"x0\":0.25,\"x1\":3},\"lat_ms\":12.5}", &fields),
-        told
+        expected
     );
     for bad in [
         "",
@@ -248,10 +266,10 @@
 }
 
 #[test]
-fn names_map_to_positions_and_a_new_whole_list_removes_what_it_lacks() {
+fn names_become_positions_and_a_whole_list_removes_the_servers_that_it_lacks() {
     let mut directory = Directory::default();
-    let list = |text: &str| Directory::parse(text.as_bytes(), &names());
-    let whole = list(
+    let parse_list = |text: &str| Directory::parse(text.as_bytes(), &names());
+    let whole = parse_list(
         r#"{"seq":4,"whole":true,"hosts":[
         {"host":"a","dial":"127.0.0.1:1","site":"west","class":"writes","block":3,"health":"SERVING","share":1.0,"born_ms":7},
         {"host":"b","dial":"127.0.0.1:2","site":"east","class":"reads","block":1,"health":"DRAINING"}]}"#,
@@ -261,14 +279,16 @@
     let a = &entries[0];
     assert_eq!((a.zone, a.kind, a.cell, a.ready_at, a.listed), (1, 1, 3, 7_000, Listed::Running));
     assert_eq!((entries[1].kind, entries[1].listed), (0, Listed::Draining));
-    let gone = list(r#"{"seq":5,"whole":false,"hosts":[{"host":"a","health":"DELETED"}]}"#).unwrap();
-    let (mode, entries) = directory.take(gone, false);
+    let deletion =
+        parse_list(r#"{"seq":5,"whole":false,"hosts":[{"host":"a","health":"DELETED"}]}"#).unwrap();
+    let (mode, entries) = directory.take(deletion, false);
     assert_eq!((mode, entries[0].listed), (ListMode::Changes, Listed::Gone));
-    assert_eq!(directory.len(), 1, "a server that has left is forgotten");
-    let other =
-        list(r#"{"seq":6,"whole":true,"hosts":[{"host":"c","dial":"127.0.0.1:3","health":"SERVING"}]}"#);
-    directory.take(other.unwrap(), false);
-    let running = directory.running_by_zone().values().map(|of_zone| of_zone.len()).sum::<usize>();
+    assert_eq!(directory.len(), 1, "a server that has left the list is forgotten");
+    let replacement = parse_list(
+        r#"{"seq":6,"whole":true,"hosts":[{"host":"c","dial":"127.0.0.1:3","health":"SERVING"}]}"#,
+    );
+    directory.take(replacement.unwrap(), false);
+    let running = directory.running_by_zone().values().map(|servers| servers.len()).sum::<usize>();
     assert_eq!((directory.len(), running), (1, 1));
     for bad in [
         "{",
@@ -277,27 +297,28 @@
         r#"{"hosts":[{"host":"a","dial":"nowhere","health":"SERVING"}]}"#,
         r#"{"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"FINE"}]}"#,
     ] {
-        assert!(list(bad).is_err(), "{bad}");
+        assert!(parse_list(bad).is_err(), "{bad}");
     }
 }
 
 #[test]
-fn a_bad_configuration_is_named_by_what_is_wrong() {
-    let good = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+fn an_invalid_configuration_is_rejected_with_the_key_and_the_reason() {
+    let valid = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
         "limits":{"cores":0.5,"memory_mb":64,"sockets":512},"settings":{"skus":["reads"],"tick-us":2000,
         "limits":{"connect-timeout-us":250000},"services":[{"name":"plain"}]}}"#;
-    let start = parse(good).unwrap();
+    let start = parse_configuration(valid).unwrap();
     assert_eq!((start.seed, start.allowed.descriptors), (0x8c1f_30d2_7a5b_e964, 512));
-    let besides = Companions { discovery: Some("127.0.0.1:7".into()), ..Companions::default() };
-    assert_eq!(Start::parse(good, &besides).unwrap().discovery.port(), 2, "the file prevails");
-    let bare = good.replace("\"discovery\":\"127.0.0.1:2\",", "");
-    assert_eq!(Start::parse(&bare, &besides).unwrap().discovery.port(), 7);
-    let other = |from: &str, to: &str| start.needs_restart(&parse(&good.replace(from, to)).unwrap());
-    assert_eq!(other("127.0.0.1:2", "127.0.0.1:9"), None, "discovery may move");
-    assert_eq!(other("127.0.0.1:1", "127.0.0.1:9"), Some("listen"));
-    assert_eq!(other("512", "256"), Some("limits"));
-    assert!(other("plain", "fancy").is_some());
-    for (from, to, says) in [
+    let environment = Companions { discovery: Some("127.0.0.1:7".into()), ..Companions::default() };
+    assert_eq!(Start::parse(valid, &environment).unwrap().discovery.port(), 2, "the file takes precedence");
+    let without_discovery = valid.replace("\"discovery\":\"127.0.0.1:2\",", "");
+    assert_eq!(Start::parse(&without_discovery, &environment).unwrap().discovery.port(), 7);
+    let needs_restart =
+        |from: &str, to: &str| start.needs_restart(&parse_configuration(&valid.replace(from, to)).unwrap());
+    assert_eq!(needs_restart("127.0.0.1:2", "127.0.0.1:9"), None, "the address of discovery may change");
+    assert_eq!(needs_restart("127.0.0.1:1", "127.0.0.1:9"), Some("listen"));
+    assert_eq!(needs_restart("512", "256"), Some("limits"));
+    assert!(needs_restart("plain", "fancy").is_some());
+    for (from, to, expected) in [
         ("\"listen\":\"127.0.0.1:1\",", "", "listen: is missing"),
         ("127.0.0.1:2", "there", "discovery: \"there\" is not an address and port"),
         ("8c1f30d27a5be964", "xyz", "seed: \"xyz\" is not up to 16 hexadecimal digits"),
@@ -307,27 +328,28 @@
             "\"limits\":{\"most-tries\":-1,\"connect",
             "settings: limits.most-tries: -1",
         ),
-        // What a node can't serve without is no longer read as nothing.
+        // A missing key without which a node cannot serve is an error and not an empty value.
         ("\"skus\":[\"reads\"],", "", "settings: skus: is empty or missing"),
         ("\"connect-timeout-us\":250000", "", "limits.connect-timeout-us: is 0 or missing"),
         ("\"tick-us\":2000,", "", "tick-us: is 0 or missing"),
         ("}]}}", "}]}", "bad JSON"),
     ] {
-        let error = parse(&good.replace(from, to)).unwrap_err().to_string();
-        assert!(error.contains(says), "{error}");
+        let error = parse_configuration(&valid.replace(from, to)).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
     }
 }
 
 #[test]
-fn the_example_of_the_readme_is_a_good_configuration() {
-    let start = parse(include_str!("../../../examples/node.json")).unwrap();
+fn the_example_of_the_readme_is_a_valid_configuration() {
+    let start = parse_configuration(include_str!("../../../examples/node.json")).unwrap();
     assert_eq!((start.known.hosts.len(), start.names.classes.len()), (2, 1));
 }
 
-/// Clients of other deployments send other fields, as the key by which engines drop repeats.
+/// Guards against forwarding known headers only: clients of other deployments send other headers, such as the idempotency
+/// key by which engines drop repeated requests.
 #[test]
-fn all_end_to_end_fields_go_to_engines() {
-    let head = head(
+fn all_end_to_end_headers_are_forwarded_to_engines() {
+    let head = request_head(
         "POST /v1/chat/completions HTTP/1.1\nHost: backend.local\nX-Trace-Id: a1\nX-Qos: plain\n\
          Idempotency-Key: \"k-7\"\nX-Customer: daily\nConnection: keep-alive, X-Hop\nX-Hop: 1\n\
          TE: trailers\nExpect: 100-continue\nX-Expires-In-Ms: 40\nContent-Length: 2",
--- a/crates/platform/tests/engine_start.rs
+++ b/crates/platform/tests/engine_start.rs
@@ -1,4 +1,4 @@
-//! Engines that start while wall clocks are stepped. Times are microseconds on the node's clock.
+//! Tests of the start times of engines while wall clocks are stepped. Times are in microseconds on the node's clock.
 
 use elderstage::{ServerId, Time};
 use elderstage_platform::engine_start::EngineStarts;
@@ -7,43 +7,43 @@
 const HOUR: Time = 3_600 * SECOND;
 const NOW: Time = 1_790_000_000 * SECOND;
 
-/// How old an engine is held to be that started so long ago, where the wall clock of the engines' machines and that of the
-/// node's own have been stepped by so much since the node's start.
-fn age(true_age: Time, theirs: i64, own: i64) -> Time {
+/// Returns the computed age of an engine of a known true age. The wall clock of the engine's machine has been stepped by
+/// `engine_step` since the node's start, and that of the node's machine by `node_step`.
+fn computed_age(true_age: Time, engine_step: i64, node_step: i64) -> Time {
     let mut starts = EngineStarts::default();
-    starts.set_wall_clock_offset(own);
-    let told = (NOW - true_age).saturating_add_signed(theirs);
-    NOW - starts.to_node_clock(&ServerId("s".into()), told, NOW)
+    starts.set_wall_clock_offset(node_step);
+    let wall_time = (NOW - true_age).saturating_add_signed(engine_step);
+    NOW - starts.to_node_clock(&ServerId("s".into()), wall_time, NOW)
 }
 
 #[test]
-fn an_engine_that_has_just_started_is_never_held_to_be_warm() {
+fn an_engine_that_has_just_started_never_counts_as_warm() {
     for step in [SECOND, 30 * SECOND, HOUR].map(|step| step as i64) {
-        for (theirs, own) in [(step, step), (-step, -step), (0, step), (0, -step), (0, 0)] {
-            let held = age(2 * SECOND, theirs, own);
-            assert!(held <= 2 * SECOND, "{theirs} {own}: held to be {held} old");
+        for (engine_step, node_step) in [(step, step), (-step, -step), (0, step), (0, -step), (0, 0)] {
+            let age = computed_age(2 * SECOND, engine_step, node_step);
+            assert!(age <= 2 * SECOND, "steps {engine_step} and {node_step}: computed age {age}");
         }
     }
 }
 
 #[test]
-fn an_engine_is_not_cold_for_as_long_as_a_step() {
+fn an_engine_does_not_stay_cold_for_the_length_of_a_clock_step() {
     let mut starts = EngineStarts::default();
     starts.set_wall_clock_offset(HOUR as i64);
     let server = ServerId("s".into());
-    let told = NOW + HOUR - 2 * SECOND;
-    let placed = starts.to_node_clock(&server, told, NOW);
-    assert!(placed <= NOW, "its cold time begins by now");
-    // Told again with the next lists, also after the wall clock has been set right: it grows older all the same.
+    let wall_time = NOW + HOUR - 2 * SECOND;
+    let node_time = starts.to_node_clock(&server, wall_time, NOW);
+    assert!(node_time <= NOW, "the cold time starts now at the latest");
+    // Later lists report the same start, also after the wall clock was corrected: the engine keeps its start and ages.
     starts.set_wall_clock_offset(0);
-    assert_eq!(starts.to_node_clock(&server, told, NOW + 20 * SECOND), placed);
-    // A new start counts anew.
-    let again = starts.to_node_clock(&server, NOW + 29 * SECOND, NOW + 30 * SECOND);
-    assert_eq!(again, NOW + 29 * SECOND);
+    assert_eq!(starts.to_node_clock(&server, wall_time, NOW + 20 * SECOND), node_time);
+    // A new start of the engine is converted anew.
+    let restarted = starts.to_node_clock(&server, NOW + 29 * SECOND, NOW + 30 * SECOND);
+    assert_eq!(restarted, NOW + 29 * SECOND);
 }
 
 #[test]
-fn a_start_long_ago_stays_long_ago_and_clocks_that_agree_change_nothing() {
+fn a_start_of_zero_stays_zero_and_agreeing_clocks_change_nothing() {
     let mut starts = EngineStarts::default();
     let server = ServerId("s".into());
     assert_eq!(starts.to_node_clock(&server, 0, NOW), 0);
