--- a/fuzz/fuzz_targets/address.rs
+++ b/fuzz/fuzz_targets/address.rs
@@ -1,12 +1,13 @@
-//! Addresses of servers, alone and in a list of servers: no panic, what is taken is written back as it is read, and
-//! an error of a list names its line and field.
+//! Addresses of servers, alone and in a list of servers: parsing never panics, an accepted address parses to the same value
+//! after it was written, and an error in a list names the line and the field.
 #![no_main]
 
 use elderstage_config::{directives, parse};
 use elderstage_protocol::place::Place;
 use libfuzzer_sys::fuzz_target;
 
-const REST: &str = "zones a\nfront {\n zone a\n}\nclass c {\n repeat safe\n first-token 1s\n give-up 2s\n}\n\
+/// The part of a valid configuration before its servers.
+const PREAMBLE: &str = "zones a\nfront {\n zone a\n}\nclass c {\n repeat safe\n first-token 1s\n give-up 2s\n}\n\
                     route r {\n class c\n}\nkind k {\n role mixed\n kv-tokens 1000\n}\n";
 
 fuzz_target!(|text: &str| {
@@ -15,19 +16,24 @@
         assert_eq!(place.to_string().parse::<Place>().as_ref(), Ok(place));
         let _ = (place.family(), place.host());
     }
-    // As one quoted word in a list.
+    // The text as one quoted word in a list.
     let word = text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
     if word.contains('\r') || word.chars().any(char::is_control) {
         return;
     }
-    let file = format!("{REST}server s {{\n kind k\n zone a\n address \"{word}\"\n}}\n");
-    assert!(directives("f", &file).is_ok(), "the word broke its line");
+    let file = format!("{PREAMBLE}server s {{\n kind k\n zone a\n address \"{word}\"\n}}\n");
+    assert!(directives("f", &file).is_ok(), "the quoted word does not stay on its line");
     match parse("f", &file) {
-        Ok(config) => assert_eq!(config.servers[0].places, [place.expect("the list took what is no address")]),
+        Ok(config) => {
+            assert_eq!(config.servers[0].places, [place.expect("the list accepted an invalid address")])
+        }
         Err(errors) => {
-            let line = REST.lines().count() + 4;
+            let line = PREAMBLE.lines().count() + 4;
             assert!(place.is_err(), "{errors}");
-            assert!(errors.0.iter().any(|e| e.at.line == line && e.what.starts_with("address: value 1")), "{errors}");
+            assert!(
+                errors.0.iter().any(|e| e.at.line == line && e.what.starts_with("address: value 1")),
+                "{errors}"
+            );
         }
     }
 });
--- a/fuzz/fuzz_targets/config.rs
+++ b/fuzz/fuzz_targets/config.rs
@@ -1,4 +1,5 @@
-//! Whole configurations: no panic in reading, rendering and formatting; the one form says the same and is its own form.
+//! Whole configurations: loading, rendering and formatting never panic. The formatted text has the same directives as the
+//! original, and formatting it again changes nothing.
 #![no_main]
 
 use std::path::Path;
@@ -6,14 +7,22 @@
 use elderstage_config::{Directive, diff, directives, format, load};
 use libfuzzer_sys::fuzz_target;
 
-fn said(list: &[Directive]) -> String {
+/// Renders directives as text, to compare them.
+fn directives_text(list: &[Directive]) -> String {
     list.iter()
-        .map(|d| std::format!("{:?} {:?} {:?};", d.name, d.values, d.body.as_ref().map(|body| said(body))))
+        .map(|d| {
+            std::format!(
+                "{:?} {:?} {:?};",
+                d.name,
+                d.values,
+                d.body.as_ref().map(|body| directives_text(body))
+            )
+        })
         .collect()
 }
 
 fuzz_target!(|bytes: &[u8]| {
-    // Whatever is included is the same file again, or not there.
+    // An included file is either this same file or does not exist.
     let mut read = |path: &Path| match path.file_name() {
         Some(name) if name == "f" => Ok(bytes.to_vec()),
         _ => Err(std::io::Error::from(std::io::ErrorKind::NotFound)),
@@ -27,7 +36,10 @@
     }
     let Ok(text) = std::str::from_utf8(bytes) else { return };
     let Ok(before) = directives("f", text) else { return };
-    let tidy = format("f", text).expect("what reads has a form");
-    assert_eq!(said(&directives("f", &tidy).expect("the form reads")), said(&before));
-    assert_eq!(format("f", &tidy).expect("the form has a form"), tidy);
+    let formatted = format("f", text).expect("a text that parses can be formatted");
+    assert_eq!(
+        directives_text(&directives("f", &formatted).expect("the formatted text parses")),
+        directives_text(&before)
+    );
+    assert_eq!(format("f", &formatted).expect("the formatted text can be formatted"), formatted);
 });
--- a/fuzz/fuzz_targets/node.rs
+++ b/fuzz/fuzz_targets/node.rs
@@ -1,5 +1,5 @@
-//! What a front node reads from clients, engines and discovery: no bytes make it panic or hold more than a bound, and a
-//! stream gives the same events however its bytes are split.
+//! The parsers of a front node for clients, engines and discovery: no input makes them panic or exceed their bounds, and a
+//! stream yields the same events however its bytes are split.
 #![no_main]
 
 use elderstage::Time;
@@ -12,10 +12,11 @@
 use libfuzzer_sys::fuzz_target;
 
 const LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
-/// The longest time that a client waits, in microseconds: the one deadline in the names below.
+/// The longest time that a client waits, in microseconds: the only deadline of the names below.
 const LONGEST_WAIT: Time = 1_000_000;
 
-fn stream(bytes: &[u8], step: usize) -> (Vec<u8>, bool) {
+/// Parses a stream in pieces of `step` bytes. Returns the forwarded events and whether the stream ended completely.
+fn forward_events(bytes: &[u8], step: usize) -> (Vec<u8>, bool) {
     let (mut stream, mut out) = (Stream::new(), Vec::new());
     for piece in bytes.chunks(step.max(1)) {
         match stream.push(piece, &mut out) {
@@ -55,10 +56,12 @@
             let _ = reply::cached(rest);
         }
         2 => {
-            let (whole, split) = (stream(rest, rest.len()), stream(rest, 1 + usize::from(first) / 4));
-            // What is passed on before a stream is found spoilt may differ by where the bytes were split, never in what
-            // it says: one is the beginning of the other.
-            let (short, long) = if whole.0.len() < split.0.len() { (&whole.0, &split.0) } else { (&split.0, &whole.0) };
+            let (whole, split) =
+                (forward_events(rest, rest.len()), forward_events(rest, 1 + usize::from(first) / 4));
+            // How much is forwarded before a stream is found invalid may depend on where the bytes were split, but its
+            // content does not: one output is a prefix of the other.
+            let (short, long) =
+                if whole.0.len() < split.0.len() { (&whole.0, &split.0) } else { (&split.0, &whole.0) };
             assert!(long.starts_with(short));
             assert_eq!(whole.1, split.1);
         }
