--- a/crates/platform/src/kept.rs
+++ b/crates/platform/src/kept.rs
@@ -1,4 +1,4 @@
-//! Decides whether idle connections to engines can be reused. The connections themselves are the caller's.
+//! Decides whether idle connections to engines can be reused. The caller owns the connections.
 //!
 //! A device between a node and an engine may drop connections that it takes for idle without notifying either end: the next
 //! request on such a connection is reset, and it is unknown whether the request ran. A new connection costs a handshake, a
--- a/crates/platform/src/leases.rs
+++ b/crates/platform/src/leases.rs
@@ -3,7 +3,7 @@
 //! A reader that has read a prompt holds its KV state until a writer fetches it or a release reaches an engine. The
 //! decision module decides when to release; this module tracks where state is held and repeats a release until an engine
 //! has acknowledged it, because the time limit on held state keeps running while connections fail. A release names the
-//! request's id only, and every engine accepts it. Sockets and timers are the caller's.
+//! request's id only, and every engine accepts it. The caller owns the sockets and the timers.
 //!
 //! An attempt that fetches state may never arrive, and nothing reports that: a request that was written has not
 //! necessarily arrived. So releases are sent while such an attempt is in flight. An engine keeps state that an attempt
@@ -70,7 +70,9 @@
 /// The next wave of calls of a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReleaseWave {
+    /// Id that the client gave the request.
     pub trace: Box<str>,
+    /// The server that may hold the state.
     pub holder: ServerId,
     /// Number of the release within its request.
     pub round: u32,
@@ -166,6 +168,7 @@
         }
     }
 
+    /// Returns the pending release of a holder, if it has this number.
     fn pending_release(&mut self, id: ReqId, holder: &ServerId, round: u32) -> Option<&mut PendingRelease> {
         let lease = self.0.get_mut(&id)?;
         let holder = lease.holders.iter_mut().find(|known| known.server == *holder)?;
@@ -238,6 +241,7 @@
         })
     }
 
+    /// Removes a holder, and the lease if it was the last one.
     fn remove_holder(&mut self, id: ReqId, holder: &ServerId) {
         if let Some(lease) = self.0.get_mut(&id) {
             lease.holders.retain(|known| known.server != *holder);
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -13,8 +13,10 @@
 /// Why a list is rejected. The previous list stays in effect.
 #[derive(Debug, Error)]
 pub enum ListError {
+    /// The list is not valid JSON, or not of the expected form.
     #[error("bad JSON: {0}")]
     Json(#[from] serde_json::Error),
+    /// The entry of a host is invalid.
     #[error("host {host}: {what}")]
     Host { host: String, what: String },
 }
@@ -60,7 +62,9 @@
 /// A server of a list and its address. A server that has left may have none.
 #[derive(Clone, Debug)]
 pub struct Host {
+    /// The entry for the module.
     pub entry: Entry,
+    /// The address of the server.
     pub address: Option<SocketAddr>,
 }
 
@@ -96,6 +100,7 @@
         Directory::convert(serde_json::from_slice(text)?, names)
     }
 
+    /// Converts a list to entries for the module.
     fn convert(list: WireList, names: &Names) -> Result<List, ListError> {
         let position = |names: &[String], name: &str| {
             names.iter().position(|known| known == name).unwrap_or(UNNAMED_POSITION)
@@ -162,6 +167,7 @@
         self.servers.get(server).is_some_and(|(_, listed, _)| *listed == Listed::Running)
     }
 
+    /// Inserts, replaces or removes a server.
     fn insert(&mut self, host: &Host) {
         let entry = &host.entry;
         if let Some((_, _, zone)) = self.servers.remove(&entry.server)
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -1,7 +1,7 @@
 //! Parses an engine's stream of server-sent events, in chunks that may be split anywhere, into complete events to forward.
 //!
 //! Only verified content is forwarded: the content of chunks that ended where their size said, and of that only complete
-//! events. The buffer is bounded. Sockets and deadlines are the caller's.
+//! events. The buffer is bounded. The caller owns the sockets and the deadlines.
 
 use elderstage_protocol::http::{Body, Framing, HttpError};
 use memchr::memmem;
@@ -130,7 +130,7 @@
                 return Err(StreamError::NotAnEvent);
             }
         }
-        // Blocks of comments only are for the node, not for the client.
+        // A block without data holds comments for the node only, so it is not forwarded.
         if has_data {
             out.extend_from_slice(block);
             self.forwarded_events += 1;
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,12 +1,12 @@
 //! The watch on discovery: parses the bytes of its answer, decides when a watch is broken and when the next one may be
-//! opened. It does no I/O; sockets and the clock are the caller's. It never accepts a list that is older than the newest
-//! one, unless discovery has numbered its versions anew.
+//! opened. It does no I/O; the caller owns the sockets and the clock. It never accepts a list that is older than the newest
+//! one, unless discovery has renumbered its versions.
 //!
 //! A single deadline covers silence. The head of an answer comes at once, because the agent runs on the node's own machine,
-//! and an empty line comes at least every [`HEARTBEAT_INTERVAL`]. A watch without either is broken, whatever the state of
-//! its TCP connection, and a few seconds later the node is held to know what the watch missed. While discovery is down its
+//! and an empty line comes at least every `HEARTBEAT_INTERVAL`. A watch without either is broken, whatever the state of
+//! its TCP connection, and a few seconds later the platform's rules expect the node to act on what the watch missed. While discovery is down its
 //! agent is silent, and what the agent learns when discovery is back counts at once, so opening a watch is retried without
-//! end. Attempts start [`RETRY_SPACING`] apart, so that a watch that ends as soon as it is opened does not keep the
+//! end. Retries start at least `RETRY_SPACING` apart, so that a watch that ends as soon as it is opened does not keep the
 //! node busy. With 350 nodes, each node talks to an agent of its own.
 
 use elderstage::Time;
@@ -26,18 +26,21 @@
 /// Shortest time between the starts of two watches, in microseconds.
 const RETRY_SPACING: Time = 100_000;
 
-/// A discovery that sends only older versions for this time, in microseconds, has numbered its versions anew. Until then it
-/// is taken as not caught up, and its lists would undo newer ones. The time is half of the time after which the node is held
-/// to know the list of discovery.
+/// A discovery that sends only older versions for this time, in microseconds, has renumbered its versions. Until then it is
+/// assumed to lag, and its lists would undo newer ones. The time is half of the time after which the platform's rules expect
+/// the node to act on a list.
 const RENUMBERED_AFTER: Time = 3_000_000;
 
 /// Why a watch has to be replaced.
 #[derive(Debug, Error)]
 pub enum WatchError {
+    /// The list is older than the newest one.
     #[error("version {found} is older than {known}: whole lists are requested until discovery has caught up")]
     OlderVersion { found: u64, known: u64 },
+    /// An object is not a valid list.
     #[error("unreadable list: {0}")]
     List(#[from] ListError),
+    /// The bytes are not a sequence of objects.
     #[error("unreadable list: {0}")]
     Value(#[from] SplitError),
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -190,13 +190,13 @@
 
     /// No bytes from an engine, discovery or a configuration file make a parser panic.
     #[test]
-    fn arbitrary_bytes_are_parsed_without_a_panic(noise in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = Stream::new().push(&noise, &mut Vec::new());
-        let _ = Directory::parse(&noise, &names());
-        let text = String::from_utf8_lossy(&noise);
+    fn arbitrary_bytes_are_parsed_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        let _ = Stream::new().push(&bytes, &mut Vec::new());
+        let _ = Directory::parse(&bytes, &names());
+        let text = String::from_utf8_lossy(&bytes);
         let _ = report::parse(&text, &[ReportField::Queue]);
         let _ = parse_configuration(&text);
-        let _ = reply::cached(&noise);
+        let _ = reply::cached(&bytes);
     }
 }
 
--- a/crates/platform/tests/engine_start.rs
+++ b/crates/platform/tests/engine_start.rs
@@ -37,7 +37,7 @@
     // Later lists report the same start, also after the wall clock was corrected: the engine keeps its start and ages.
     starts.set_wall_clock_offset(0);
     assert_eq!(starts.to_node_clock(&server, wall_time, NOW + 20 * SECOND), node_time);
-    // A new start of the engine is converted anew.
+    // A new start of the engine is converted again.
     let restarted = starts.to_node_clock(&server, NOW + 29 * SECOND, NOW + 30 * SECOND);
     assert_eq!(restarted, NOW + 29 * SECOND);
 }
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform/tests/watch.rs
@@ -109,7 +109,7 @@
     assert_eq!(splitter.next_item(), Ok(None));
 }
 
-/// By the platform's rules the node is held to know what a silent watch missed six seconds after the silence began. The next
+/// The platform's rules expect the node to act on what a silent watch missed six seconds after the silence began. The next
 /// watch has to be open and answered before, even if the last empty line came right before the silence.
 #[test]
 fn a_silent_watch_is_replaced_within_half_of_the_six_seconds_that_the_rules_allow() {
@@ -173,10 +173,10 @@
 }
 
 /// An older list would undo a drain that is already known: it ends the watch, and whole lists are requested until discovery
-/// has caught up. A discovery that keeps sending lower versions has numbered them anew; its lists are accepted before the
-/// node is held to know them.
+/// has caught up. A discovery that keeps sending lower versions has renumbered them; its lists are accepted before the
+/// platform's rules expect the node to act on them.
 #[test]
-fn an_older_version_is_rejected_until_it_proves_to_be_a_new_numbering() {
+fn an_older_version_is_rejected_until_the_versions_prove_to_be_renumbered() {
     let mut watch = Watch::new(0);
     watch.begin(START);
     assert_eq!(take_lists(&mut watch, START, &list(9, "DRAINING")), [(9, Listed::Draining)]);
