--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -90,7 +90,9 @@
 /// assigned by the node.
 #[derive(Clone, Debug)]
 pub struct Ask {
+    /// Id that the client gave the request.
     pub trace: Box<str>,
+    /// The arrival for the module.
     pub arrival: Arrival,
 }
 
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -1,5 +1,5 @@
-//! Splits a stream of bytes into complete JSON objects. It does not parse their content, and it buffers no more than one
-//! object of bounded size.
+//! Splits a stream of bytes into complete JSON objects. It does not parse their content. An object that exceeds [`MOST`] bytes
+//! is rejected, so that the buffer stays bounded.
 //!
 //! Discovery writes one object per line or spreads an object over indented lines, so the end of an object is found by its
 //! brackets and not by the end of a line. The JSON library is not used for this, because it parses a value again from
