--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,135 +1,159 @@
-//! The dispatcher: held requests in their order, sends, and probes.
+//! The dispatcher: orders held requests, sends attempts and probes servers. Where a request goes is decided
+//! in `placement` and `hand_over`.
+//!
+//! Every send passes the guards.
 use super::*;
 
 impl Router {
-    pub(super) fn held(&self) -> impl Iterator<Item = ReqId> {
-        self.requests.iter().filter(|(_, request)| request.out.is_none()).map(|(id, _)| *id)
+    /// Requests without an attempt in flight, in the order of their ids.
+    pub(super) fn held_requests(&self) -> impl Iterator<Item = ReqId> {
+        self.requests.iter().filter(|(_, request)| request.in_flight.is_none()).map(|(id, _)| *id)
     }
 
-    /// Places what is held, the most worthy first; a request that has just come changes nothing for others.
-    pub(super) fn dispatch_held(&mut self, now: Time, only: Option<ReqId>, out: &mut Vec<Action>) {
+    /// Places held requests, the most valuable first. After an arrival only the new request is tried, since
+    /// it changes nothing for the others.
+    pub(super) fn dispatch_held(&mut self, now: Time, only: Option<ReqId>, actions: &mut Vec<Action>) {
         let mut queue: Vec<(bool, bool, Reverse<u64>, Time, ReqId)> = Vec::new();
-        for id in self.held().filter(|id| only.is_none_or(|only| only == *id)) {
+        for id in self.held_requests().filter(|id| only.is_none_or(|only| only == *id)) {
             let Some(request) = self.requests.get(&id) else { continue };
-            let worth = self.set.classes.get(request.ask.class).map_or(0.0, |class| class.worth);
-            let kept = self.texts.most_kept(&request.ask);
-            let gain = worth * request.ask.prompt / (request.ask.prompt - kept).max(LEAST_READ);
-            queue.push((request.late(now), request.over, Reverse(gain.to_bits()), request.arrived, id));
+            let worth = self.settings.classes.get(request.arrival.class).map_or(0.0, |class| class.worth);
+            let cached = self.cache_index.most_cached_tokens(&request.arrival);
+            let gain =
+                worth * request.arrival.prompt / (request.arrival.prompt - cached).max(MIN_READ_TOKENS);
+            queue.push((
+                request.is_late(now),
+                request.is_over_quota,
+                Reverse(gain.to_bits()),
+                request.arrived_at,
+                id,
+            ));
         }
         queue.sort_unstable();
         let mut misses = 0;
         for (_, _, _, _, id) in queue {
-            if only.is_none() && self.examined_until > now {
+            if only.is_none() && self.held_scans_until > now {
                 break;
             }
-            let before = self.examined.get();
-            let sent = if self.requests.get(&id).is_some_and(|request| request.state.is_some()) {
-                self.hand_over(now, id, out)
+            let examined_before = self.examined.get();
+            let is_sent = if self.requests.get(&id).is_some_and(|request| request.kv_state.is_some()) {
+                self.hand_over(now, id, actions)
             } else {
-                match self.place(now, id) {
-                    (Step::Take(server), kind) => self.send(now, id, &server, kind, out),
-                    (Step::Ask(Some(server)), _) => self.ask(now, &server, out),
+                match self.place_request(now, id) {
+                    (Placement::Selected(server), kind) => self.send(now, id, &server, kind, actions),
+                    (Placement::Probing(Some(server)), _) => self.probe(now, &server, actions),
                     _ => false,
                 }
             };
-            misses += u32::from(!sent);
+            misses += u32::from(!is_sent);
             if only.is_none() {
-                self.charge(now, self.examined.get() - before);
+                self.charge_held_scan(now, self.examined.get() - examined_before);
             }
-            if misses >= MISSES {
+            if misses >= MAX_MISSES {
                 break;
             }
         }
     }
 
-    /// Held requests are tried at each event, and each may cost a pass over all servers: that has a share
-    /// of the time. Guards against large fleets before which such passes take all of it, and all requests
-    /// come late.
-    fn charge(&mut self, now: Time, examined: u64) {
-        let spare = now.saturating_sub(self.sweep_every());
-        self.examined_until = self.examined_until.max(spare) + examined / EXAMINED_PER_US;
+    /// Charges a pass for held requests to their share of the time. Held requests are tried at each event,
+    /// and each may cost a pass over all servers. With a large fleet such passes would otherwise take all the
+    /// time, and every request would be late.
+    fn charge_held_scan(&mut self, now: Time, examined: u64) {
+        let earliest = now.saturating_sub(self.sweep_interval());
+        self.held_scans_until = self.held_scans_until.max(earliest) + examined / EXAMINED_PER_US;
     }
 
+    /// Sends an attempt if the guards allow it, and returns whether it was sent. Records what predictions
+    /// need later.
     pub(super) fn send(
         &mut self,
         now: Time,
         id: ReqId,
         server: &ServerId,
-        kind: Kind,
-        out: &mut Vec<Action>,
+        kind: AttemptKind,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let Some(view) = self.views.get(server) else { return false };
-        if !self.may_send(now, id, Some(view)) {
+        if !self.may_attempt(now, id, Some(view)) {
             return false;
         }
         let Some(request) = self.requests.get(&id) else { return false };
-        let reads = matches!(kind, Kind::Read | Kind::Whole);
-        let unread = if reads { view.unread(&request.ask) } else { 0.0 };
-        let x = if reads { self.ahead(view, now) + unread } else { request.ask.prompt };
-        let time = self.predict(view, kind, x, now);
-        let class = self.set.classes.get(request.ask.class);
-        let tpot = class.map_or(0.0, |class| class.tpot_aim);
-        let answer = if request.ask.hint > 0 && tpot > 0.0 {
-            request.ask.hint as f64 / tpot
+        let includes_read = matches!(kind, AttemptKind::Read | AttemptKind::Combined);
+        let uncached_tokens = if includes_read { view.uncached_tokens(&request.arrival) } else { 0.0 };
+        let work_tokens = if includes_read {
+            self.tokens_ahead(view, now) + uncached_tokens
         } else {
-            request.ask.max_out * ANSWER
+            request.arrival.prompt
         };
-        let effect = kind != Kind::Read && class.is_none_or(|class| class.repeat == Repeat::Unsafe);
-        let least = request.aim * if self.sparse() { GIVE_UP_AIMS } else { GIVE_UP_AIM };
-        let patience = (GIVE_UP * time).max(least) * f64::from(1u32 << request.tries.min(DOUBLINGS));
-        let left = request.deadline - now;
-        let timeout = if effect { left } else { left.min(patience as Time).max(1) };
-        let from = request.state.as_ref().and_then(|(at, _)| Some(self.views.get(at)?.entry.cell));
-        let job = Job {
+        let predicted = self.predict_latency(view, kind, work_tokens, now);
+        let class = self.settings.classes.get(request.arrival.class);
+        let tpot_target = class.map_or(0.0, |class| class.tpot_aim);
+        let output_tokens = if request.arrival.hint > 0 && tpot_target > 0.0 {
+            request.arrival.hint as f64 / tpot_target
+        } else {
+            request.arrival.max_out * DEFAULT_OUTPUT_SHARE
+        };
+        let must_not_repeat =
+            kind != AttemptKind::Read && class.is_none_or(|class| class.repeat == Repeat::Unsafe);
+        let min_timeout = request.ttft_target
+            * if self.has_sparse_traffic() { MIN_TIMEOUT_TARGETS_SPARSE } else { MIN_TIMEOUT_TARGETS };
+        let patience = (TIMEOUT_FACTOR * predicted).max(min_timeout)
+            * f64::from(1u32 << request.attempts.min(MAX_DOUBLINGS));
+        let until_deadline = request.deadline - now;
+        let timeout =
+            if must_not_repeat { until_deadline } else { until_deadline.min(patience as Time).max(1) };
+        let source_cell = request.kv_state.as_ref().and_then(|(at, _)| Some(self.views.get(at)?.entry.cell));
+        let attempt = Attempt {
             kind,
-            from,
-            sent: now,
-            due: now + time as Time,
-            x,
-            unread,
-            tokens: request.ask.prompt + if kind == Kind::Read { 0.0 } else { answer },
-            first: None,
+            source_cell,
+            sent_at: now,
+            predicted_end: now + predicted as Time,
+            work_tokens,
+            uncached_tokens,
+            kv_tokens: request.arrival.prompt + if kind == AttemptKind::Read { 0.0 } else { output_tokens },
+            first_token_at: None,
         };
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        request.out = Some((server.clone(), request.tries));
+        request.in_flight = Some((server.clone(), request.attempts));
         request.ranking = None;
-        request.tries += 1;
+        request.attempts += 1;
         if let Some(view) = self.views.get_mut(server) {
-            if kind == Kind::Far {
-                self.link_waits.insert(from, id, now);
+            if kind == AttemptKind::RemoteFetch {
+                self.pending_transfers.insert(source_cell, id, now);
             }
-            view.jobs.insert(id, job);
-            let (sent, answered) = &mut self.flow[view.role as usize];
-            (*sent, *answered) = (*sent * FIT_KEEP + 1.0, *answered * FIT_KEEP);
+            view.attempts.insert(id, attempt);
+            let (sent, answered) = &mut self.sent_answered[view.role as usize];
+            (*sent, *answered) = (*sent * FIT_DECAY + 1.0, *answered * FIT_DECAY);
         }
-        out.push(Action::Send { id, server: server.clone(), timeout });
-        if let (Kind::Read, Some(cell)) = (kind, self.views.get(server).map(|view| view.entry.cell)) {
-            self.ask_writers(now, cell, out);
+        actions.push(Action::Send { id, server: server.clone(), timeout });
+        if let (AttemptKind::Read, Some(cell)) = (kind, self.views.get(server).map(|view| view.entry.cell)) {
+            self.probe_writers(now, cell, actions);
         }
         true
     }
 
-    pub(super) fn ask(&mut self, now: Time, server: &ServerId, out: &mut Vec<Action>) -> bool {
+    /// Probes a server for its load. Returns false: no attempt was sent.
+    pub(super) fn probe(&mut self, now: Time, server: &ServerId, actions: &mut Vec<Action>) -> bool {
         if let Some(view) = self.views.get_mut(server) {
-            view.probed = now;
-            out.push(Action::Probe { server: server.clone() });
+            view.last_probe = now;
+            actions.push(Action::Probe { server: server.clone() });
         }
         false
     }
 
-    /// Asks a few writers of the reader's cell for their load, to be known when the read returns.
-    fn ask_writers(&mut self, now: Time, cell: u32, out: &mut Vec<Action>) {
-        if !self.set.may_probe || self.set.report_fields.is_empty() {
+    /// Probes a few writers of the reader's cell, so that their load is known when the read returns.
+    fn probe_writers(&mut self, now: Time, cell: u32, actions: &mut Vec<Action>) {
+        if !self.settings.may_probe || self.settings.report_fields.is_empty() {
             return;
         }
-        let (salt, spacing) = (self.random().to_string(), (FRESH * self.least_aim()) as Time);
-        let near = self.index.writers.get(&cell).into_iter().flatten();
-        let near = near.filter_map(|server| self.views.get(server)).inspect(|_| self.look());
-        let near = near.filter(|view| now >= view.probed + spacing);
-        let mut near: Vec<_> = near.map(|view| view.entry.server.clone()).collect();
-        near.sort_by_cached_key(|server| hash(name_hash(&server.0), &salt));
-        for server in near.iter().take(PROBES_NEAR) {
-            self.ask(now, server, out);
+        let (salt, min_gap) =
+            (self.next_random().to_string(), (REPORT_FRESH_TARGETS * self.shortest_ttft_target()) as Time);
+        let writers = self.server_index.writers.get(&cell).into_iter().flatten();
+        let writers = writers.filter_map(|server| self.views.get(server)).inspect(|_| self.count_examined());
+        let writers = writers.filter(|view| now >= view.last_probe + min_gap);
+        let mut writers: Vec<_> = writers.map(|view| view.entry.server.clone()).collect();
+        writers.sort_by_cached_key(|server| hash(name_hash(&server.0), &salt));
+        for server in writers.iter().take(WRITER_PROBES) {
+            self.probe(now, server, actions);
         }
     }
 }
--- a/src/policy/guards.rs
+++ b/src/policy/guards.rs
@@ -1,92 +1,115 @@
-//! Guards: every send and every final answer passes here.
+//! The guards: the limits on attempts, repeats, cold servers and final answers. They do not choose a server.
+//!
+//! Every send and every final answer passes here, so that no request is repeated where that could do harm and
+//! none is answered twice.
 use super::*;
 
 impl Router {
-    /// Whether another attempt is allowed, at any server or at this one.
-    pub(super) fn may_send(&self, now: Time, id: ReqId, to: Option<&View>) -> bool {
+    /// Whether another attempt is allowed, at any server or, if `to` is given, at that one.
+    pub(super) fn may_attempt(&self, now: Time, id: ReqId, to: Option<&ServerView>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let open = !request.ended
-            && !request.streaming
-            && request.out.is_none()
-            && request.tries < self.set.most_tries
+        let is_open = !request.is_settled
+            && !request.is_streaming
+            && request.in_flight.is_none()
+            && request.attempts < self.settings.most_tries
             && now < request.deadline;
-        let effect = match (&request.ran, self.set.classes.get(request.ask.class).map(|c| c.repeat)) {
-            (None, _) | (_, Some(Repeat::Safe)) => true,
-            (Some((_, sent)), Some(Repeat::Keyed { memory, .. })) => {
-                now + self.set.connect_timeout + TRAVEL * self.set.tick < sent + memory
-            }
-            _ => false,
-        };
-        open && effect && to.is_none_or(|view| self.may_take(now, request, view))
+        let is_repeat_allowed =
+            match (&request.may_have_run, self.settings.classes.get(request.arrival.class).map(|c| c.repeat))
+            {
+                (None, _) | (_, Some(Repeat::Safe)) => true,
+                (Some((_, sent)), Some(Repeat::Keyed { memory, .. })) => {
+                    now + self.settings.connect_timeout + SEND_TICKS * self.settings.tick < sent + memory
+                }
+                _ => false,
+            };
+        is_open && is_repeat_allowed && to.is_none_or(|view| self.may_attempt_at(now, request, view))
     }
 
-    /// Whether a request that may be sent may be sent to this server.
-    pub(super) fn may_take(&self, now: Time, request: &Request, to: &View) -> bool {
-        let same = |group: Group, first: &ServerId| match (group, self.views.get(first)) {
-            (Group::All, _) => true,
-            (Group::Zone, Some(of)) => of.entry.zone == to.entry.zone,
-            (Group::Cell, Some(of)) => of.entry.cell == to.entry.cell,
-            (_, None) => false,
-        };
-        let effect = match (&request.ran, self.set.classes.get(request.ask.class).map(|c| c.repeat)) {
-            (Some((first, _)), Some(Repeat::Keyed { group, .. })) => same(group, first),
-            _ => true,
-        };
-        to.entry.listed == Listed::Running && effect && self.cold_turn(to, request, now)
+    /// Whether a request for which another attempt is allowed may go to this server.
+    pub(super) fn may_attempt_at(&self, now: Time, request: &Request, to: &ServerView) -> bool {
+        let is_same_group =
+            |group: Group, first_server: &ServerId| match (group, self.views.get(first_server)) {
+                (Group::All, _) => true,
+                (Group::Zone, Some(first)) => first.entry.zone == to.entry.zone,
+                (Group::Cell, Some(first)) => first.entry.cell == to.entry.cell,
+                (_, None) => false,
+            };
+        let is_repeat_allowed =
+            match (&request.may_have_run, self.settings.classes.get(request.arrival.class).map(|c| c.repeat))
+            {
+                (Some((first_server, _)), Some(Repeat::Keyed { group, .. })) => {
+                    is_same_group(group, first_server)
+                }
+                _ => true,
+            };
+        to.entry.listed == Listed::Running && is_repeat_allowed && self.passes_cold_limit(to, request, now)
     }
 
-    pub(super) fn cold(&self, view: &View, now: Time) -> bool {
+    /// Whether a server started so recently that it is still cold.
+    pub(super) fn is_server_cold(&self, view: &ServerView, now: Time) -> bool {
         self.is_cold(view.entry.ready_at, now)
     }
 
-    /// Whether a server that started then is cold.
+    /// Whether a server that became ready at `ready_at` is still cold.
     pub(super) fn is_cold(&self, ready_at: Time, now: Time) -> bool {
-        ready_at > 0 && now < ready_at + self.set.cold_for
+        ready_at > 0 && now < ready_at + self.settings.cold_for
     }
 
-    /// Guards a server that has just started: an attempt may go there by a chance, so that any number of
-    /// fronts together send it a part of what a warm server of its size answers. A state has only the writers
-    /// of its cell, which may have far more than its part: the mean of both. No prompt alone makes it fall.
-    /// Parts are of all that run: guards against fronts that start in a release and see none warm.
-    fn cold_turn(&self, view: &View, request: &Request, now: Time) -> bool {
-        if !self.cold(view, now) {
+    /// Limits the load on a server that has just started. An attempt passes by a random draw, so that all
+    /// fronts together, however many, send the server a part of what a warm server of its weight takes. A KV
+    /// state is fetched by writers of its own cell, whose share there can be far above their share of all
+    /// writers: the draw uses the geometric mean of both shares. A prompt so long that it alone could
+    /// overload the server does not pass. Shares refer to all running servers: fronts that start during a
+    /// rolling release see no warm server.
+    fn passes_cold_limit(&self, view: &ServerView, request: &Request, now: Time) -> bool {
+        if !self.is_server_cold(view, now) {
             return true;
         }
-        let (sent, answered) = self.flow[view.role as usize];
-        let from = request.state.as_ref().and_then(|(at, _)| Some(self.views.get(at)?.entry.cell));
-        let even = |of: f64| view.entry.weight / of.max(view.entry.weight);
-        let all = even(from.map_or(self.most[view.role as usize], |_| self.index.paired_weight));
-        let cell = self.paired.get(&view.entry.cell).filter(|_| from == Some(view.entry.cell));
-        let near = cell.map_or(all, |cell| even(*cell));
-        let able = self.set.fall_multiple * self.set.cold_from * (answered + 1.0) / (sent + 1.0);
-        let draw = hash(view.name, &format!("{} {}", request.ask.id.0, request.tries));
-        let fits = request.ask.prompt <= self.set.fall_multiple * self.usual_prompt.exp();
-        fits && unit(draw) <= COLD_USE * able * (all * near).sqrt()
+        let (sent, answered) = self.sent_answered[view.role as usize];
+        let source_cell = request.kv_state.as_ref().and_then(|(at, _)| Some(self.views.get(at)?.entry.cell));
+        let weight_share = |total: f64| view.entry.weight / total.max(view.entry.weight);
+        let overall_share = weight_share(
+            source_cell
+                .map_or(self.peak_weight[view.role as usize], |_| self.server_index.peak_writer_weight),
+        );
+        let cell_weight = self
+            .peak_writer_weight_by_cell
+            .get(&view.entry.cell)
+            .filter(|_| source_cell == Some(view.entry.cell));
+        let cell_share = cell_weight.map_or(overall_share, |cell| weight_share(*cell));
+        let cold_factor =
+            self.settings.fall_multiple * self.settings.cold_from * (answered + 1.0) / (sent + 1.0);
+        let draw = hash(view.name_hash, &format!("{} {}", request.arrival.id.0, request.attempts));
+        let is_prompt_short =
+            request.arrival.prompt <= self.settings.fall_multiple * self.mean_log_prompt.exp();
+        is_prompt_short
+            && unit_interval(draw) <= COLD_BUDGET_SHARE * cold_factor * (overall_share * cell_share).sqrt()
     }
 
-    /// The one final answer: a refusal where nothing can have run (or repeats are harmless), else a failure.
-    pub(super) fn finish(&mut self, now: Time, id: ReqId, out: &mut Vec<Action>) {
+    /// Gives the one final answer: a refusal if nothing can have run or repeats are harmless, otherwise a
+    /// failure.
+    pub(super) fn finish(&mut self, now: Time, id: ReqId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
-        if request.tries > 0 && !request.streaming {
-            out.push(Action::Release { id });
+        if request.attempts > 0 && !request.is_streaming {
+            actions.push(Action::Release { id });
         }
-        if request.ended {
+        if request.is_settled {
             return;
         }
-        let harmless = match self.set.classes.get(request.ask.class).map(|class| class.repeat) {
+        let is_retry_safe = match self.settings.classes.get(request.arrival.class).map(|class| class.repeat) {
             Some(Repeat::Safe) => true,
             Some(Repeat::Keyed { group: Group::All, memory }) => {
-                request.ran.as_ref().is_none_or(|(_, sent)| now < sent + memory)
+                request.may_have_run.as_ref().is_none_or(|(_, sent)| now < sent + memory)
             }
-            _ => request.ran.is_none(),
+            _ => request.may_have_run.is_none(),
         };
-        if harmless {
-            let share = ADVICE + (1.0 - ADVICE) * self.random();
-            let longest = if self.set.may_advise { self.set.max_retry_after } else { 0 };
-            let retry_after = (share * longest as f64) as Time;
-            out.push(Action::Refuse { id, retry_after });
+        if is_retry_safe {
+            let share = MIN_RETRY_SHARE + (1.0 - MIN_RETRY_SHARE) * self.next_random();
+            let max_retry_after = if self.settings.may_advise { self.settings.max_retry_after } else { 0 };
+            let retry_after = (share * max_retry_after as f64) as Time;
+            actions.push(Action::Refuse { id, retry_after });
         } else {
-            out.push(Action::Fail { id });
+            actions.push(Action::Fail { id });
         }
     }
 }
--- a/src/policy/hand_over.rs
+++ b/src/policy/hand_over.rs
@@ -1,82 +1,100 @@
-//! The pick of the writer that fetches a state.
+//! Chooses the writer that fetches a KV state after a read. It does not choose readers; `placement` does.
+//!
+//! Of all writers that may take the request, the one with the lowest cost is chosen.
 use super::*;
 
 impl Router {
-    /// Sends a read request on to the writer that costs least; ties at random, against herds.
-    pub(super) fn hand_over(&mut self, now: Time, id: ReqId, out: &mut Vec<Action>) -> bool {
-        let salt = self.random().to_string();
+    /// Sends a request whose prompt has been read to the writer with the lowest cost. Ties are broken at
+    /// random, so that fronts do not all choose the same writer.
+    pub(super) fn hand_over(&mut self, now: Time, id: ReqId, actions: &mut Vec<Action>) -> bool {
+        let salt = self.next_random().to_string();
         match self.pick_writer(now, id, &salt) {
-            Some((server, kind)) => self.send(now, id, &server, kind, out),
+            Some((server, kind)) => self.send(now, id, &server, kind, actions),
             None => false,
         }
     }
 
-    /// The writer with the fewest tokens running, those of the reader's cell first: they are looked at in
-    /// full, the others only where their tokens alone do not put them behind.
-    fn pick_writer(&self, now: Time, id: ReqId, salt: &str) -> Option<(ServerId, Kind)> {
+    /// Finds the writer with the lowest cost. Writers of the reader's cell come first and set the bound; any
+    /// writer whose token count alone makes it worse is skipped without computing its full cost.
+    fn pick_writer(&self, now: Time, id: ReqId, salt: &str) -> Option<(ServerId, AttemptKind)> {
         let request = self.requests.get(&id)?;
-        let (reader, _) = request.state.as_ref()?;
-        if !self.may_send(now, id, None) {
+        let (reader, _) = request.kv_state.as_ref()?;
+        if !self.may_attempt(now, id, None) {
             return None;
         }
         let cell = self.views.get(reader).map(|view| view.entry.cell);
-        let (wary, jam) = (self.wary(false, request.ask.class), self.jam(cell, now));
-        let tie = |view: &View| hash(view.name, salt);
-        let mut best: Option<(WriterCost, &View)> = None;
-        let near = cell.and_then(|cell| self.index.writers.get(&cell)).into_iter().flatten();
-        let near = near.filter_map(|server| self.views.get(server)).inspect(|_| self.look());
-        let far = self.scan().filter(|view| cell.is_none_or(|cell| view.entry.cell != cell));
-        for view in near.chain(far).filter(|view| view.role != Role::Prefill) {
-            let least = self.least_cost(view, cell, &request.ask, now);
-            if best.as_ref().is_some_and(|(cost, _)| least > *cost) {
+        let (requirement, link_wait) =
+            (self.proof_requirement(false, request.arrival.class), self.oldest_pending_transfer(cell, now));
+        let tie_break = |view: &ServerView| hash(view.name_hash, salt);
+        let mut best: Option<(WriterCost, &ServerView)> = None;
+        let local = cell.and_then(|cell| self.server_index.writers.get(&cell)).into_iter().flatten();
+        let local = local.filter_map(|server| self.views.get(server)).inspect(|_| self.count_examined());
+        let remote = self.scan_servers().filter(|view| cell.is_none_or(|cell| view.entry.cell != cell));
+        for view in local.chain(remote).filter(|view| view.role != Role::Prefill) {
+            let min_cost = self.min_writer_cost(view, cell, &request.arrival, now);
+            if best.as_ref().is_some_and(|(cost, _)| min_cost > *cost) {
                 continue;
             }
-            let free = !request.late(now) || self.memory(view, now) < ABSORB_MARK;
-            if !free || !self.may_take(now, request, view) {
+            let has_memory = !request.is_late(now) || self.memory_share(view, now) < MEMORY_LIMIT_COMBINED;
+            if !has_memory || !self.may_attempt_at(now, request, view) {
                 continue;
             }
-            let cost = self.writer_cost(view, cell, request, &wary, jam, now);
-            // The hash, which breaks ties at random, is worked out for ties alone.
-            let better = best
-                .as_ref()
-                .is_none_or(|(least, than)| cost.cmp(least).then_with(|| tie(view).cmp(&tie(than))).is_lt());
-            if better {
+            let cost = self.writer_cost(view, cell, request, &requirement, link_wait, now);
+            // The hash that breaks ties is computed for ties only.
+            let is_better = best.as_ref().is_none_or(|(best_cost, best_view)| {
+                cost.cmp(best_cost).then_with(|| tie_break(view).cmp(&tie_break(best_view))).is_lt()
+            });
+            if is_better {
                 best = Some((cost, view));
             }
         }
-        best.map(|(_, view)| (view.entry.server.clone(), hand_kind(view, cell)))
+        best.map(|(_, view)| (view.entry.server.clone(), fetch_kind(view, cell)))
     }
 
-    /// What a writer costs at the least, told by its tokens alone.
-    fn least_cost(&self, view: &View, cell: Option<u32>, ask: &Arrival, now: Time) -> WriterCost {
-        let far = hand_kind(view, cell) == Kind::Far;
-        let tokens = self.held_tokens(view, now);
-        let handicap = if far { FAR_HANDICAP * (ask.prompt + tokens) } else { 0.0 };
-        WriterCost { poor: 0, full: 0, warm: far && self.may_ask, tokens: (tokens + handicap) as u64 }
+    /// Lower bound of the cost of a writer, computed from its token count alone.
+    fn min_writer_cost(
+        &self,
+        view: &ServerView,
+        cell: Option<u32>,
+        arrival: &Arrival,
+        now: Time,
+    ) -> WriterCost {
+        let is_remote = fetch_kind(view, cell) == AttemptKind::RemoteFetch;
+        let tokens = self.estimated_tokens(view, now);
+        let penalty_tokens = if is_remote { REMOTE_TOKEN_FACTOR * (arrival.prompt + tokens) } else { 0.0 };
+        WriterCost {
+            health_penalty: 0,
+            load_penalty: 0,
+            lacks_cold_preference: is_remote && self.relies_on_reports,
+            total_tokens: (tokens + penalty_tokens) as u64,
+        }
     }
 
+    /// The full cost of a writer for this request.
     fn writer_cost(
         &self,
-        view: &View,
+        view: &ServerView,
         cell: Option<u32>,
         request: &Request,
-        wary: &Wary,
-        jam: f64,
+        requirement: &ProofRequirement,
+        link_wait: f64,
         now: Time,
     ) -> WriterCost {
-        let (ask, kind) = (&request.ask, hand_kind(view, cell));
-        let (far, left) = (kind == Kind::Far, request.aim - (now - request.arrived) as f64);
-        let tokens = self.held_tokens(view, now);
-        let apart = f64::from(u32::from(far) + u32::from(wary.of(view, now)));
-        let handicap = FAR_HANDICAP * apart * (ask.prompt + tokens);
-        let time = self.predict(view, kind, ask.prompt, now);
-        let late = time.max(view.oldest(now)).max(if far { jam } else { 0.0 }) > left;
-        let suspect = Self::suspect(view, ask.class).is_some();
+        let (arrival, kind) = (&request.arrival, fetch_kind(view, cell));
+        let (is_remote, time_left) =
+            (kind == AttemptKind::RemoteFetch, request.ttft_target - (now - request.arrived_at) as f64);
+        let tokens = self.estimated_tokens(view, now);
+        let penalties = f64::from(u32::from(is_remote) + u32::from(requirement.is_unmet_by(view, now)));
+        let penalty_tokens = REMOTE_TOKEN_FACTOR * penalties * (arrival.prompt + tokens);
+        let fetch_time = self.predict_latency(view, kind, arrival.prompt, now);
+        let is_late =
+            fetch_time.max(view.oldest_wait(now)).max(if is_remote { link_wait } else { 0.0 }) > time_left;
+        let is_suspect = Self::suspect_health(view, arrival.class).is_some();
         WriterCost {
-            poor: u32::from(!Self::well(view, ask.class, now)) + u32::from(suspect),
-            full: u32::from(self.memory(view, now) >= MARK) + u32::from(late),
-            warm: self.may_ask && (far || !self.cold(view, now)),
-            tokens: (tokens + handicap) as u64,
+            health_penalty: u32::from(!Self::is_healthy(view, arrival.class, now)) + u32::from(is_suspect),
+            load_penalty: u32::from(self.memory_share(view, now) >= MEMORY_LIMIT) + u32::from(is_late),
+            lacks_cold_preference: self.relies_on_reports && (is_remote || !self.is_server_cold(view, now)),
+            total_tokens: (tokens + penalty_tokens) as u64,
         }
     }
 }
--- a/src/policy/index.rs
+++ b/src/policy/index.rs
@@ -1,148 +1,163 @@
-//! What is kept beside the views of servers, so that no event costs a pass over all of them: the running
-//! servers by what they do, kept texts, servers under suspicion, and states that wait for a link. Each
-//! holds what a pass would find.
+//! Indexes over the views of servers: running servers by role and cell, cached texts, and KV states that wait
+//! for a link; failed servers are listed in the router itself. They spare most events a pass over all
+//! servers. They decide nothing.
+//!
+//! Each index holds exactly what a pass over the views would find.
 use super::*;
 
-/// A running reader, as the ranking of readers needs it.
+/// A running reader, with what the ranking of readers needs.
 pub(super) struct ReaderSlot {
     pub(super) server: ServerId,
-    pub(super) name: u64,
+    pub(super) name_hash: u64,
     pub(super) share: ReaderShare,
     pub(super) ready_at: Time,
 }
 
-/// What part of all reads a reader gets: by the writers of its cell, and by its weight.
+/// What determines a reader's share of all reads: the writers of its cell per reader, and its own weight.
 pub(super) struct ReaderShare {
-    pub(super) part: f64,
+    /// Square root of the writer weight per reader weight of the cell, with a lower bound.
+    pub(super) fraction: f64,
     pub(super) weight: f64,
 }
 
-/// What follows from the list alone; made anew when it changes.
+/// Everything that follows from the list of servers alone; rebuilt when the list changes.
 #[derive(Default)]
-pub(super) struct ListIndex {
-    /// Counts the changes of the list.
+pub(super) struct ServerIndex {
+    /// Number of changes of the list so far.
     pub(super) version: u64,
-    /// In the order of their names.
+    /// Running readers, ordered by server id.
     pub(super) readers: Vec<ReaderSlot>,
-    /// Running writers and mixed servers by cell, in the order of their names.
+    /// Running writers and mixed servers by cell, ordered by server id.
     pub(super) writers: BTreeMap<u32, Vec<ServerId>>,
-    /// Weight of all running readers, and the most of writers and mixed servers seen at once, over all cells.
+    /// Total weight of all running readers.
     pub(super) reader_weight: f64,
-    pub(super) paired_weight: f64,
-    /// When the last reader started.
+    /// Sum over all cells of the highest weight of writers and mixed servers seen at once.
+    pub(super) peak_writer_weight: f64,
+    /// When the most recently started reader became ready.
     pub(super) last_reader_start: Time,
 }
 
-/// The order in which a request would ask readers, as far as neither time nor load changes it.
+/// The order in which a request tries readers, as far as it depends on neither time nor load.
 pub(super) struct Ranking {
-    /// Of the list from which it was made.
+    /// Version of the [`ServerIndex`] that the ranking was built from.
     pub(super) version: u64,
     pub(super) order: Vec<RankedReader>,
 }
 
-/// A place in a ranking; the lower, the earlier.
+/// A reader's place in a ranking; lower values come first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankedReader {
-    /// The prompt's shared text has its homes elsewhere.
-    pub(super) away: bool,
-    pub(super) home: u64,
-    /// Position in [`ListIndex::readers`].
+    /// The shared prefix of the prompt has its home at other readers.
+    pub(super) is_away: bool,
+    /// Weighted draw from the hash of session and reader, as the bits of a positive float.
+    pub(super) session_rank: u64,
+    /// Position in [`ServerIndex::readers`].
     pub(super) slot: usize,
 }
 
-/// Where a text is held to be kept.
+/// The servers that are assumed to cache a text, with the number of cached tokens.
 #[derive(Default)]
-struct TextHolders {
-    tokens: BTreeMap<ServerId, f64>,
-    most: f64,
+struct CacheHolders {
+    tokens_by_server: BTreeMap<ServerId, f64>,
+    /// Largest value in `tokens_by_server`.
+    max_tokens: f64,
 }
 
-/// Which servers hold which texts: a copy of what the views keep, by text.
+/// Which servers cache which texts: the contents of [`ServerView::cached_texts`], ordered by text.
 #[derive(Default)]
-pub(super) struct TextIndex(BTreeMap<TextKey, TextHolders>);
+pub(super) struct CacheIndex(BTreeMap<TextKey, CacheHolders>);
 
-impl TextIndex {
+impl CacheIndex {
+    /// Adds a text of a server, or replaces its number of tokens.
     pub(super) fn insert(&mut self, key: &TextKey, server: &ServerId, tokens: f64) {
         let holders = self.0.entry(key.clone()).or_default();
-        let before = holders.tokens.insert(server.clone(), tokens);
-        if before.is_some_and(|before| before > tokens) {
-            holders.count();
+        let previous = holders.tokens_by_server.insert(server.clone(), tokens);
+        if previous.is_some_and(|previous| previous > tokens) {
+            holders.update_max();
         }
-        holders.most = holders.most.max(tokens);
+        holders.max_tokens = holders.max_tokens.max(tokens);
     }
 
+    /// Removes a text of a server.
     pub(super) fn remove(&mut self, key: &TextKey, server: &ServerId) {
         let Some(holders) = self.0.get_mut(key) else { return };
-        holders.tokens.remove(server);
-        if holders.tokens.is_empty() {
+        holders.tokens_by_server.remove(server);
+        if holders.tokens_by_server.is_empty() {
             self.0.remove(key);
         } else {
-            holders.count();
+            holders.update_max();
         }
     }
 
-    /// The most prompt tokens of a request that any server is held to keep.
-    pub(super) fn most_kept(&self, ask: &Arrival) -> f64 {
-        let of = |key: &Option<TextKey>, most: f64| Some(self.0.get(key.as_ref()?)?.most.min(most));
-        of(&ask.session, ask.prompt).unwrap_or(0.0).max(of(&ask.prefix, ask.shared).unwrap_or(0.0))
+    /// The most prompt tokens of a request that any single server is assumed to cache.
+    pub(super) fn most_cached_tokens(&self, arrival: &Arrival) -> f64 {
+        let cached =
+            |key: &Option<TextKey>, limit: f64| Some(self.0.get(key.as_ref()?)?.max_tokens.min(limit));
+        cached(&arrival.session, arrival.prompt)
+            .unwrap_or(0.0)
+            .max(cached(&arrival.prefix, arrival.shared).unwrap_or(0.0))
     }
 }
 
-impl TextHolders {
-    fn count(&mut self) {
-        self.most = self.tokens.values().copied().fold(0.0, f64::max);
+impl CacheHolders {
+    /// Recomputes the largest number of tokens.
+    fn update_max(&mut self) {
+        self.max_tokens = self.tokens_by_server.values().copied().fold(0.0, f64::max);
     }
 }
 
-/// States that wait for the link out of a cell: since when, by request.
+/// KV states that wait for the link out of a cell: by cell and request, since when.
 #[derive(Default)]
-pub(super) struct LinkWaits(BTreeMap<Option<u32>, BTreeMap<ReqId, Time>>);
+pub(super) struct PendingTransfers(BTreeMap<Option<u32>, BTreeMap<ReqId, Time>>);
 
-impl LinkWaits {
-    pub(super) fn insert(&mut self, from: Option<u32>, id: ReqId, since: Time) {
-        self.0.entry(from).or_default().insert(id, since);
+impl PendingTransfers {
+    /// Adds the KV state of a request that waits to leave a cell.
+    pub(super) fn insert(&mut self, source_cell: Option<u32>, id: ReqId, since: Time) {
+        self.0.entry(source_cell).or_default().insert(id, since);
     }
 
-    pub(super) fn remove(&mut self, from: Option<u32>, id: ReqId) {
-        let Some(waits) = self.0.get_mut(&from) else { return };
+    /// Removes the KV state of a request.
+    pub(super) fn remove(&mut self, source_cell: Option<u32>, id: ReqId) {
+        let Some(waits) = self.0.get_mut(&source_cell) else { return };
         waits.remove(&id);
         if waits.is_empty() {
-            self.0.remove(&from);
+            self.0.remove(&source_cell);
         }
     }
 
-    /// Age of the oldest that leaves this cell.
-    pub(super) fn oldest(&self, from: Option<u32>, now: Time) -> f64 {
-        let sent = self.0.get(&from).and_then(|waits| waits.values().min());
-        sent.map_or(0.0, |sent| (now - sent) as f64)
+    /// Age of the oldest KV state that waits to leave this cell.
+    pub(super) fn oldest_age(&self, source_cell: Option<u32>, now: Time) -> f64 {
+        let since = self.0.get(&source_cell).and_then(|waits| waits.values().min());
+        since.map_or(0.0, |since| (now - since) as f64)
     }
 }
 
-/// Whether servers of a role that have not lately answered a class come last.
+/// Whether servers of a role that have not recently answered a class come last.
 #[derive(Clone, Copy)]
-pub(super) struct Wary {
-    pub(super) active: bool,
+pub(super) struct ProofRequirement {
+    pub(super) is_active: bool,
     pub(super) class: usize,
-    pub(super) life: Time,
+    pub(super) lifetime: Time,
 }
 
-impl Wary {
-    pub(super) fn of(&self, view: &View, now: Time) -> bool {
-        let unproven = |health: &Health| now >= health.answered + self.life;
-        self.active && view.health.get(&self.class).is_none_or(unproven)
+impl ProofRequirement {
+    /// Whether the requirement applies and the server has not recently answered the class.
+    pub(super) fn is_unmet_by(&self, view: &ServerView, now: Time) -> bool {
+        let is_unproven = |health: &ClassHealth| now >= health.answered_at + self.lifetime;
+        self.is_active && view.health.get(&self.class).is_none_or(is_unproven)
     }
 }
 
 impl Router {
-    /// The list has changed: what follows from it is made anew.
-    pub(super) fn list_changed(&mut self) {
-        let mut index = ListIndex { version: self.index.version + 1, ..ListIndex::default() };
-        let (mut all, mut readers, mut writers) = ([0.0; 3], BTreeMap::new(), BTreeMap::new());
+    /// Rebuilds everything that follows from the list of servers.
+    pub(super) fn rebuild_server_index(&mut self) {
+        let mut index = ServerIndex { version: self.server_index.version + 1, ..ServerIndex::default() };
+        let (mut weight_by_role, mut readers, mut writers) = ([0.0; 3], BTreeMap::new(), BTreeMap::new());
         for view in self.views.values().filter(|v| v.entry.listed == Listed::Running) {
             let entry = &view.entry;
-            let cells = if view.role == Role::Prefill { &mut readers } else { &mut writers };
-            *cells.entry(entry.cell).or_insert(0.0) += entry.weight;
-            all[view.role as usize] += entry.weight;
+            let weight_by_cell = if view.role == Role::Prefill { &mut readers } else { &mut writers };
+            *weight_by_cell.entry(entry.cell).or_insert(0.0) += entry.weight;
+            weight_by_role[view.role as usize] += entry.weight;
             if view.role != Role::Prefill {
                 index.writers.entry(entry.cell).or_default().push(entry.server.clone());
             }
@@ -150,53 +165,61 @@
         for view in self.views.values().filter(|v| v.entry.listed == Listed::Running) {
             let entry = &view.entry;
             if view.role == Role::Prefill {
-                let cells = writers.get(&entry.cell).zip(readers.get(&entry.cell));
-                let part: f64 = cells.map_or(0.0, |(room, all)| room / all);
-                let share = ReaderShare { part: part.sqrt().max(LEAST_PART), weight: entry.weight };
+                let cell_weights = writers.get(&entry.cell).zip(readers.get(&entry.cell));
+                let writers_per_reader: f64 =
+                    cell_weights.map_or(0.0, |(writers, readers)| writers / readers);
+                let share = ReaderShare {
+                    fraction: writers_per_reader.sqrt().max(MIN_READ_SHARE),
+                    weight: entry.weight,
+                };
                 let (server, ready_at) = (entry.server.clone(), entry.ready_at);
                 index.last_reader_start = index.last_reader_start.max(ready_at);
-                index.readers.push(ReaderSlot { server, name: view.name, share, ready_at });
+                index.readers.push(ReaderSlot { server, name_hash: view.name_hash, share, ready_at });
             }
         }
-        (self.readers, self.writers) = (readers, writers);
-        for (cell, now) in &self.writers {
-            self.paired.entry(*cell).and_modify(|most| *most = most.max(*now)).or_insert(*now);
+        (self.reader_weight_by_cell, self.writer_weight_by_cell) = (readers, writers);
+        for (cell, weight) in &self.writer_weight_by_cell {
+            self.peak_writer_weight_by_cell
+                .entry(*cell)
+                .and_modify(|peak| *peak = peak.max(*weight))
+                .or_insert(*weight);
         }
-        for (most, all) in self.most.iter_mut().zip(all) {
-            *most = most.max(all);
+        for (peak, weight) in self.peak_weight.iter_mut().zip(weight_by_role) {
+            *peak = peak.max(weight);
         }
-        index.reader_weight = self.readers.values().sum();
-        index.paired_weight = self.paired.values().sum();
-        self.index = index;
+        index.reader_weight = self.reader_weight_by_cell.values().sum();
+        index.peak_writer_weight = self.peak_writer_weight_by_cell.values().sum();
+        self.server_index = index;
     }
 
-    /// What a server is held to keep of a request's texts after it has read or written them.
-    pub(super) fn remember(&mut self, server: &ServerId, id: ReqId, found: f64, now: Time) {
+    /// Records that a server caches the texts of a request after it has read or answered it.
+    pub(super) fn record_cached_texts(&mut self, server: &ServerId, id: ReqId, found: f64, now: Time) {
         let (Some(view), Some(request)) = (self.views.get_mut(server), self.requests.get(&id)) else {
             return;
         };
-        let ask = &request.ask;
-        for (key, tokens) in [(&ask.session, ask.prompt), (&ask.prefix, ask.shared)] {
+        let arrival = &request.arrival;
+        for (key, tokens) in [(&arrival.session, arrival.prompt), (&arrival.prefix, arrival.shared)] {
             if let Some(key) = key.as_ref().filter(|_| tokens > 0.0) {
-                view.kept.insert(key.clone(), (tokens, now));
-                self.texts.insert(key, server, tokens);
+                view.cached_texts.insert(key.clone(), (tokens, now));
+                self.cache_index.insert(key, server, tokens);
             }
         }
-        // Guards against texts that are gone: what an answer did not find is no longer counted on.
-        if found < FOUND * ask.shared || view.kept.len() > KEPT_MOST {
-            view.kept.retain(|key, (_, at)| {
-                let stays = *at == now;
-                if !stays {
-                    self.texts.remove(key, server);
+        // A shared prefix that the server did not find has been evicted; older entries are then no longer
+        // relied on.
+        if found < MIN_PREFIX_FOUND * arrival.shared || view.cached_texts.len() > MAX_CACHED_TEXTS {
+            view.cached_texts.retain(|key, (_, at)| {
+                let is_kept = *at == now;
+                if !is_kept {
+                    self.cache_index.remove(key, server);
                 }
-                stays
+                is_kept
             });
         }
     }
 
-    /// A server has left or started anew: nothing is known of it any more.
-    pub(super) fn forget_server(&mut self, server: &ServerId, view: &View) {
-        view.kept.keys().for_each(|key| self.texts.remove(key, server));
-        self.struck.remove(server);
+    /// Forgets what a server that has left or restarted cached, and its failures.
+    pub(super) fn forget_server(&mut self, server: &ServerId, view: &ServerView) {
+        view.cached_texts.keys().for_each(|key| self.cache_index.remove(key, server));
+        self.failed_servers.remove(server);
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,8 @@
-//! Every decision of the router, every table, default and tuned value. The interface is `src/api.rs`.
+//! The decision logic of the router: all state, rules, defaults and tuned values. The public interface is
+//! `src/api.rs`.
+//!
+//! The module does no I/O and reads no clock. The same events and the same seed give the same actions, and
+//! every request gets at most one final answer.
 mod dispatcher;
 mod guards;
 mod hand_over;
@@ -18,132 +22,152 @@
 use tunables::*;
 use views::*;
 
-/// One front's router.
+/// The router of one front: takes events and returns the actions to carry out.
 #[derive(Default)]
 pub struct Router {
-    set: Settings,
-    seed: u64,
-    views: BTreeMap<ServerId, View>,
+    settings: Settings,
+    rng_state: u64,
+    views: BTreeMap<ServerId, ServerView>,
     requests: BTreeMap<ReqId, Request>,
-    fits: [Line; 4],
-    /// By role: the most running weight seen at once; our sends and their answers, older ones fading.
-    most: [f64; 3],
-    flow: [(f64, f64); 3],
-    quota: Vec<(f64, Time)>,
-    /// Mean time between our requests, and when the last one came.
-    gap: f64,
-    came: Time,
-    /// Tokens that writers report lately: stands for those that have not reported. Mean logarithm of prompts.
-    usual_tokens: f64,
-    usual_prompt: f64,
-    /// Weight of the running readers, and of the writers and mixed servers, by cell.
-    readers: BTreeMap<u32, f64>,
-    writers: BTreeMap<u32, f64>,
-    /// The most weight of writers and mixed servers seen at once, by cell.
-    paired: BTreeMap<u32, f64>,
-    /// Servers can be asked for their load.
-    may_ask: bool,
-    armed: bool,
-    asked: Option<Time>,
-    /// When the next stream is moved, when all are to be, and when this front ends.
-    stop: Option<(Time, Time, Time)>,
-    index: ListIndex,
-    texts: TextIndex,
-    link_waits: LinkWaits,
-    /// Servers that failed for a class and have not answered it since.
-    struck: BTreeSet<ServerId>,
-    /// Servers that passes over the list have looked at, and until when those for held requests have used
-    /// up their share.
+    latency_fits: [LinearFit; 4],
+    /// By role: the highest total weight of running servers seen at once.
+    peak_weight: [f64; 3],
+    /// By role: attempts that this front sent, and those that were answered. Both decay with each send.
+    sent_answered: [(f64, f64); 3],
+    /// By tenant: fill level of its leaky bucket, and when the level was last updated.
+    quota_buckets: Vec<(f64, Time)>,
+    /// Exponential moving average of the time between two requests of this front.
+    mean_arrival_gap: f64,
+    /// When the last request arrived.
+    last_arrival: Time,
+    /// Moving average of the tokens that writers report; the estimate for writers that have not reported.
+    mean_writer_tokens: f64,
+    /// Moving average of the logarithm of the prompt length.
+    mean_log_prompt: f64,
+    /// By cell: total weight of the running readers.
+    reader_weight_by_cell: BTreeMap<u32, f64>,
+    /// By cell: total weight of the running writers and mixed servers.
+    writer_weight_by_cell: BTreeMap<u32, f64>,
+    /// By cell: the highest total weight of writers and mixed servers seen at once.
+    peak_writer_weight_by_cell: BTreeMap<u32, f64>,
+    /// Load reports can be requested, and this front is one of many: decisions use reports, not only its own
+    /// sends.
+    relies_on_reports: bool,
+    /// A sweep timer is outstanding.
+    is_sweep_scheduled: bool,
+    /// When to call for the list of servers again after a failed call.
+    subscribe_retry_at: Option<Time>,
+    /// Set while this front shuts down: when the next stream is moved, when the last one is to be moved, and
+    /// when the front ends.
+    shutdown: Option<(Time, Time, Time)>,
+    server_index: ServerIndex,
+    cache_index: CacheIndex,
+    pending_transfers: PendingTransfers,
+    /// Servers that failed for a class and have not answered that class since.
+    failed_servers: BTreeSet<ServerId>,
+    /// Number of servers examined by all passes over the list.
     examined: Cell<u64>,
-    examined_until: Time,
+    /// Until when passes over the list for held requests have used up their share of the time.
+    held_scans_until: Time,
 }
 
 impl Router {
-    /// A router that knows nothing yet. The seed feeds its random numbers, which only break ties.
-    pub fn new(set: Settings, seed: u64) -> Router {
+    /// Creates a router that knows no servers. The seed starts the random numbers, which break ties, spread
+    /// the advice in `retry_after` and pick the writers to probe.
+    pub fn new(settings: Settings, seed: u64) -> Router {
         Router {
-            quota: vec![(0.0, 0); set.tenants.len()],
-            may_ask: set.may_probe && !set.report_fields.is_empty() && set.fronts > FEW_FRONTS,
-            set,
-            seed: seed | 1,
+            quota_buckets: vec![(0.0, 0); settings.tenants.len()],
+            relies_on_reports: settings.may_probe
+                && !settings.report_fields.is_empty()
+                && settings.fronts > FEW_FRONTS,
+            settings,
+            rng_state: seed | 1,
             ..Router::default()
         }
     }
 
-    /// Takes one event and adds what is to be done to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        let new = if let Event::Arrived(ask) = &event { Some(ask.id) } else { None };
+    /// Handles one event and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        let arrived_id = if let Event::Arrived(arrival) = &event { Some(arrival.id) } else { None };
         match event {
-            Event::Servers { mode, entries } => self.servers(now, mode, entries, out),
-            Event::Arrived(ask) => self.arrived(now, ask),
-            Event::Streaming { id, server, .. } => self.first(now, id, &server),
-            Event::Ended { .. } => self.ended(now, event, out),
-            Event::Probed { server, load, .. } => self.report(now, &server, load),
-            Event::ClientGone { id } => self.gone(now, id, out),
-            Event::Timer { name: SWEEP } => self.sweep(now, out),
+            Event::Servers { mode, entries } => self.update_servers(now, mode, entries, actions),
+            Event::Arrived(arrival) => self.on_arrival(now, arrival),
+            Event::Streaming { id, server, .. } => self.on_first_token(now, id, &server),
+            Event::Ended { .. } => self.on_attempt_ended(now, event, actions),
+            Event::Probed { server, load, .. } => self.record_report(now, &server, load),
+            Event::ClientGone { id } => self.on_client_gone(now, id, actions),
+            Event::Timer { name: SWEEP_TIMER } => self.sweep(now, actions),
             Event::Stopping { within } => {
-                let at = |part: f64| now + (part * within as f64) as Time;
-                self.stop = Some((at(MOVING.0), at(MOVING.1), now + within));
+                let after_share = |share: f64| now + (share * within as f64) as Time;
+                self.shutdown = Some((after_share(MOVE_WINDOW.0), after_share(MOVE_WINDOW.1), now + within));
             }
             Event::Timer { .. } | Event::Place { .. } => {}
         }
-        self.dispatch_held(now, new, out);
-        if let Some(id) = new.filter(|id| self.held().any(|held| held == *id) && self.closing(now, *id)) {
-            self.finish(now, id, out);
+        self.dispatch_held(now, arrived_id, actions);
+        if let Some(id) = arrived_id
+            .filter(|id| self.held_requests().any(|held| held == *id) && self.must_answer_now(now, *id))
+        {
+            self.finish(now, id, actions);
         }
-        self.arm(out);
+        self.schedule_sweep(actions);
     }
 
-    /// Goes on with other figures; classes, kinds and tenants are the same.
-    pub fn adopt(&mut self, set: Settings) {
-        self.may_ask = set.may_probe && !set.report_fields.is_empty() && set.fronts > FEW_FRONTS;
+    /// Replaces the settings at run time. The lists of classes, kinds and tenants must stay the same; their
+    /// values may change.
+    pub fn adopt(&mut self, settings: Settings) {
+        self.relies_on_reports =
+            settings.may_probe && !settings.report_fields.is_empty() && settings.fronts > FEW_FRONTS;
         for view in self.views.values_mut() {
-            view.role = set.roles.get(view.entry.kind).copied().unwrap_or(Role::Mixed);
-            view.kv = set.kv_tokens.get(view.entry.kind).copied().unwrap_or(0.0);
+            view.role = settings.roles.get(view.entry.kind).copied().unwrap_or(Role::Mixed);
+            view.kv_capacity = settings.kv_tokens.get(view.entry.kind).copied().unwrap_or(0.0);
         }
-        self.quota.resize(set.tenants.len(), (0.0, 0));
-        self.set = set;
-        self.list_changed();
+        self.quota_buckets.resize(settings.tenants.len(), (0.0, 0));
+        self.settings = settings;
+        self.rebuild_server_index();
     }
 
-    /// Servers looked at by all passes over the list since the start: the work that grows with the fleet.
+    /// Number of servers examined by all passes over the list since the start: the part of the work that
+    /// grows with the size of the fleet.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
 
-    fn look(&self) {
+    fn count_examined(&self) {
         self.examined.set(self.examined.get() + 1);
     }
 
-    /// One pass over the list.
-    fn scan(&self) -> impl Iterator<Item = &View> {
-        self.views.values().inspect(|_| self.look())
+    /// Iterates over all known servers and counts each one as examined.
+    fn scan_servers(&self) -> impl Iterator<Item = &ServerView> {
+        self.views.values().inspect(|_| self.count_examined())
     }
 
-    fn random(&mut self) -> f64 {
-        self.seed ^= self.seed << 13;
-        self.seed ^= self.seed >> 7;
-        self.seed ^= self.seed << 17;
-        (self.seed >> 11) as f64 / (1u64 << 53) as f64
+    /// Xorshift generator; returns a number from 0 up to, but not including, 1.
+    fn next_random(&mut self) -> f64 {
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        (self.rng_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn arm(&mut self, out: &mut Vec<Action>) {
-        if !self.armed && (!self.requests.is_empty() || self.asked.is_some()) {
-            self.armed = true;
-            out.push(Action::Timer { after: self.sweep_every(), name: SWEEP });
+    fn schedule_sweep(&mut self, actions: &mut Vec<Action>) {
+        if !self.is_sweep_scheduled && (!self.requests.is_empty() || self.subscribe_retry_at.is_some()) {
+            self.is_sweep_scheduled = true;
+            actions.push(Action::Timer { after: self.sweep_interval(), name: SWEEP_TIMER });
         }
     }
 
-    fn least_aim(&self) -> f64 {
-        self.set.classes.iter().map(|class| class.ttft_aim).min().unwrap_or(0) as f64
+    fn shortest_ttft_target(&self) -> f64 {
+        self.settings.classes.iter().map(|class| class.ttft_aim).min().unwrap_or(0) as f64
     }
 
-    fn sweep_every(&self) -> Time {
-        (self.set.let_go_by / SWEEPS).max(self.set.tick).max(1)
+    fn sweep_interval(&self) -> Time {
+        (self.settings.let_go_by / SWEEPS_PER_RELEASE).max(self.settings.tick).max(1)
     }
 
-    /// Whether the client's time would be up before a later sweep could answer: answer now.
-    fn closing(&self, now: Time, id: ReqId) -> bool {
-        self.requests.get(&id).is_none_or(|request| now + CLOSING * self.sweep_every() >= request.deadline)
+    /// Whether the deadline may pass before a later sweep could answer: the request must be answered now.
+    fn must_answer_now(&self, now: Time, id: ReqId) -> bool {
+        self.requests
+            .get(&id)
+            .is_none_or(|request| now + FINAL_SWEEPS * self.sweep_interval() >= request.deadline)
     }
 }
--- a/src/policy/monitor.rs
+++ b/src/policy/monitor.rs
@@ -1,13 +1,26 @@
-//! The monitor: lists, reports, fits and suspects.
+//! The monitor: the list of servers, load reports, latency predictions and the health of servers. It takes no
+//! decision about a request.
+//!
+//! Health is kept by class: a failure for one class suspends the server for the others only until it answers
+//! them.
 use super::*;
 
 impl Router {
-    pub(super) fn servers(&mut self, now: Time, mode: ListMode, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        if self.set.discovery == Discovery::Asked {
+    /// Applies a list of servers. A server that has restarted keeps its attempts and loses all other records.
+    pub(super) fn update_servers(
+        &mut self,
+        now: Time,
+        mode: ListMode,
+        entries: Vec<Entry>,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.settings.discovery == Discovery::Asked {
             match mode {
-                ListMode::Restored => out.push(Action::Subscribe),
-                ListMode::Failed => self.asked = Some(now + self.set.ask_within / ASK_AGAIN),
-                _ => self.asked = None,
+                ListMode::Restored => actions.push(Action::Subscribe),
+                ListMode::Failed => {
+                    self.subscribe_retry_at = Some(now + self.settings.ask_within / SUBSCRIBE_RETRIES)
+                }
+                _ => self.subscribe_retry_at = None,
             }
         }
         if mode == ListMode::Failed {
@@ -17,188 +30,265 @@
             view.entry.listed = Listed::Gone;
         }
         for entry in entries {
-            let role = self.set.roles.get(entry.kind).copied().unwrap_or(Role::Mixed);
-            let kv = self.set.kv_tokens.get(entry.kind).copied().unwrap_or(0.0);
+            let role = self.settings.roles.get(entry.kind).copied().unwrap_or(Role::Mixed);
+            let kv_capacity = self.settings.kv_tokens.get(entry.kind).copied().unwrap_or(0.0);
             let mut view = self.views.remove(&entry.server).unwrap_or_default();
             if entry.ready_at != view.entry.ready_at {
                 self.forget_server(&entry.server, &view);
-                view = View { jobs: std::mem::take(&mut view.jobs), ..View::default() };
+                view = ServerView { attempts: std::mem::take(&mut view.attempts), ..ServerView::default() };
             }
             let server = entry.server.clone();
-            (view.name, view.entry, view.role, view.kv) = (name_hash(&server.0), entry, role, kv);
+            (view.name_hash, view.entry, view.role, view.kv_capacity) =
+                (name_hash(&server.0), entry, role, kv_capacity);
             self.views.insert(server, view);
         }
-        let leaves = |view: &View| view.entry.listed == Listed::Gone && view.jobs.is_empty();
-        let left: Vec<ServerId> =
-            self.views.iter().filter(|(_, view)| leaves(view)).map(|(server, _)| server.clone()).collect();
-        for server in left {
+        let has_left = |view: &ServerView| view.entry.listed == Listed::Gone && view.attempts.is_empty();
+        let gone: Vec<ServerId> =
+            self.views.iter().filter(|(_, view)| has_left(view)).map(|(server, _)| server.clone()).collect();
+        for server in gone {
             if let Some(view) = self.views.remove(&server) {
                 self.forget_server(&server, &view);
             }
         }
-        self.list_changed();
+        self.rebuild_server_index();
     }
 
-    pub(super) fn report(&mut self, now: Time, server: &ServerId, load: Option<Vec<f64>>) {
-        let mean = self.mean_read();
+    /// Records a load report. Values that are not finite are ignored.
+    pub(super) fn record_report(&mut self, now: Time, server: &ServerId, load: Option<Vec<f64>>) {
+        let mean_read = self.mean_read_tokens();
         let (Some(load), Some(view)) = (load, self.views.get_mut(server)) else { return };
-        let (mut share, mut waiting, mut busy) = (0.0f64, 0.0f64, 0.0f64);
-        for (field, value) in self.set.report_fields.iter().zip(load) {
+        let (mut memory_share, mut waiting, mut busy) = (0.0f64, 0.0f64, 0.0f64);
+        for (field, value) in self.settings.report_fields.iter().zip(load) {
             let value = if value.is_finite() { value.max(0.0) } else { continue };
             match field {
-                ReportField::MemoryShare => share = share.max(value.min(1.0)),
+                ReportField::MemoryShare => memory_share = memory_share.max(value.min(1.0)),
                 ReportField::Busy => busy = value.min(1.0),
                 ReportField::PendingThousands => waiting += value * 1000.0,
-                ReportField::Queue => waiting += value * mean,
+                ReportField::Queue => waiting += value * mean_read,
                 _ => {}
             }
         }
-        // A writer with a queue is full, whatever bounds it: slots are told nowhere else.
-        let share = if waiting > QUEUED * view.kv { 1.0 } else { share.max(busy) };
-        view.report = Some((share, waiting + busy * mean, now));
+        // A writer with a queue is full, whatever limits it: free slots are not reported in any other field.
+        let memory_share =
+            if waiting > FULL_QUEUE_SHARE * view.kv_capacity { 1.0 } else { memory_share.max(busy) };
+        view.load_report = Some((memory_share, waiting + busy * mean_read, now));
         if view.role != Role::Prefill {
-            self.usual_tokens += PACE_STEP * (share * view.kv - self.usual_tokens);
+            self.mean_writer_tokens +=
+                AVERAGE_WEIGHT * (memory_share * view.kv_capacity - self.mean_writer_tokens);
         }
     }
 
-    /// What has not ended yet bounds the pace from below: guards against a lagging fit.
-    pub(super) fn predict(&self, view: &View, kind: Kind, x: f64, now: Time) -> f64 {
-        let unseen = kind == Kind::Whole && self.fits[Kind::Whole as usize].0[0] == 0.0;
-        let common = if unseen { WRITER_READS * self.fits[0].at(x) } else { self.fits[kind as usize].at(x) };
-        let behind = view.waiting().filter(|job| job.kind == kind).map(|job| {
-            let wanted = (job.due.saturating_sub(job.sent) as f64).max(1.0);
-            now.saturating_sub(job.sent) as f64 / wanted
+    /// Predicts the latency of an attempt. Attempts that are overdue raise the prediction, because the fit
+    /// lags behind.
+    pub(super) fn predict_latency(
+        &self,
+        view: &ServerView,
+        kind: AttemptKind,
+        work_tokens: f64,
+        now: Time,
+    ) -> f64 {
+        let is_unseen =
+            kind == AttemptKind::Combined && self.latency_fits[AttemptKind::Combined as usize].0[0] == 0.0;
+        let common = if is_unseen {
+            WRITER_READ_FACTOR * self.latency_fits[0].predict(work_tokens)
+        } else {
+            self.latency_fits[kind as usize].predict(work_tokens)
+        };
+        let overdue = view.awaiting_first_token().filter(|attempt| attempt.kind == kind).map(|attempt| {
+            let predicted = (attempt.predicted_end.saturating_sub(attempt.sent_at) as f64).max(1.0);
+            now.saturating_sub(attempt.sent_at) as f64 / predicted
         });
-        common * (1.0 + view.pace[kind as usize]) * behind.fold(1.0, f64::max).min(PACE_MOST)
+        common * (1.0 + view.slowdown[kind as usize]) * overdue.fold(1.0, f64::max).min(MAX_SLOWDOWN)
     }
 
-    pub(super) fn mean_read(&self) -> f64 {
-        let [n, sum, ..] = self.fits[Kind::Read as usize].0;
-        if n > 0.0 { sum / n } else { LEAST_READ }
+    /// Mean number of tokens of recent reads, including the tokens that were ahead of them.
+    pub(super) fn mean_read_tokens(&self) -> f64 {
+        let [count, sum_tokens, ..] = self.latency_fits[AttemptKind::Read as usize].0;
+        if count > 0.0 { sum_tokens / count } else { MIN_READ_TOKENS }
     }
 
-    /// Whether a server's own report, or where none is to be had our sends, tell what waits there now.
-    pub(super) fn fresh(&self, view: &View, now: Time) -> bool {
-        !self.may_ask || view.report.is_some_and(|(_, _, at)| now <= at + (FRESH * self.least_aim()) as Time)
+    /// Whether the load of a server is known: by a recent report, or by this front's own sends where reports
+    /// are not used.
+    pub(super) fn has_fresh_load(&self, view: &ServerView, now: Time) -> bool {
+        !self.relies_on_reports
+            || view.load_report.is_some_and(|(_, _, at)| {
+                now <= at + (REPORT_FRESH_TARGETS * self.shortest_ttft_target()) as Time
+            })
     }
 
-    /// Prompt tokens ahead of a new read: as reported, and ours, which a report lags behind.
-    pub(super) fn ahead(&self, view: &View, now: Time) -> f64 {
-        let report = view.report.filter(|_| self.may_ask && self.fresh(view, now));
-        report.map_or(0.0, |(_, waiting, _)| waiting) + view.waiting().map(|job| job.unread).sum::<f64>()
+    /// Prompt tokens ahead of a new read: those in the report, and those of this front's attempts, which the
+    /// report may not include yet.
+    pub(super) fn tokens_ahead(&self, view: &ServerView, now: Time) -> f64 {
+        let report = view.load_report.filter(|_| self.relies_on_reports && self.has_fresh_load(view, now));
+        report.map_or(0.0, |(_, waiting, _)| waiting)
+            + view.awaiting_first_token().map(|attempt| attempt.uncached_tokens).sum::<f64>()
     }
 
-    /// Reads that the other fronts, if they are like us, have sent to a reader since its report's content.
-    pub(super) fn others(&self) -> f64 {
-        let readers = self.index.reader_weight.max(1.0);
-        let each = if self.gap > 0.0 && self.may_ask { self.least_aim() / self.gap } else { 0.0 };
-        each * f64::from(self.set.fronts - 1) / readers
+    /// Expected number of reads that the other fronts have sent to one reader since its report was taken, if
+    /// they send as this front does.
+    pub(super) fn expected_reads_by_others(&self) -> f64 {
+        let readers = self.server_index.reader_weight.max(1.0);
+        let reads_per_front = if self.mean_arrival_gap > 0.0 && self.relies_on_reports {
+            self.shortest_ttft_target() / self.mean_arrival_gap
+        } else {
+            0.0
+        };
+        reads_per_front * f64::from(self.settings.fronts - 1) / readers
     }
 
-    /// Age of the oldest state of ours that waits for a cell's link: guards against jammed links.
-    pub(super) fn jam(&self, cell: Option<u32>, now: Time) -> f64 {
-        self.link_waits.oldest(cell, now)
+    /// Age of the oldest KV state of this front that waits for the link out of a cell; detects congested
+    /// links.
+    pub(super) fn oldest_pending_transfer(&self, cell: Option<u32>, now: Time) -> f64 {
+        self.pending_transfers.oldest_age(cell, now)
     }
 
-    /// An answer moves its server's pace against the common line, then the line by what is left.
-    pub(super) fn learn(&mut self, server: &ServerId, kind: Kind, x: f64, y: f64) {
-        let (fit, Some(view)) = (&mut self.fits[kind as usize], self.views.get_mut(server)) else { return };
-        let (common, pace) = (fit.at(x), &mut view.pace[kind as usize]);
+    /// Records a latency: first in the slowdown of the server relative to the shared fit, then, corrected by
+    /// that slowdown, in the shared fit.
+    pub(super) fn record_latency(
+        &mut self,
+        server: &ServerId,
+        kind: AttemptKind,
+        work_tokens: f64,
+        latency: f64,
+    ) {
+        let (fit, Some(view)) = (&mut self.latency_fits[kind as usize], self.views.get_mut(server)) else {
+            return;
+        };
+        let (common, slowdown) = (fit.predict(work_tokens), &mut view.slowdown[kind as usize]);
         if common > 0.0 {
-            *pace += PACE_STEP * ((y / common).clamp(1.0 / PACE_MOST, PACE_MOST) - 1.0 - *pace);
+            *slowdown += AVERAGE_WEIGHT
+                * ((latency / common).clamp(1.0 / MAX_SLOWDOWN, MAX_SLOWDOWN) - 1.0 - *slowdown);
         }
-        fit.learn(x, y / (1.0 + *pace));
+        fit.add_sample(work_tokens, latency / (1.0 + *slowdown));
     }
 
-    /// Suspends a server for a class, so long that all fronts together do not feed one that answers nothing.
-    pub(super) fn strike(&mut self, server: &ServerId, class: usize, now: Time) {
-        let base = (SUSPEND * self.least_aim()).max(self.gap / TRIALS);
+    /// Records a failure and suspends the server for a class. The suspension is long enough that all fronts
+    /// together send little to a server that answers nothing.
+    pub(super) fn record_failure(&mut self, server: &ServerId, class: usize, now: Time) {
+        let base =
+            (SUSPENSION_TARGETS * self.shortest_ttft_target()).max(self.mean_arrival_gap / MAX_TRIAL_SHARE);
         if let Some(health) = self.views.get_mut(server).map(|view| view.health.entry(class).or_default()) {
-            let span = base * f64::from(1u32 << health.strikes.min(DOUBLINGS));
-            (health.strikes, health.struck, health.until) = (health.strikes + 1, now, now + span as Time);
-            self.struck.insert(server.clone());
+            let suspension = base * f64::from(1u32 << health.failures.min(MAX_DOUBLINGS));
+            (health.failures, health.last_failure, health.suspended_until) =
+                (health.failures + 1, now, now + suspension as Time);
+            self.failed_servers.insert(server.clone());
         }
     }
 
-    /// Connections to a server that broke under this class since it last answered it, with this one.
-    pub(super) fn broke(&mut self, server: &ServerId, class: usize) -> u32 {
+    /// Records a broken connection. Returns how many broke under this class since the server last answered
+    /// it, this one included.
+    pub(super) fn record_broken_connection(&mut self, server: &ServerId, class: usize) -> u32 {
         let Some(view) = self.views.get_mut(server) else { return 0 };
         let health = view.health.entry(class).or_default();
-        health.broke += 1;
-        health.broke
+        health.broken_connections += 1;
+        health.broken_connections
     }
 
-    pub(super) fn answered(&mut self, server: &ServerId, class: usize, now: Time) {
+    /// Records that the server answered a class, and clears its failures for that class.
+    pub(super) fn record_answer(&mut self, server: &ServerId, class: usize, now: Time) {
         let Some(view) = self.views.get_mut(server) else { return };
-        view.health.insert(class, Health { answered: now, ..Health::default() });
-        self.flow[view.role as usize].1 += 1.0;
-        if view.health.values().all(|health| health.strikes == 0) {
-            self.struck.remove(server);
+        view.health.insert(class, ClassHealth { answered_at: now, ..ClassHealth::default() });
+        self.sent_answered[view.role as usize].1 += 1.0;
+        if view.health.values().all(|health| health.failures == 0) {
+            self.failed_servers.remove(server);
         }
     }
 
-    /// Suspected for a class: it failed for it, or for another one since it last answered this one.
-    pub(super) fn suspect(view: &View, class: usize) -> Option<&Health> {
-        let answered = view.health.get(&class).map_or(0, |health| health.answered);
-        let since = |health: &&Health| health.strikes > 0 && health.struck >= answered;
-        view.health.values().filter(since).max_by_key(|h| h.until)
+    /// The health record that makes a server a suspect for a class: it failed for this class, or for another
+    /// one since it last answered this one.
+    pub(super) fn suspect_health(view: &ServerView, class: usize) -> Option<&ClassHealth> {
+        let answered_at = view.health.get(&class).map_or(0, |health| health.answered_at);
+        let is_current = |health: &&ClassHealth| health.failures > 0 && health.last_failure >= answered_at;
+        view.health.values().filter(is_current).max_by_key(|h| h.suspended_until)
     }
 
-    /// Running, not suspected, or a suspect whose time for one trial has come.
-    pub(super) fn well(view: &View, class: usize, now: Time) -> bool {
-        let trial = |health: &Health| now >= health.until && view.waiting().next().is_none();
-        view.entry.listed == Listed::Running && Self::suspect(view, class).is_none_or(trial)
+    /// Whether a running server is no suspect, or is a suspect that is due for a single trial.
+    pub(super) fn is_healthy(view: &ServerView, class: usize, now: Time) -> bool {
+        let may_try = |health: &ClassHealth| {
+            now >= health.suspended_until && view.awaiting_first_token().next().is_none()
+        };
+        view.entry.listed == Listed::Running && Self::suspect_health(view, class).is_none_or(may_try)
     }
 
-    /// Whether our own requests meet too few of the servers for our own answers to tell how those do.
-    pub(super) fn sparse(&self) -> bool {
-        PROVEN * self.least_aim() < self.gap * self.views.len() as f64
+    /// Whether this front reaches each server so rarely that its own answers do not show how the servers are
+    /// doing.
+    pub(super) fn has_sparse_traffic(&self) -> bool {
+        PROOF_LIFE_TARGETS * self.shortest_ttft_target() < self.mean_arrival_gap * self.views.len() as f64
     }
 
-    /// Where several servers of a role fail this class, those that have not lately answered it come last:
-    /// guards against failures that each front meets at one server after the other.
-    pub(super) fn wary(&self, reads: bool, class: usize) -> Wary {
-        let of = self.struck.iter().filter_map(|server| self.views.get(server));
-        let of = of.inspect(|_| self.look()).filter(|view| (view.role == Role::Prefill) == reads);
-        let active = of.filter(|view| Self::suspect(view, class).is_some()).count() >= WARY;
-        Wary { active, class, life: (PROVEN * self.least_aim()) as Time }
+    /// Once several servers of a role are suspects for a class, servers that have not recently answered the
+    /// class come last. Otherwise each front would meet the same failure at one server after another.
+    pub(super) fn proof_requirement(&self, is_reader: bool, class: usize) -> ProofRequirement {
+        let failed = self.failed_servers.iter().filter_map(|server| self.views.get(server));
+        let failed = failed
+            .inspect(|_| self.count_examined())
+            .filter(|view| (view.role == Role::Prefill) == is_reader);
+        let is_active =
+            failed.filter(|view| Self::suspect_health(view, class).is_some()).count() >= MIN_SUSPECTS;
+        ProofRequirement {
+            is_active,
+            class,
+            lifetime: (PROOF_LIFE_TARGETS * self.shortest_ttft_target()) as Time,
+        }
     }
 
-    /// A report that is young enough to be evidence.
-    pub(super) fn reported(&self, view: &View, now: Time) -> Option<(f64, f64, Time)> {
-        view.report.filter(|(_, _, at)| (now - at) as f64 <= REPORT_LIFE * self.least_aim())
+    /// The load report, if it is recent enough to be evidence.
+    pub(super) fn recent_report(&self, view: &ServerView, now: Time) -> Option<(f64, f64, Time)> {
+        view.load_report
+            .filter(|(_, _, at)| (now - at) as f64 <= REPORT_LIFE_TARGETS * self.shortest_ttft_target())
     }
 
-    /// Tokens that a writer holds: as reported, plus ours since. Without a report as much as writers usually
-    /// report: guards against unknown writers that look empty, which drew states over the links.
-    pub(super) fn held_tokens(&self, view: &View, now: Time) -> f64 {
-        match self.reported(view, now) {
+    /// Estimates the tokens that a writer holds: the reported ones, plus those that this front has sent
+    /// since. Without a report the estimate is the mean that writers report. Otherwise unknown writers would
+    /// look empty and draw KV states over the links between cells.
+    pub(super) fn estimated_tokens(&self, view: &ServerView, now: Time) -> f64 {
+        match self.recent_report(view, now) {
             Some((share, _, at)) => {
-                let since = view.jobs.values().filter(|job| job.sent > at).map(|job| job.tokens);
-                share * view.kv + since.sum::<f64>() * f64::from(self.set.fronts.min(HERD))
+                let sent_since = view
+                    .attempts
+                    .values()
+                    .filter(|attempt| attempt.sent_at > at)
+                    .map(|attempt| attempt.kv_tokens);
+                share * view.kv_capacity
+                    + sent_since.sum::<f64>() * f64::from(self.settings.fronts.min(MAX_HERD_FRONTS))
             }
-            None => view.tokens().max(self.usual_tokens),
+            None => view.outstanding_tokens().max(self.mean_writer_tokens),
         }
     }
 
-    /// What is not known to be full is tried: a usual share must not shut writers that nobody asks then.
-    pub(super) fn memory(&self, view: &View, now: Time) -> f64 {
-        let held = self.reported(view, now).map_or(view.tokens(), |_| self.held_tokens(view, now));
-        if view.kv > 0.0 { held / view.kv } else { 0.0 }
+    /// Estimated share of KV memory in use. Without a report only this front's own tokens count: the mean
+    /// estimate could exclude writers that then are never probed.
+    pub(super) fn memory_share(&self, view: &ServerView, now: Time) -> f64 {
+        let tokens = self
+            .recent_report(view, now)
+            .map_or(view.outstanding_tokens(), |_| self.estimated_tokens(view, now));
+        if view.kv_capacity > 0.0 { tokens / view.kv_capacity } else { 0.0 }
     }
 
-    /// Whole reads go to a writer by turns drawn at random, about as many as the slack gained at the nominal
-    /// pace pays for. Guards against fronts, blind to each other's streams, that each send a first at once.
-    pub(super) fn turn(&self, view: &View, time: f64, now: Time, salt: &mut TurnSalt) -> bool {
-        let slot = now / (time / (1.0 - NOMINAL)).max(1.0) as Time;
-        let draw = hash(view.name, salt.of(self.set.me, slot));
-        unit(draw) * f64::from(self.set.fronts) <= TURNS
+    /// Whether this front has a turn to send a combined attempt to a writer. Turns are drawn at random, about
+    /// as many as the slack gained at the nominal pace pays for. Otherwise many fronts, which do not see each
+    /// other's streams, would each send their first one at the same time.
+    pub(super) fn has_combined_turn(
+        &self,
+        view: &ServerView,
+        read_time: f64,
+        now: Time,
+        salt: &mut TurnSalt,
+    ) -> bool {
+        let slot = now / (read_time / (1.0 - NOMINAL_TPOT_SHARE)).max(1.0) as Time;
+        let draw = hash(view.name_hash, salt.for_slot(self.settings.me, slot));
+        unit_interval(draw) * f64::from(self.settings.fronts) <= COMBINED_TURNS
     }
 
-    /// What the streams of a writer have gained on their TPOT aim at the nominal pace.
-    pub(super) fn slack(view: &View, now: Time) -> f64 {
-        let answers = view.jobs.values().filter(|job| job.first.is_some() || job.kind == Kind::Whole);
-        let slack = answers.map(|job| (now - job.first.unwrap_or(now)) as f64 * (1.0 / NOMINAL - 1.0));
+    /// The least time that any stream of a writer has gained on its TPOT target at the nominal pace.
+    pub(super) fn stream_slack(view: &ServerView, now: Time) -> f64 {
+        let streams = view
+            .attempts
+            .values()
+            .filter(|attempt| attempt.first_token_at.is_some() || attempt.kind == AttemptKind::Combined);
+        let slack = streams.map(|attempt| {
+            (now - attempt.first_token_at.unwrap_or(now)) as f64 * (1.0 / NOMINAL_TPOT_SHARE - 1.0)
+        });
         slack.fold(f64::MAX, f64::min)
     }
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,130 +1,159 @@
-//! Where a prompt is read: rules 1, 2 and 3.
+//! Chooses the server that reads a prompt (rules 1, 2 and 3). It does not choose the writer that later
+//! fetches the KV state; `hand_over` does.
+//!
+//! A read starts only while at least one writer can start the stream in time.
 use super::*;
 
 impl Router {
-    /// Rules 1, 2 and 3 in this order; the request is held where none takes it.
-    pub(super) fn place(&mut self, now: Time, id: ReqId) -> (Step, Kind) {
-        if !self.may_send(now, id, None) || !self.has_room(now, id) {
-            return (Step::Next, Kind::Read);
+    /// Applies rules 1, 2 and 3 in this order. The request stays held if no server accepts it.
+    pub(super) fn place_request(&mut self, now: Time, id: ReqId) -> (Placement, AttemptKind) {
+        if !self.may_attempt(now, id, None) || !self.any_writer_can_start_stream(now, id) {
+            return (Placement::NotFound, AttemptKind::Read);
         }
         let ranking = self.ranking(id);
-        let step = self.place_read(now, id, &ranking.order);
-        let Some(request) = self.requests.get_mut(&id) else { return (Step::Next, Kind::Read) };
+        let placement = self.choose_reader(now, id, &ranking.order);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return (Placement::NotFound, AttemptKind::Read);
+        };
         request.ranking = Some(ranking);
-        match step {
-            Step::Next => (self.place_whole(now, id), Kind::Whole),
-            step => (step, Kind::Read),
+        match placement {
+            Placement::NotFound => (self.choose_combined_server(now, id), AttemptKind::Combined),
+            placement => (placement, AttemptKind::Read),
         }
     }
 
-    /// Rules 1 and 2.
-    fn place_read(&self, now: Time, id: ReqId, order: &[RankedReader]) -> Step {
-        let Some(request) = self.requests.get(&id) else { return Step::Next };
-        if request.tries + 1 >= self.set.most_tries {
-            return Step::Next;
+    /// Rules 1 and 2: chooses a reader. The last attempt is left for the writer.
+    fn choose_reader(&self, now: Time, id: ReqId, order: &[RankedReader]) -> Placement {
+        let Some(request) = self.requests.get(&id) else { return Placement::NotFound };
+        if request.attempts + 1 >= self.settings.most_tries {
+            return Placement::NotFound;
         }
-        let (ask, left) = (&request.ask, request.left(now));
-        let read = |view: &View| self.read_time(view, ask, Kind::Read, now);
-        // Rule 1: an idle reader, unless so many reads by others are to be expected since its report that
-        // some would wait: guards against herds there.
-        let crowd = self.others() > RUNNING;
-        let idle = |v: &View| !crowd && v.jobs.is_empty() && self.ahead(v, now) < LEAST_READ;
-        // Rule 2: a running reader with nothing waiting that will be on time. No predicted end has passed,
-        // and time is left for what other fronts sent since the report was true.
-        let blind = if self.may_ask { BLIND * left.min(self.least_aim()) } else { 0.0 };
-        let on_time = |v: &View| {
-            v.jobs.len() <= 1
-                && (!request.late(now) || self.ahead(v, now) < LEAST_READ)
-                && v.jobs.values().all(|job| job.due >= now)
-                && self.ahead(v, now) <= RUNNING * self.mean_read()
-                && read(v) + blind <= left
+        let (arrival, time_left) = (&request.arrival, request.time_left(now));
+        let read_time = |view: &ServerView| self.predict_read(view, arrival, AttemptKind::Read, now);
+        // Rule 1: an idle reader. The rule is skipped if the other fronts are expected to have sent so many
+        // reads since its report that some would wait. Otherwise all fronts would send to the same reader
+        // (thundering herd).
+        let is_crowded = self.expected_reads_by_others() > RUNNING_READS;
+        let is_idle = |v: &ServerView| {
+            !is_crowded && v.attempts.is_empty() && self.tokens_ahead(v, now) < MIN_READ_TOKENS
+        };
+        // Rule 2: a reader that is reading, has nothing waiting and will finish in time. No predicted end
+        // there has passed, and time remains for reads that other fronts sent after the report was taken.
+        let report_lag = if self.relies_on_reports {
+            REPORT_LAG_TARGETS * time_left.min(self.shortest_ttft_target())
+        } else {
+            0.0
+        };
+        let is_on_time = |v: &ServerView| {
+            v.attempts.len() <= 1
+                && (!request.is_late(now) || self.tokens_ahead(v, now) < MIN_READ_TOKENS)
+                && v.attempts.values().all(|attempt| attempt.predicted_end >= now)
+                && self.tokens_ahead(v, now) <= RUNNING_READS * self.mean_read_tokens()
+                && read_time(v) + report_lag <= time_left
         };
-        if self.may_ask {
+        if self.relies_on_reports {
             let readers = || self.readers_in_turn(now, request, order);
-            return match self.first_of(now, ask, readers(), idle) {
-                Step::Next => self.first_of(now, ask, readers(), on_time),
-                step => step,
+            return match self.first_accepting(now, arrival, readers(), is_idle) {
+                Placement::NotFound => self.first_accepting(now, arrival, readers(), is_on_time),
+                placement => placement,
             };
         }
         let readers = self.readers_by_time(now, request, order);
-        match self.first_of(now, ask, readers.iter().copied(), idle) {
-            Step::Next => self.first_of(now, ask, readers.iter().copied(), on_time),
-            step => step,
+        match self.first_accepting(now, arrival, readers.iter().copied(), is_idle) {
+            Placement::NotFound => self.first_accepting(now, arrival, readers.iter().copied(), is_on_time),
+            placement => placement,
         }
     }
 
-    /// Rule 3: a writer under its memory mark whose streams all have slack above this read.
-    fn place_whole(&self, now: Time, id: ReqId) -> Step {
-        let Some(request) = self.requests.get(&id) else { return Step::Next };
-        let (ask, left, salt) = (&request.ask, request.left(now), id.0.to_string());
+    /// Rule 3: reads and answers at one server, a mixed server or a writer. Its memory use is below the
+    /// limit, and the slack of all its streams exceeds the duration of this read.
+    fn choose_combined_server(&self, now: Time, id: ReqId) -> Placement {
+        let Some(request) = self.requests.get(&id) else { return Placement::NotFound };
+        let (arrival, time_left, salt) = (&request.arrival, request.time_left(now), id.0.to_string());
         let mut turns = TurnSalt::default();
-        let absorbs = |view: &&View| {
-            if view.role != Role::Mixed && !self.set.writers_read {
+        let can_take = |view: &&ServerView| {
+            if view.role != Role::Mixed && !self.settings.writers_read {
                 return false;
             }
-            let time = self.read_time(view, ask, Kind::Whole, now);
-            time <= left
-                && self.roomy(view, request, now)
-                && self.memory(view, now) < ABSORB_MARK
-                && Self::slack(view, now) > time
-                && self.turn(view, time, now, &mut turns)
+            let read_time = self.predict_read(view, arrival, AttemptKind::Combined, now);
+            read_time <= time_left
+                && self.can_start_stream(view, request, now)
+                && self.memory_share(view, now) < MEMORY_LIMIT_COMBINED
+                && Self::stream_slack(view, now) > read_time
+                && self.has_combined_turn(view, read_time, now, &mut turns)
         };
-        let mut absorbers: Vec<&View> = self.scan().filter(absorbs).collect();
-        absorbers.sort_by_cached_key(|v| (v.role != Role::Mixed, hash(v.name, &salt)));
-        self.first_of(now, ask, absorbers.iter().copied(), |_| true)
+        let mut candidates: Vec<&ServerView> = self.scan_servers().filter(can_take).collect();
+        candidates.sort_by_cached_key(|v| (v.role != Role::Mixed, hash(v.name_hash, &salt)));
+        self.first_accepting(now, arrival, candidates.iter().copied(), |_| true)
     }
 
-    /// The first of these servers that takes a read, each asked for its load before it is passed over. No
-    /// answer counts as busy: guards against fronts that see an idle fleet because they have nothing out. It
-    /// leaves the next its turn: guards against a home that has fallen silent.
-    fn first_of<'a>(
+    /// Returns the first candidate that accepts a read. Each candidate is probed for its load before it is
+    /// passed over. While the answer is due, the candidate counts as busy: otherwise fronts with nothing in
+    /// flight would see an idle fleet. Once the probe has timed out, the next candidate has its turn, so that
+    /// a silent home server does not block its sessions.
+    fn first_accepting<'a>(
         &self,
         now: Time,
-        ask: &Arrival,
-        of: impl Iterator<Item = &'a View>,
-        takes: impl Fn(&View) -> bool,
-    ) -> Step {
-        let wait = (PROBE_WAIT * self.least_aim()) as Time;
-        let (mut told, most) = (0, if ask.session.is_some() { 1 } else { PROBES });
-        for view in of {
-            if self.may_ask && told >= most {
+        arrival: &Arrival,
+        candidates: impl Iterator<Item = &'a ServerView>,
+        accepts: impl Fn(&ServerView) -> bool,
+    ) -> Placement {
+        let probe_timeout = (PROBE_TIMEOUT_TARGETS * self.shortest_ttft_target()) as Time;
+        let (mut reported, max_reported) = (0, if arrival.session.is_some() { 1 } else { MAX_PROBES });
+        for view in candidates {
+            if self.relies_on_reports && reported >= max_reported {
                 break;
             }
-            if self.fresh(view, now) {
-                if takes(view) {
-                    return Step::Take(view.entry.server.clone());
+            if self.has_fresh_load(view, now) {
+                if accepts(view) {
+                    return Placement::Selected(view.entry.server.clone());
                 }
-                told += 1;
-            } else if now >= view.probed + (FRESH * self.least_aim()) as Time {
-                return Step::Ask(Some(view.entry.server.clone()));
-            } else if now < view.probed + wait {
-                return Step::Ask(None);
+                reported += 1;
+            } else if now >= view.last_probe + (REPORT_FRESH_TARGETS * self.shortest_ttft_target()) as Time {
+                return Placement::Probing(Some(view.entry.server.clone()));
+            } else if now < view.last_probe + probe_timeout {
+                return Placement::Probing(None);
             }
         }
-        Step::Next
+        Placement::NotFound
     }
 
-    /// A server that may take this request, as far as its health and the guards tell.
-    pub(super) fn usable(&self, view: &View, request: &Request, now: Time) -> bool {
-        Self::well(view, request.ask.class, now) && self.may_take(now, request, view)
+    /// Whether a server may take this request, judged by its health and the guards.
+    pub(super) fn is_usable(&self, view: &ServerView, request: &Request, now: Time) -> bool {
+        Self::is_healthy(view, request.arrival.class, now) && self.may_attempt_at(now, request, view)
     }
 
-    /// A writer under its memory mark that begins a stream in time: guards against reads that none takes.
-    pub(super) fn roomy(&self, view: &View, request: &Request, now: Time) -> bool {
-        let mark = if request.late(now) { ABSORB_MARK } else { MARK };
-        let hand = || view.oldest(now).max(self.predict(view, Kind::Near, request.ask.prompt, now));
+    /// Whether a writer below its memory limit can start a stream in time. Otherwise a prompt would be read
+    /// that no writer takes.
+    pub(super) fn can_start_stream(&self, view: &ServerView, request: &Request, now: Time) -> bool {
+        let memory_limit = if request.is_late(now) { MEMORY_LIMIT_COMBINED } else { MEMORY_LIMIT };
+        let fetch_time = || {
+            view.oldest_wait(now).max(self.predict_latency(
+                view,
+                AttemptKind::LocalFetch,
+                request.arrival.prompt,
+                now,
+            ))
+        };
         view.role != Role::Prefill
-            && self.usable(view, request, now)
-            && self.memory(view, now) < mark
-            && hand() < request.left(now)
+            && self.is_usable(view, request, now)
+            && self.memory_share(view, now) < memory_limit
+            && fetch_time() < request.time_left(now)
     }
 
-    fn has_room(&self, now: Time, id: ReqId) -> bool {
+    fn any_writer_can_start_stream(&self, now: Time, id: ReqId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        self.scan().any(|view| self.roomy(view, request, now))
+        self.scan_servers().any(|view| self.can_start_stream(view, request, now))
     }
 
-    pub(super) fn read_time(&self, view: &View, ask: &Arrival, kind: Kind, now: Time) -> f64 {
-        self.predict(view, kind, self.ahead(view, now) + view.unread(ask), now)
+    /// Predicts the time until a new read of this prompt ends at the server, including the reads ahead of it.
+    pub(super) fn predict_read(
+        &self,
+        view: &ServerView,
+        arrival: &Arrival,
+        kind: AttemptKind,
+        now: Time,
+    ) -> f64 {
+        self.predict_latency(view, kind, self.tokens_ahead(view, now) + view.uncached_tokens(arrival), now)
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,191 +1,235 @@
-//! Requests coming and going.
+//! The life cycle of requests: arrival, first token, end of an attempt, client disconnect, and the periodic
+//! sweep. It does not choose servers.
+//!
+//! A request leaves the table only through `finish`, which gives its one final answer.
 use super::*;
 
 impl Router {
-    pub(super) fn arrived(&mut self, now: Time, ask: Arrival) {
-        let aim = self.set.classes.get(ask.class).map_or(ask.time_left as f64, |class| {
-            class.ttft_aim as f64 + class.ttft_aim_per_1000 * ask.prompt / 1000.0
+    /// Records a new request, its TTFT target and whether its tenant is over quota.
+    pub(super) fn on_arrival(&mut self, now: Time, arrival: Arrival) {
+        let ttft_target =
+            self.settings.classes.get(arrival.class).map_or(arrival.time_left as f64, |class| {
+                class.ttft_aim as f64 + class.ttft_aim_per_1000 * arrival.prompt / 1000.0
+            });
+        let (tenant, bucket) =
+            (self.settings.tenants.get(arrival.tenant), self.quota_buckets.get_mut(arrival.tenant));
+        let is_over_quota = tenant.zip(bucket).is_some_and(|(tenant, (level, updated_at))| {
+            let rate = tenant.quota_per_s / f64::from(self.settings.fronts);
+            *level = (*level - rate * (now - *updated_at) as f64 / 1e6).max(0.0);
+            *updated_at = now;
+            let is_over = *level > QUOTA_BURST_S * rate;
+            *level += if is_over { 0.0 } else { 1.0 };
+            is_over
         });
-        let (tenant, bucket) = (self.set.tenants.get(ask.tenant), self.quota.get_mut(ask.tenant));
-        let over = tenant.zip(bucket).is_some_and(|(tenant, (level, at))| {
-            let rate = tenant.quota_per_s / f64::from(self.set.fronts);
-            *level = (*level - rate * (now - *at) as f64 / 1e6).max(0.0);
-            *at = now;
-            let over = *level > QUOTA_SPAN * rate;
-            *level += if over { 0.0 } else { 1.0 };
-            over
-        });
-        let (step, since) = if self.came > 0 { (PACE_STEP, now - self.came) } else { (1.0, 0) };
-        self.usual_prompt += step * (ask.prompt.max(1.0).ln() - self.usual_prompt);
-        self.gap += step * (since as f64 - self.gap);
-        self.came = now;
-        let id = ask.id;
-        // Guards against answers due after this front has ended.
-        let deadline = (now + ask.time_left).min(self.stop.map_or(Time::MAX, |(_, _, end)| end));
-        let request = Request { arrived: now, deadline, aim, over, ask, ..Request::default() };
+        let (weight, gap) =
+            if self.last_arrival > 0 { (AVERAGE_WEIGHT, now - self.last_arrival) } else { (1.0, 0) };
+        self.mean_log_prompt += weight * (arrival.prompt.max(1.0).ln() - self.mean_log_prompt);
+        self.mean_arrival_gap += weight * (gap as f64 - self.mean_arrival_gap);
+        self.last_arrival = now;
+        let id = arrival.id;
+        // No answer may be due after this front has ended.
+        let deadline = (now + arrival.time_left).min(self.shutdown.map_or(Time::MAX, |(_, _, end)| end));
+        let request =
+            Request { arrived_at: now, deadline, ttft_target, is_over_quota, arrival, ..Request::default() };
         self.requests.insert(id, request);
     }
 
-    pub(super) fn first(&mut self, now: Time, id: ReqId, server: &ServerId) {
+    /// Records that the stream has started: the writer has fetched the KV state and has answered.
+    pub(super) fn on_first_token(&mut self, now: Time, id: ReqId, server: &ServerId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.streaming = true;
-        request.state = None;
+        request.is_streaming = true;
+        request.kv_state = None;
         let Some(view) = self.views.get_mut(server) else { return };
-        let Some(job) = view.jobs.get_mut(&id) else { return };
-        job.first = Some(now);
-        let job = job.clone();
-        let class = request.ask.class;
-        self.link_waits.remove(job.from, id);
-        if job.kind == Kind::Whole {
-            self.remember(server, id, job.tokens, now);
+        let Some(attempt) = view.attempts.get_mut(&id) else { return };
+        attempt.first_token_at = Some(now);
+        let attempt = attempt.clone();
+        let class = request.arrival.class;
+        self.pending_transfers.remove(attempt.source_cell, id);
+        if attempt.kind == AttemptKind::Combined {
+            self.record_cached_texts(server, id, attempt.kv_tokens, now);
         }
-        self.answered(server, class, now);
-        self.learn(server, job.kind, job.x, (now - job.sent) as f64);
+        self.record_answer(server, class, now);
+        self.record_latency(server, attempt.kind, attempt.work_tokens, (now - attempt.sent_at) as f64);
     }
 
-    pub(super) fn ended(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Records how an attempt ended, releases a KV state that can no longer be used, and hands over, retries
+    /// or finishes the request.
+    pub(super) fn on_attempt_ended(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let Event::Ended { id, server, outcome, settled, note, load, .. } = event else { return };
         let server = &server;
-        self.report(now, server, load);
-        let job = self.views.get_mut(server).and_then(|view| view.jobs.remove(&id));
-        if let Some(job) = &job {
-            self.link_waits.remove(job.from, id);
+        self.record_report(now, server, load);
+        let attempt = self.views.get_mut(server).and_then(|view| view.attempts.remove(&id));
+        if let Some(attempt) = &attempt {
+            self.pending_transfers.remove(attempt.source_cell, id);
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.out = None;
-        let let_go = std::mem::take(&mut request.let_go);
-        // The state's time starts anew at what an attempt came to only where it is known to have arrived,
-        // or where the state was let go of beside it: one that never came up, or was written to a silent
-        // link, was never out. Guards against try after try.
-        let arrived = matches!(outcome, Outcome::Full | Outcome::Error);
-        let anew = arrived || (let_go && outcome != Outcome::NoConnection);
-        if let Some((_, since)) = request.state.as_mut().filter(|_| anew) {
+        request.in_flight = None;
+        let is_released = std::mem::take(&mut request.is_state_released);
+        // The release clock of the KV state restarts only if the attempt is known to have arrived, or if the
+        // state was released while the attempt was in flight. An attempt that never connected, or that was
+        // written to a silent link, did not stop the clock. Otherwise retry after retry would keep the state.
+        let has_arrived = matches!(outcome, Outcome::Full | Outcome::Error);
+        let restarts_clock = has_arrived || (is_released && outcome != Outcome::NoConnection);
+        if let Some((_, since)) = request.kv_state.as_mut().filter(|_| restarts_clock) {
             *since = now;
         }
-        // A state that a writer misses may be out of reach, behind a cut: let go of it before reading anew.
-        let missed = outcome == Outcome::Full && note == 1;
-        // Let go of beside an attempt that never came up, or that ran out of time: held to be gone. Where
-        // the attempt had arrived it is let go of now: at a silent or hung server the next would find
-        // nothing to fetch.
-        let gone = let_go && matches!(outcome, Outcome::NoConnection | Outcome::TimedOut);
-        if missed || gone || request.state.as_ref().is_some_and(|(_, since)| now > since + self.set.let_go_by)
+        // The writer did not find the KV state: it may be unreachable behind a network partition. Release it
+        // before the prompt is read again.
+        let is_state_missing = outcome == Outcome::Full && note == 1;
+        // The state was released while the attempt was in flight, and the attempt never connected or timed
+        // out: the state counts as gone. If that attempt had arrived, the state is released now; at a silent
+        // or hung server the next attempt would find nothing to fetch.
+        let is_state_gone = is_released && matches!(outcome, Outcome::NoConnection | Outcome::TimedOut);
+        if is_state_missing
+            || is_state_gone
+            || request.kv_state.as_ref().is_some_and(|(_, since)| now > since + self.settings.let_go_by)
         {
-            request.state = None;
-            out.push(Action::Release { id });
+            request.kv_state = None;
+            actions.push(Action::Release { id });
         }
-        let class = request.ask.class;
-        let whole = job.as_ref().is_some_and(|job| job.kind != Kind::Read);
+        let class = request.arrival.class;
+        let may_answer = attempt.as_ref().is_some_and(|attempt| attempt.kind != AttemptKind::Read);
         match outcome {
             Outcome::Read => {
-                request.state = Some((server.clone(), now));
-                let prompt = request.ask.prompt;
-                if let Some(job) = job.as_ref().filter(|_| self.views.contains_key(server)) {
-                    self.remember(server, id, note as f64, now);
-                    let x = job.x - job.unread + (prompt - note as f64).max(0.0);
-                    self.answered(server, class, now);
-                    self.learn(server, Kind::Read, x, (now - job.sent) as f64);
+                request.kv_state = Some((server.clone(), now));
+                let prompt = request.arrival.prompt;
+                if let Some(attempt) = attempt.as_ref().filter(|_| self.views.contains_key(server)) {
+                    self.record_cached_texts(server, id, note as f64, now);
+                    let work_tokens =
+                        attempt.work_tokens - attempt.uncached_tokens + (prompt - note as f64).max(0.0);
+                    self.record_answer(server, class, now);
+                    self.record_latency(
+                        server,
+                        AttemptKind::Read,
+                        work_tokens,
+                        (now - attempt.sent_at) as f64,
+                    );
                 }
             }
-            _ if missed => {}
+            _ if is_state_missing => {}
             Outcome::Served | Outcome::NotSent | Outcome::Cancelled => {}
-            // One broken connection says little of a server, and one that has died refuses the next at once:
-            // guards against resets on the way that would suspend one server after the other.
-            Outcome::Broken if self.broke(server, class) <= BROKE => {}
+            // One broken connection says little about a server, and a server that has died refuses the next
+            // connection at once. Otherwise resets in the network would suspend one server after another.
+            Outcome::Broken if self.record_broken_connection(server, class) <= TOLERATED_BREAKS => {}
             _ => {
-                self.strike(server, class, now);
-                // What ran out of time took at least so long: guards against slow servers and jammed links
-                // that would look quick, since only answers taught, and against time-outs too short for all.
-                let took = |job: &&Job| outcome == Outcome::TimedOut || job.kind == Kind::Far;
-                if let Some(job) = job.as_ref().filter(took) {
-                    self.learn(server, job.kind, job.x, (now - job.sent) as f64);
+                self.record_failure(server, class, now);
+                // A timed-out attempt took at least this long. If only answers were recorded, slow servers
+                // and congested links would look fast, and time-outs would stay too short for all.
+                let shows_latency = |attempt: &&Attempt| {
+                    outcome == Outcome::TimedOut || attempt.kind == AttemptKind::RemoteFetch
+                };
+                if let Some(attempt) = attempt.as_ref().filter(shows_latency) {
+                    self.record_latency(
+                        server,
+                        attempt.kind,
+                        attempt.work_tokens,
+                        (now - attempt.sent_at) as f64,
+                    );
                 }
             }
         }
-        // A read may have ended well as its connection broke: guards against its state waiting there unseen.
-        if !whole && !outcome.never_ran() {
-            out.push(Action::Release { id });
+        // The read may have succeeded although its connection broke: release the state that may wait there.
+        if !may_answer && !outcome.never_ran() {
+            actions.push(Action::Release { id });
         }
-        let closing = self.closing(now, id);
+        let is_closing = self.must_answer_now(now, id);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if whole && !outcome.never_ran() && request.ran.is_none() {
-            request.ran = Some((server.clone(), job.map_or(now, |job| job.sent)));
+        if may_answer && !outcome.never_ran() && request.may_have_run.is_none() {
+            request.may_have_run = Some((server.clone(), attempt.map_or(now, |attempt| attempt.sent_at)));
         }
-        request.ended |= settled;
-        let over = request.ended || outcome == Outcome::NotSent || closing;
-        if over || (!self.hand_over(now, id, out) && !self.may_send(now, id, None)) {
-            self.finish(now, id, out);
+        request.is_settled |= settled;
+        let is_final = request.is_settled || outcome == Outcome::NotSent || is_closing;
+        if is_final || (!self.hand_over(now, id, actions) && !self.may_attempt(now, id, None)) {
+            self.finish(now, id, actions);
         }
     }
 
-    pub(super) fn gone(&mut self, now: Time, id: ReqId, out: &mut Vec<Action>) {
+    /// Marks the request as settled and cancels the attempt in flight, or finishes the request if there is
+    /// none.
+    pub(super) fn on_client_gone(&mut self, now: Time, id: ReqId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.ended = true;
-        match &request.out {
-            None => self.finish(now, id, out),
-            Some((_, attempt)) if self.set.may_cancel => out.push(Action::Cancel { id, attempt: *attempt }),
+        request.is_settled = true;
+        match &request.in_flight {
+            None => self.finish(now, id, actions),
+            Some((_, attempt)) if self.settings.may_cancel => {
+                actions.push(Action::Cancel { id, attempt: *attempt })
+            }
             _ => {}
         }
     }
 
-    pub(super) fn sweep(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.armed = false;
-        if self.asked.is_some_and(|at| now >= at) {
-            self.asked = Some(now + self.set.ask_within / ASK_AGAIN);
-            out.push(Action::Subscribe);
+    /// Periodic work: repeats a failed call for the list, moves streams before shutdown, releases overdue KV
+    /// states and ends holds that took too long.
+    pub(super) fn sweep(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.is_sweep_scheduled = false;
+        if self.subscribe_retry_at.is_some_and(|at| now >= at) {
+            self.subscribe_retry_at = Some(now + self.settings.ask_within / SUBSCRIBE_RETRIES);
+            actions.push(Action::Subscribe);
         }
-        self.move_streams(now, out);
-        let keep = (LET_GO * self.set.let_go_by as f64) as Time;
-        self.let_go_beside_attempts(now, out);
-        let stuck: Vec<ReqId> = self.held().collect();
-        for id in stuck {
+        self.move_streams(now, actions);
+        let max_wait = (RELEASE_SHARE * self.settings.let_go_by as f64) as Time;
+        self.release_states_in_flight(now, actions);
+        let held: Vec<ReqId> = self.held_requests().collect();
+        for id in held {
             let Some(request) = self.requests.get_mut(&id) else { return };
-            if request.state.as_ref().is_some_and(|(_, since)| now >= since + keep) {
-                request.state = None;
-                out.push(Action::Release { id });
+            if request.kv_state.as_ref().is_some_and(|(_, since)| now >= since + max_wait) {
+                request.kv_state = None;
+                actions.push(Action::Release { id });
             }
-            // The wait ends early for what has not been tried, at the aim for what is not read.
-            let wait = if request.tries == 0 { HOLD * request.aim } else { request.aim };
-            let early = request.state.is_none() && now >= request.arrived + wait as Time;
-            if early || self.closing(now, id) {
-                self.finish(now, id, out);
+            // A request that was never sent is held for a part of its TTFT target only; one that failed is
+            // held up to the target.
+            let wait = if request.attempts == 0 {
+                MAX_HOLD_TARGETS * request.ttft_target
+            } else {
+                request.ttft_target
+            };
+            let is_hold_over = request.kv_state.is_none() && now >= request.arrived_at + wait as Time;
+            if is_hold_over || self.must_answer_now(now, id) {
+                self.finish(now, id, actions);
             }
         }
     }
 
-    /// An attempt that was written may never arrive, and nothing tells: what it comes for is let go of all
-    /// the same, once. A server keeps what an attempt waits for there, so this takes nothing from one that
-    /// has arrived.
-    fn let_go_beside_attempts(&mut self, now: Time, out: &mut Vec<Action>) {
-        let keep = (LET_GO_BESIDE * self.set.let_go_by as f64) as Time;
+    /// Releases, once, the KV state of each attempt that has been in flight too long: the attempt may never
+    /// have arrived, and nothing reports that. A server keeps a state that an attempt is already waiting for,
+    /// so an attempt that has arrived loses nothing.
+    fn release_states_in_flight(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let max_wait = (RELEASE_SHARE_IN_FLIGHT * self.settings.let_go_by as f64) as Time;
         for (id, request) in &mut self.requests {
-            let due = request.state.as_ref().is_some_and(|(_, since)| now >= since + keep);
-            if due && request.out.is_some() && !request.let_go {
-                request.let_go = true;
-                out.push(Action::Release { id: *id });
+            let is_due = request.kv_state.as_ref().is_some_and(|(_, since)| now >= since + max_wait);
+            if is_due && request.in_flight.is_some() && !request.is_state_released {
+                request.is_state_released = true;
+                actions.push(Action::Release { id: *id });
             }
         }
     }
 
-    /// Where this front ends, streams that it would cut go on elsewhere before: one after the other over the
-    /// time that is left. Guards against all their clients coming again at once, which no reader can take.
-    fn move_streams(&mut self, now: Time, out: &mut Vec<Action>) {
-        let stop = self.stop.filter(|(due, _, _)| self.set.resume && now >= *due);
-        let Some((_, last, end)) = stop else { return };
-        let class = |request: &Request| self.set.classes.get(request.ask.class).map_or(0.0, |c| c.tpot_aim);
-        // One that is past its time at the nominal pace is at a slow writer: its end is not known.
-        let ends = |id: &ReqId, request: &Request| {
-            let job = self.views.get(&request.out.as_ref()?.0)?.jobs.get(id)?;
-            let tokens = job.tokens - request.ask.prompt;
-            let at = job.first? + (tokens * NOMINAL * class(request)) as Time;
-            Some(if at < now { Time::MAX } else { at }).filter(|at| *at > end)
+    /// Before this front ends, moves the streams that would be cut, one after the other over the remaining
+    /// time. Otherwise all their clients would come back at once, which no reader can serve.
+    fn move_streams(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let shutdown = self.shutdown.filter(|(next_move, _, _)| self.settings.resume && now >= *next_move);
+        let Some((_, last_move, end)) = shutdown else { return };
+        let tpot_target =
+            |request: &Request| self.settings.classes.get(request.arrival.class).map_or(0.0, |c| c.tpot_aim);
+        // A stream past its end at the nominal pace is at a slow writer: its end is unknown.
+        let end_past_shutdown = |id: &ReqId, request: &Request| {
+            let attempt = self.views.get(&request.in_flight.as_ref()?.0)?.attempts.get(id)?;
+            let output_tokens = attempt.kv_tokens - request.arrival.prompt;
+            let predicted_end =
+                attempt.first_token_at? + (output_tokens * NOMINAL_TPOT_SHARE * tpot_target(request)) as Time;
+            Some(if predicted_end < now { Time::MAX } else { predicted_end })
+                .filter(|predicted_end| *predicted_end > end)
         };
-        let cut = self.requests.iter().filter(|(_, request)| request.streaming && !request.ended);
-        let cut: Vec<_> = cut.filter_map(|(id, request)| Some((ends(id, request)?, *id))).collect();
-        let Some((_, id)) = cut.iter().max() else { return };
-        self.stop = Some((now + last.saturating_sub(now) / cut.len() as Time, last, end));
+        let interrupted =
+            self.requests.iter().filter(|(_, request)| request.is_streaming && !request.is_settled);
+        let interrupted: Vec<_> =
+            interrupted.filter_map(|(id, request)| Some((end_past_shutdown(id, request)?, *id))).collect();
+        let Some((_, id)) = interrupted.iter().max() else { return };
+        self.shutdown =
+            Some((now + last_move.saturating_sub(now) / interrupted.len() as Time, last_move, end));
         if let Some(request) = self.requests.get_mut(id) {
-            request.ended = true;
-            out.push(Action::Move { id: *id });
+            request.is_settled = true;
+            actions.push(Action::Move { id: *id });
         }
     }
 }
--- a/src/policy/tunables.rs
+++ b/src/policy/tunables.rs
@@ -1,97 +1,118 @@
-//! Tuned values: ratios of what is seen or of the settings.
-/// Weight that a fit keeps of its past at each new answer: about ten answers of memory.
-pub(super) const FIT_KEEP: f64 = 0.9;
-/// A server's own pace, and one late attempt there, slow predictions by this factor at most.
-pub(super) const PACE_MOST: f64 = 20.0;
-/// Weight of one answer in a server's own pace (it shows within a few), and of an arrival in their gap.
-pub(super) const PACE_STEP: f64 = 0.3;
-/// An attempt is given up after this many predicted times, at least after this share of the aim, or whole
-/// aims at fronts that see little: guards against reads begun anew while a crowded reader reads on.
-pub(super) const GIVE_UP: f64 = 4.0;
-pub(super) const GIVE_UP_AIM: f64 = 0.5;
-pub(super) const GIVE_UP_AIMS: f64 = 2.0;
-/// Memory mark: no read is begun when all writers hold more; the rest is room for answers to grow.
-pub(super) const MARK: f64 = 0.85;
-/// Memory mark of rule 3: a fuller writer's streams run too near their aim to wait for a read.
-pub(super) const ABSORB_MARK: f64 = 0.75;
-/// Fronts that have a turn of rule 3 at a writer at once: most have nothing to send then.
-pub(super) const TURNS: f64 = 2.0;
-/// Nominal pace of a stream, as a share of its TPOT aim: what it needs when nothing disturbs it.
-pub(super) const NOMINAL: f64 = 0.6;
-/// A request waits at the router for this share of its TTFT aim at most.
-pub(super) const HOLD: f64 = 0.38;
-/// First suspension after a failure, in shortest TTFT aims; it doubles so often, and is long enough that
-/// trials of one suspect are at most this share of our requests.
-pub(super) const SUSPEND: f64 = 0.5;
-pub(super) const DOUBLINGS: u32 = 4;
-pub(super) const TRIALS: f64 = 0.1;
-/// Connections that may break at a server, between two answers, before it is suspected.
-pub(super) const BROKE: u32 = 1;
-/// Suspects of a role from which on servers are preferred that answered the class within so many aims.
-pub(super) const WARY: usize = 2;
-pub(super) const PROVEN: f64 = 12.0;
-/// A state that no writer takes is let go after this share of the time that the rule allows.
-pub(super) const LET_GO: f64 = 0.6;
-/// One for which an attempt is out that may never have arrived: later, since most have, and a release is a
-/// call. What the platform gives beyond the rule's time is left for a call that has to go to other servers.
-pub(super) const LET_GO_BESIDE: f64 = 0.9;
-/// Share of the cold budget that is used: the rest is room for uneven splits among fronts.
-pub(super) const COLD_USE: f64 = 0.6;
-/// Readers of a cell with hardly any writers still get this part of the others' reads.
-pub(super) const LEAST_PART: f64 = 0.1;
-/// Our sends since a report stand for at most so many fronts that saw the same one.
-pub(super) const HERD: u32 = 4;
-/// With so few fronts our own sends tell more of a reader than its report, which lags.
+//! Tuned values. Most are ratios of observed values or of settings, so that they fit any deployment. They
+//! hold no state and no rules.
+//!
+//! Names with `_TARGETS` are multiples of a TTFT target; the other units are in the comments.
+/// Weight that a latency fit keeps of its past at each new sample: a memory of about ten samples. The counts
+/// of sent and answered attempts decay alike.
+pub(super) const FIT_DECAY: f64 = 0.9;
+/// Upper bound of the factor by which a server's slowdown, or one overdue attempt there, raises a prediction.
+pub(super) const MAX_SLOWDOWN: f64 = 20.0;
+/// Weight of a new sample in moving averages: a server's slowdown (visible within a few answers), the time
+/// between arrivals, prompt lengths and writers' tokens.
+pub(super) const AVERAGE_WEIGHT: f64 = 0.3;
+/// Time-out of an attempt, as a multiple of its predicted time.
+pub(super) const TIMEOUT_FACTOR: f64 = 4.0;
+/// Shortest time-out, as a multiple of the TTFT target.
+pub(super) const MIN_TIMEOUT_TARGETS: f64 = 0.5;
+/// Shortest time-out at fronts with sparse traffic, as a multiple of the TTFT target. A shorter one would
+/// start a read again elsewhere while a crowded reader still works on it.
+pub(super) const MIN_TIMEOUT_TARGETS_SPARSE: f64 = 2.0;
+/// Memory limit of writers, as a share of KV memory. No read starts while all writers are above it; the rest
+/// is room for answers to grow.
+pub(super) const MEMORY_LIMIT: f64 = 0.85;
+/// Memory limit for combined attempts (rule 3) and late requests. The streams of a fuller writer run too
+/// close to their target to wait for a read.
+pub(super) const MEMORY_LIMIT_COMBINED: f64 = 0.75;
+/// Average number of fronts that have a turn at a writer at the same time (rule 3). Most of them have nothing
+/// to send then.
+pub(super) const COMBINED_TURNS: f64 = 2.0;
+/// Nominal time per output token of an undisturbed stream, as a share of its TPOT target.
+pub(super) const NOMINAL_TPOT_SHARE: f64 = 0.6;
+/// Longest time that a request is held before its first attempt, as a multiple of the TTFT target.
+pub(super) const MAX_HOLD_TARGETS: f64 = 0.38;
+/// First suspension after a failure, as a multiple of the shortest TTFT target.
+pub(super) const SUSPENSION_TARGETS: f64 = 0.5;
+/// How many times suspensions and time-outs double at most.
+pub(super) const MAX_DOUBLINGS: u32 = 4;
+/// Upper bound of the share of this front's requests that are trials of one suspect.
+pub(super) const MAX_TRIAL_SHARE: f64 = 0.1;
+/// Connections that may break at a server between two answers before it becomes a suspect.
+pub(super) const TOLERATED_BREAKS: u32 = 1;
+/// Number of suspects of a role from which on servers are preferred that have recently answered the class.
+pub(super) const MIN_SUSPECTS: usize = 2;
+/// How long an answer counts as recent, as a multiple of the shortest TTFT target.
+pub(super) const PROOF_LIFE_TARGETS: f64 = 12.0;
+/// A KV state that no writer takes is released after this share of the allowed time.
+pub(super) const RELEASE_SHARE: f64 = 0.6;
+/// The same for a state whose attempt is in flight and may never have arrived. It is later, because most
+/// attempts have arrived and a release is a call. What the platform allows beyond the rule's time is left for
+/// calls that must go to other servers.
+pub(super) const RELEASE_SHARE_IN_FLIGHT: f64 = 0.9;
+/// Share of the cold budget that is used; the rest is room for uneven splits among fronts.
+pub(super) const COLD_BUDGET_SHARE: f64 = 0.6;
+/// Lower bound of a reader's relative share of reads in a cell with hardly any writers.
+pub(super) const MIN_READ_SHARE: f64 = 0.1;
+/// Tokens sent since a report count for at most this many fronts that saw the same report.
+pub(super) const MAX_HERD_FRONTS: u32 = 4;
+/// Up to this many fronts, a front's own sends say more about a reader than its report, which lags.
 pub(super) const FEW_FRONTS: u32 = 8;
-/// A report older than this many TTFT aims is no evidence.
-pub(super) const REPORT_LIFE: f64 = 2.0;
-/// A state that leaves its cell counts as this many times its tokens at the far writer.
-pub(super) const FAR_HANDICAP: f64 = 4.0;
-/// Places in a server's memory of kept texts; it starts anew when it is full.
-pub(super) const KEPT_MOST: usize = 2000;
-/// Held requests that fit nowhere before the rest is left for the next event.
-pub(super) const MISSES: u32 = 8;
-/// Servers that passes for held requests may look at in a microsecond, so that they take a small share of a
+/// A report older than this many shortest TTFT targets is no evidence.
+pub(super) const REPORT_LIFE_TARGETS: f64 = 2.0;
+/// A KV state that leaves its cell counts with this multiple of its and the remote writer's tokens.
+pub(super) const REMOTE_TOKEN_FACTOR: f64 = 4.0;
+/// Most cached texts recorded for one server; when it is full, older entries are dropped.
+pub(super) const MAX_CACHED_TEXTS: usize = 2000;
+/// Held requests that may fail to be placed before the rest waits for the next event.
+pub(super) const MAX_MISSES: u32 = 8;
+/// Servers that passes for held requests may examine per microsecond, so that they take a small share of a
 /// core.
 pub(super) const EXAMINED_PER_US: u64 = 1;
-/// Read times within the TTFT aim over this are a tie.
-pub(super) const TIE: f64 = 20.0;
-/// Reports are held to tell what was one shortest TTFT aim ago, however lately they came: the share of that
-/// lag, or of a client's shorter time, that a predicted end leaves free for unseen queues.
-pub(super) const BLIND: f64 = 0.5;
-/// A text shared by more than this share of a prompt is kept at about so many readers, not at all of them.
-pub(super) const SHARED: f64 = 0.5;
-pub(super) const HOMES: f64 = 4.0;
-/// Servers keep texts in blocks: a shared text of which less than this share was found is gone.
-pub(super) const FOUND: f64 = 0.5;
-/// Servers that tell their load before a rule counts as not met, only one where a text has its home: the next
-/// reads it anew, which costs all more than it gains this one. Writers asked while a reader reads.
-pub(super) const PROBES: usize = 3;
-pub(super) const PROBES_NEAR: usize = 2;
-/// Shares of the shortest TTFT aim that a report of waiting work is news for, and a probe may take.
-pub(super) const FRESH: f64 = 0.25;
-pub(super) const PROBE_WAIT: f64 = 0.05;
-/// A reader with more reported work than this many mean reads has some that waits; so may one that is called
-/// idle, where as many reads by others are to be expected since.
-pub(super) const RUNNING: f64 = 8.0;
-/// Until a writer's read has been seen, it is held to take this many times a reader's.
-pub(super) const WRITER_READS: f64 = 3.0;
+/// Read times are compared in steps of the TTFT target divided by this; equal steps are a tie.
+pub(super) const TIE_STEPS_PER_TARGET: f64 = 20.0;
+/// Reports are assumed to describe the state one shortest TTFT target ago, however recently they arrived. A
+/// predicted end leaves this share of that lag, or of the client's shorter time, free for queues not yet
+/// reported.
+pub(super) const REPORT_LAG_TARGETS: f64 = 0.5;
+/// A text shared by more than this share of a prompt is cached at a few readers instead of all.
+pub(super) const MIN_SHARED_PREFIX: f64 = 0.5;
+/// About how many readers (by weight) cache such a text.
+pub(super) const PREFIX_HOMES: f64 = 4.0;
+/// Servers cache texts in blocks: a shared text of which less than this share was found has been evicted.
+pub(super) const MIN_PREFIX_FOUND: f64 = 0.5;
+/// Servers that must report before a rule counts as not met. It is one for a request with a session: the next
+/// reader would read its text again, which costs all requests more than it gains this one.
+pub(super) const MAX_PROBES: usize = 3;
+/// Writers probed while a reader reads.
+pub(super) const WRITER_PROBES: usize = 2;
+/// How long a report of waiting work is fresh, as a multiple of the shortest TTFT target.
+pub(super) const REPORT_FRESH_TARGETS: f64 = 0.25;
+/// How long a probe may take, as a multiple of the shortest TTFT target.
+pub(super) const PROBE_TIMEOUT_TARGETS: f64 = 0.05;
+/// A reader with more reported work than this many mean reads has some that waits. The same number of reads
+/// expected from other fronts makes a reader that reports idle count as crowded.
+pub(super) const RUNNING_READS: f64 = 8.0;
+/// Until a combined attempt has been seen, its read is assumed to take this multiple of a reader's time.
+pub(super) const WRITER_READ_FACTOR: f64 = 3.0;
 /// Reported waiting work that makes a writer full, as a share of its KV tokens.
-pub(super) const QUEUED: f64 = 0.03;
+pub(super) const FULL_QUEUE_SHARE: f64 = 0.03;
 /// Tokens below which a shorter read gains nothing.
-pub(super) const LEAST_READ: f64 = 100.0;
-/// Advice to come back is drawn from this share of the longest that clients follow, up to all of it.
-pub(super) const ADVICE: f64 = 0.5;
-pub(super) const SWEEP: u64 = 1;
-/// Sweeps in the time that a held state has; an answer due within so many is given now.
-pub(super) const SWEEPS: u64 = 10;
-pub(super) const CLOSING: u64 = 2;
-/// A failed call for the list is made again after this part of its span; ticks that a send takes to arrive.
-pub(super) const ASK_AGAIN: u64 = 4;
-pub(super) const TRAVEL: u64 = 4;
-/// Streams are moved in this part of the time of a front that ends: before, many end by themselves and a
-/// neighbour that ended first may not be back; after, there is no time for what was passed on to arrive.
-pub(super) const MOVING: (f64, f64) = (0.35, 0.9);
-/// Without a hint, the share of its longest that an answer takes; seconds of a tenant's share in its bucket.
-pub(super) const ANSWER: f64 = 0.5;
-pub(super) const QUOTA_SPAN: f64 = 2.0;
+pub(super) const MIN_READ_TOKENS: f64 = 100.0;
+/// Retry advice is drawn from this share of the longest time that clients follow, up to all of it.
+pub(super) const MIN_RETRY_SHARE: f64 = 0.5;
+/// Name of the sweep timer.
+pub(super) const SWEEP_TIMER: u64 = 1;
+/// Sweeps within the time after which a KV state must be released.
+pub(super) const SWEEPS_PER_RELEASE: u64 = 10;
+/// An answer due within this many sweeps is given now.
+pub(super) const FINAL_SWEEPS: u64 = 2;
+/// A failed call for the list is repeated after the time allowed for it divided by this.
+pub(super) const SUBSCRIBE_RETRIES: u64 = 4;
+/// Ticks that a send takes to arrive.
+pub(super) const SEND_TICKS: u64 = 4;
+/// Streams are moved in this part of a front's shutdown time. Before it, many streams end by themselves, and
+/// a neighbour that shut down first may not be back yet; after it, moved streams have no time to arrive.
+pub(super) const MOVE_WINDOW: (f64, f64) = (0.35, 0.9);
+/// Without a hint, the expected output as a share of the longest allowed output.
+pub(super) const DEFAULT_OUTPUT_SHARE: f64 = 0.5;
+/// Seconds of a tenant's quota that its bucket holds.
+pub(super) const QUOTA_BURST_S: f64 = 2.0;
--- a/src/policy/views.rs
+++ b/src/policy/views.rs
@@ -1,191 +1,243 @@
-//! What is known of servers and of requests.
+//! What the router knows about servers and requests: plain records, the latency fits and the hashes for
+//! random draws. It takes no decision.
+//!
+//! The hashes and their salts must stay as they are: all fronts draw the same values from them.
 use super::*;
 
-/// What an attempt is for; also numbers the fits.
+/// What an attempt is for; its number is the index of its latency fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum AttemptKind {
+    /// Read a prompt at a reader; the KV state waits there.
     Read = 0,
-    /// A read and answer at a writer or mixed server (rule 3).
-    Whole = 1,
-    /// A state fetched inside its cell, or from another one.
-    Near = 2,
-    Far = 3,
+    /// Read and answer at one server, a writer or a mixed server (rule 3).
+    Combined = 1,
+    /// Fetch a KV state from the same cell and answer.
+    LocalFetch = 2,
+    /// Fetch a KV state from another cell and answer.
+    RemoteFetch = 3,
 }
 
-/// A line fitted to answers, older ones fading: microseconds over tokens, as sums of 1, x, y, xx, xy.
+/// A line fitted to latencies (in microseconds) over tokens. Older samples decay. Holds the sums of 1, x, y,
+/// x*x and x*y.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Line(pub(super) [f64; 5]);
+pub(super) struct LinearFit(pub(super) [f64; 5]);
 
-impl Line {
-    pub(super) fn learn(&mut self, x: f64, y: f64) {
+impl LinearFit {
+    /// Adds one latency `y` for `x` tokens.
+    pub(super) fn add_sample(&mut self, x: f64, y: f64) {
         for (sum, new) in self.0.iter_mut().zip([1.0, x, y, x * x, x * y]) {
-            *sum = *sum * FIT_KEEP + new;
+            *sum = *sum * FIT_DECAY + new;
         }
     }
 
-    /// Falls back on the mean where the answers do not span a line that rises.
-    pub(super) fn at(&self, x: f64) -> f64 {
-        let [n, sx, sy, xx, xy] = self.0;
-        if n <= 0.0 {
+    /// The latency for `x` tokens. Uses the mean if the samples give no rising line.
+    pub(super) fn predict(&self, x: f64) -> f64 {
+        let [count, sum_x, sum_y, sum_xx, sum_xy] = self.0;
+        if count <= 0.0 {
             return 0.0;
         }
-        let (mx, my) = (sx / n, sy / n);
-        let spread = xx / n - mx * mx;
-        let slope = if spread > 1.0 { (xy / n - mx * my) / spread } else { 0.0 };
-        my + slope.clamp(0.0, if mx > 0.0 { my / mx } else { 0.0 }) * (x - mx)
+        let (mean_x, mean_y) = (sum_x / count, sum_y / count);
+        let variance = sum_xx / count - mean_x * mean_x;
+        let slope = if variance > 1.0 { (sum_xy / count - mean_x * mean_y) / variance } else { 0.0 };
+        mean_y + slope.clamp(0.0, if mean_x > 0.0 { mean_y / mean_x } else { 0.0 }) * (x - mean_x)
     }
 }
 
-pub(super) enum Step {
-    Take(ServerId),
-    /// A server is asked, or its answer is due.
-    Ask(Option<ServerId>),
-    Next,
+/// The result of looking for a server that reads a prompt.
+pub(super) enum Placement {
+    /// This server takes the request.
+    Selected(ServerId),
+    /// The next candidate is to be probed (its id), or its answer to a probe is due (`None`).
+    Probing(Option<ServerId>),
+    /// No server accepts the request now.
+    NotFound,
 }
 
-/// What a server has done for one class: a server may fail one and serve the others.
+/// The health of a server for one class. A server may fail one class and serve the others.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Health {
-    pub(super) strikes: u32,
-    /// Connections that broke since it last answered.
-    pub(super) broke: u32,
-    /// No work before this time, and then one trial at a time.
-    pub(super) until: Time,
-    pub(super) struck: Time,
-    pub(super) answered: Time,
-}
-
+pub(super) struct ClassHealth {
+    /// Failures since the server last answered the class.
+    pub(super) failures: u32,
+    /// Connections that broke since the server last answered the class.
+    pub(super) broken_connections: u32,
+    /// No attempts before this time, and afterwards a single trial at a time.
+    pub(super) suspended_until: Time,
+    /// When the last failure was recorded.
+    pub(super) last_failure: Time,
+    /// When the server last answered the class; 0 if never.
+    pub(super) answered_at: Time,
+}
+
+/// An attempt in flight at a server, with the inputs of its prediction.
 #[derive(Clone)]
-pub(super) struct Job {
-    pub(super) kind: Kind,
-    /// Cell of the state that it fetches.
-    pub(super) from: Option<u32>,
-    pub(super) sent: Time,
-    pub(super) due: Time,
-    pub(super) x: f64,
-    pub(super) unread: f64,
-    pub(super) tokens: f64,
-    pub(super) first: Option<Time>,
-}
-
+pub(super) struct Attempt {
+    pub(super) kind: AttemptKind,
+    /// Cell of the KV state that the attempt fetches.
+    pub(super) source_cell: Option<u32>,
+    pub(super) sent_at: Time,
+    pub(super) predicted_end: Time,
+    /// Predictor input: tokens to read here, those ahead included, or tokens to fetch.
+    pub(super) work_tokens: f64,
+    /// Prompt tokens that the server is assumed not to cache.
+    pub(super) uncached_tokens: f64,
+    /// KV tokens that the attempt will occupy.
+    pub(super) kv_tokens: f64,
+    pub(super) first_token_at: Option<Time>,
+}
+
+/// What the router knows about one server.
 #[derive(Default)]
-pub(super) struct View {
+pub(super) struct ServerView {
     pub(super) entry: Entry,
-    pub(super) name: u64,
+    /// Hash of the server's name, see [`name_hash`].
+    pub(super) name_hash: u64,
     pub(super) role: Role,
-    pub(super) kv: f64,
-    pub(super) jobs: BTreeMap<ReqId, Job>,
-    /// By kind of attempt: how much slower than the common fits, 0 for as fast.
-    pub(super) pace: [f64; 4],
-    pub(super) kept: BTreeMap<TextKey, (f64, Time)>,
-    /// Memory share, prompt tokens that wait, and when told.
-    pub(super) report: Option<(f64, f64, Time)>,
-    pub(super) probed: Time,
-    pub(super) health: BTreeMap<usize, Health>,
-}
-
-impl View {
-    pub(super) fn tokens(&self) -> f64 {
-        self.jobs.values().map(|job| job.tokens).sum()
+    /// KV memory in tokens.
+    pub(super) kv_capacity: f64,
+    pub(super) attempts: BTreeMap<ReqId, Attempt>,
+    /// By kind of attempt: relative slowdown against the shared fit; 0 means equally fast.
+    pub(super) slowdown: [f64; 4],
+    /// Cached texts: number of tokens, and when they were last recorded.
+    pub(super) cached_texts: BTreeMap<TextKey, (f64, Time)>,
+    /// Last load report: share of KV memory, waiting prompt tokens, and when it arrived.
+    pub(super) load_report: Option<(f64, f64, Time)>,
+    /// When the server was last probed.
+    pub(super) last_probe: Time,
+    /// Health by class.
+    pub(super) health: BTreeMap<usize, ClassHealth>,
+}
+
+impl ServerView {
+    /// Tokens of all attempts of this front at the server.
+    pub(super) fn outstanding_tokens(&self) -> f64 {
+        self.attempts.values().map(|attempt| attempt.kv_tokens).sum()
     }
 
-    pub(super) fn waiting(&self) -> impl Iterator<Item = &Job> {
-        self.jobs.values().filter(|job| job.first.is_none())
+    /// Attempts that have not produced a first token.
+    pub(super) fn awaiting_first_token(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.values().filter(|attempt| attempt.first_token_at.is_none())
     }
 
-    pub(super) fn oldest(&self, now: Time) -> f64 {
-        self.waiting().map(|job| now.saturating_sub(job.sent) as f64).fold(0.0, f64::max)
+    /// Age of the oldest attempt without a first token.
+    pub(super) fn oldest_wait(&self, now: Time) -> f64 {
+        self.awaiting_first_token()
+            .map(|attempt| now.saturating_sub(attempt.sent_at) as f64)
+            .fold(0.0, f64::max)
     }
 
-    pub(super) fn unread(&self, ask: &Arrival) -> f64 {
-        (ask.prompt - self.kept(ask)).max(0.0)
+    /// Prompt tokens that the server is assumed not to cache.
+    pub(super) fn uncached_tokens(&self, arrival: &Arrival) -> f64 {
+        (arrival.prompt - self.cached_tokens(arrival)).max(0.0)
     }
 
-    pub(super) fn kept(&self, ask: &Arrival) -> f64 {
-        let of = |key: &Option<TextKey>, most: f64| Some(self.kept.get(key.as_ref()?)?.0.min(most));
-        of(&ask.session, ask.prompt).unwrap_or(0.0).max(of(&ask.prefix, ask.shared).unwrap_or(0.0))
+    /// Prompt tokens that the server is assumed to cache, of the session or of the shared prefix.
+    pub(super) fn cached_tokens(&self, arrival: &Arrival) -> f64 {
+        let cached =
+            |key: &Option<TextKey>, limit: f64| Some(self.cached_texts.get(key.as_ref()?)?.0.min(limit));
+        cached(&arrival.session, arrival.prompt)
+            .unwrap_or(0.0)
+            .max(cached(&arrival.prefix, arrival.shared).unwrap_or(0.0))
     }
 }
 
+/// What the router knows about one request that has no final answer.
 #[derive(Default)]
 pub(super) struct Request {
-    pub(super) ask: Arrival,
-    pub(super) arrived: Time,
+    pub(super) arrival: Arrival,
+    pub(super) arrived_at: Time,
     pub(super) deadline: Time,
-    pub(super) aim: f64,
-    pub(super) over: bool,
-    pub(super) tries: u32,
-    pub(super) out: Option<(ServerId, u32)>,
-    /// The reader whose state waits, and since when.
-    pub(super) state: Option<(ServerId, Time)>,
-    /// It was told to let go beside the attempt that comes for it, which may never have arrived.
-    pub(super) let_go: bool,
+    /// TTFT target in microseconds, including the part for the prompt's length.
+    pub(super) ttft_target: f64,
+    /// The tenant was over its quota when the request arrived.
+    pub(super) is_over_quota: bool,
+    pub(super) attempts: u32,
+    /// Server and number of the attempt in flight.
+    pub(super) in_flight: Option<(ServerId, u32)>,
+    /// The reader that holds the KV state, and since when.
+    pub(super) kv_state: Option<(ServerId, Time)>,
+    /// The KV state was released while the attempt that fetches it is in flight, because that attempt may
+    /// never have arrived.
+    pub(super) is_state_released: bool,
     pub(super) ranking: Option<Ranking>,
-    pub(super) streaming: bool,
-    pub(super) ended: bool,
+    pub(super) is_streaming: bool,
+    /// The client needs no further final answer: it has one, has left, or its stream was moved.
+    pub(super) is_settled: bool,
     /// Server and send time of the first attempt that may have run.
-    pub(super) ran: Option<(ServerId, Time)>,
+    pub(super) may_have_run: Option<(ServerId, Time)>,
 }
 
-/// What speaks against a writer for a state, the first first.
+/// The cost of a writer for a KV state. Fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WriterCost {
-    /// It is suspected, or not to be used.
-    pub(super) poor: u32,
-    /// Its memory is full, or it would begin late.
-    pub(super) full: u32,
-    /// A cold server of the cell that is drawn comes first, where few are asked.
-    pub(super) warm: bool,
-    /// Tokens that run there, with what its distance adds.
-    pub(super) tokens: u64,
-}
-
-/// What turns are drawn by: this front and the span. Most writers of a pass have the same span.
+    /// One for a writer that is not healthy, one more if it is a suspect.
+    pub(super) health_penalty: u32,
+    /// One for a writer whose memory is full, one more if it would start the stream late.
+    pub(super) load_penalty: u32,
+    /// False for a cold server of the state's cell that passed its draw: where few writers are probed, it
+    /// comes first.
+    pub(super) lacks_cold_preference: bool,
+    /// Tokens at the writer, plus penalty tokens if it is in another cell and if it lacks a recent answer to
+    /// the class.
+    pub(super) total_tokens: u64,
+}
+
+/// Caches the salt for drawing turns: this front and the time slot. Most writers of one pass have the same
+/// slot.
 #[derive(Default)]
 pub(super) struct TurnSalt(Option<(Time, String)>);
 
 impl TurnSalt {
-    pub(super) fn of(&mut self, front: u32, slot: Time) -> &str {
-        if self.0.as_ref().is_none_or(|(of, _)| *of != slot) {
+    /// The salt for a front and a time slot.
+    pub(super) fn for_slot(&mut self, front: u32, slot: Time) -> &str {
+        if self.0.as_ref().is_none_or(|(cached, _)| *cached != slot) {
             self.0 = None;
         }
         &self.0.get_or_insert_with(|| (slot, format!("{front} {slot}"))).1
     }
 }
 
-/// A hash as a number above 0, at most 1.
-pub(super) fn unit(hash: u64) -> f64 {
+/// Maps a hash to a number above 0 and at most 1.
+pub(super) fn unit_interval(hash: u64) -> f64 {
     ((hash & 0xffff_ffff) + 1) as f64 / 2f64.powi(32)
 }
 
 impl Request {
-    /// Past its aim it earns little: it takes only what is free, after all that can be in time.
-    pub(super) fn late(&self, now: Time) -> bool {
-        now >= self.arrived + self.aim as Time
+    /// Whether the TTFT target has passed. A late request is worth little: it takes only free capacity, after
+    /// all requests that can still be in time.
+    pub(super) fn is_late(&self, now: Time) -> bool {
+        now >= self.arrived_at + self.ttft_target as Time
     }
 
-    /// Time left within the aim, after it to the deadline; clients may come with less than the aim.
-    pub(super) fn left(&self, now: Time) -> f64 {
-        let (age, all) = ((now - self.arrived) as f64, self.deadline.saturating_sub(now) as f64);
-        if age < self.aim { all.min(self.aim - age) } else { all }
+    /// Time left until the TTFT target or, once that has passed, until the deadline. The deadline can come
+    /// before the target.
+    pub(super) fn time_left(&self, now: Time) -> f64 {
+        let (age, until_deadline) =
+            ((now - self.arrived_at) as f64, self.deadline.saturating_sub(now) as f64);
+        if age < self.ttft_target { until_deadline.min(self.ttft_target - age) } else { until_deadline }
     }
 }
 
-fn mix(hash: u64, byte: u8) -> u64 {
+/// One step of FNV-1a.
+fn fnv_step(hash: u64, byte: u8) -> u64 {
     (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
 }
 
-/// The first part of [`hash`]: a server's name, worked out once for all that is drawn for it.
+/// The first part of [`hash`]: computed once for a server's name and reused for all draws.
 pub(super) fn name_hash(name: &str) -> u64 {
-    name.bytes().chain([0]).fold(0xcbf2_9ce4_8422_2325, mix)
+    name.bytes().chain([0]).fold(0xcbf2_9ce4_8422_2325, fnv_step)
 }
 
-/// A hash (FNV-1a, its bits mixed once more) of a name and another text.
+/// Hashes a name and another text (FNV-1a with a final mix).
 pub(super) fn hash(name: u64, other: &str) -> u64 {
-    let h = other.bytes().fold(name, mix);
-    (h ^ (h >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 8
+    let mixed = other.bytes().fold(name, fnv_step);
+    (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 8
 }
 
-pub(super) fn hand_kind(view: &View, from: Option<u32>) -> Kind {
-    if from.is_none_or(|cell| cell == view.entry.cell) { Kind::Near } else { Kind::Far }
+/// Whether a writer would fetch a KV state of this cell locally or remotely.
+pub(super) fn fetch_kind(view: &ServerView, source_cell: Option<u32>) -> AttemptKind {
+    if source_cell.is_none_or(|cell| cell == view.entry.cell) {
+        AttemptKind::LocalFetch
+    } else {
+        AttemptKind::RemoteFetch
+    }
 }
