--- a/src/api.rs
+++ b/src/api.rs
@@ -1,87 +1,99 @@
-//! The interface of the decision module: settings, events in, actions out. Data only.
+//! The interface of the decision module: its settings, the events it takes and the actions it returns. Plain
+//! data without decisions.
 //!
-//! All times are microseconds on the caller's clock, which never goes backwards.
+//! All times are in microseconds on the caller's clock, which never goes backwards. Numbers of tokens are
+//! `f64`.
 
 use std::sync::Arc;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Time = u64;
 
-/// A request, as the host names it. An id is never seen twice.
+/// The id of a request, assigned by the host. An id is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ReqId(pub u32);
 
-/// A server, by its address. It survives restarts of the server's process.
+/// The id of a server: its address. It stays the same when the server's process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ServerId(pub Arc<str>);
 
-/// A session or a shared beginning.
+/// The key of a session or of a shared prefix of prompts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct TextKey(pub Arc<str>);
 
-/// What a kind of server does.
+/// What servers of a kind do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Role {
-    /// Reads prompts; never answers.
+    /// Reads prompts and never answers.
     Prefill,
-    /// Writes answers; reads a prompt only where `Settings::writers_read`.
+    /// Writes answers; reads a prompt only if `Settings::writers_read` is set.
     Decode,
-    /// Does either.
+    /// Does both.
     #[default]
     Mixed,
 }
 
-/// What a repeat of a request may do.
+/// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// May run any number of times.
     Safe,
-    /// Repeats are dropped inside the group, for `memory` after the first send that may have run.
+    /// Servers of the group drop repeats for `memory` after the first send that may have run.
     Keyed { group: Group, memory: Time },
     /// Must never run twice.
     Unsafe,
 }
 
-/// Which servers drop repeats of one keyed request.
+/// The servers that recognise and drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
+    /// All servers.
     All,
+    /// The servers of the zone of the first attempt.
     Zone,
+    /// The servers of the cell of the first attempt.
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests with the same targets and the same rule for repeats.
 #[derive(Clone, Debug)]
 pub struct Class {
+    /// Whether a request of the class may be repeated.
     pub repeat: Repeat,
-    /// TTFT aim, without the share for the prompt's length.
+    /// TTFT (time to first token) target, without the part for the prompt's length.
     pub ttft_aim: Time,
-    /// Added to the TTFT aim for each 1,000 prompt tokens.
+    /// Added to the TTFT target for each 1,000 prompt tokens, in microseconds.
     pub ttft_aim_per_1000: f64,
-    /// TPOT aim: the mean gap between tokens that earns full worth.
+    /// TPOT (time per output token) target in microseconds: up to this mean gap between tokens an answer
+    /// earns its full worth.
     pub tpot_aim: f64,
+    /// Worth of an answer that meets its targets.
     pub worth: f64,
+    /// Worth of an answer that misses a target. Not used by the module.
     pub late_worth: f64,
 }
 
-/// A tenant and the rate within its share, over all fronts together.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
+    /// Requests per second within the quota, over all fronts together.
     pub quota_per_s: f64,
 }
 
-/// How the list of servers comes.
+/// How the front receives the list of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
+    /// The host sends it without being asked.
     #[default]
     Pushed,
+    /// The module subscribes with [`Action::Subscribe`].
     Asked,
 }
 
-/// What a position in a load report holds.
+/// The meaning of one position in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests handled, states that wait included.
+    /// Requests in progress, waiting KV states included.
     InFlight,
     /// Requests that wait for a slot.
     Queue,
@@ -89,7 +101,7 @@
     Busy,
     /// Recent time to the end of a read or to the first token, in milliseconds.
     LatencyMs,
-    /// Share of KV memory held.
+    /// Share of KV memory in use.
     MemoryShare,
     /// Thousands of prompt tokens that wait to be read or fetched.
     PendingThousands,
@@ -97,207 +109,235 @@
     Other,
 }
 
-/// All that an instance is told at its start.
+/// The configuration of one front's router.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This front's number and zone, and how many fronts there are.
+    /// Number of this front.
     pub me: u32,
+    /// Zone of this front. Not used by the module.
     pub zone: u32,
+    /// Number of fronts of the deployment.
     pub fronts: u32,
+    /// Resolution of the host's timers.
     pub tick: Time,
+    /// Classes of requests, by number.
     pub classes: Vec<Class>,
+    /// Tenants, by number.
     pub tenants: Vec<Tenant>,
+    /// Worth of a request beyond its tenant's quota. Not used by the module.
     pub over_share_worth: f64,
-    /// By kind of server: its role, and its KV memory in tokens.
+    /// Role of each kind of server, by the kind's number.
     pub roles: Vec<Role>,
+    /// KV memory in tokens of each kind of server, by the kind's number.
     pub kv_tokens: Vec<f64>,
-    /// A writer reads the prompt itself where there is no state to fetch.
+    /// Writers may read a prompt themselves if there is no KV state to fetch.
     pub writers_read: bool,
-    /// Places may be held ahead at a writer.
+    /// A place at a writer may be reserved ahead. Not used by the module.
     pub places_ahead: bool,
-    /// A broken stream can go on elsewhere.
+    /// An interrupted stream can be resumed at another front.
     pub resume: bool,
-    /// What is held for a request with no attempt out goes within this time.
+    /// KV states and places held for a request without an attempt in flight must be released within this
+    /// time.
     pub let_go_by: Time,
+    /// How the list of servers arrives.
     pub discovery: Discovery,
+    /// Meaning of each position in a load report.
     pub report_fields: Vec<ReportField>,
-    /// Load reports come with outcomes; otherwise, if at all, with probes.
+    /// Load reports arrive with outcomes. Otherwise they arrive with probes, if at all. Not used by the
+    /// module.
     pub reports_in_answers: bool,
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
+    /// Servers may be probed for their load.
     pub may_probe: bool,
+    /// Refusals may advise when to retry.
     pub may_advise: bool,
+    /// Several attempts of a request may run at once. Not used by the module.
     pub may_duplicate: bool,
+    /// Maximum number of attempts per request.
     pub most_tries: u32,
+    /// Time after which a connection attempt fails.
     pub connect_timeout: Time,
+    /// Longest retry advice that clients follow.
     pub max_retry_after: Time,
+    /// Margin after a request's deadline in which its final answer still counts as in time. Not used by the
+    /// module.
     pub answer_slack: Time,
+    /// Time allowed for repeating a failed subscription to the list of servers.
     pub ask_within: Time,
+    /// Time after the news that a server drains in which attempts may still reach it. Not used by the module.
     pub drain_grace: Time,
+    /// Share of a warm server's work that a server can do right after its start.
     pub cold_from: f64,
+    /// How long a server is cold after its start.
     pub cold_for: Time,
+    /// A cold server falls over when it gets more than this multiple of the work it can do.
     pub fall_multiple: f64,
+    /// Window over which the work sent to a cold server is counted. Not used by the module.
     pub tip_after: Time,
 }
 
-/// What the list says of a server.
+/// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Listed {
+    /// Takes new work.
     #[default]
     Running,
+    /// Finishes its work and takes nothing new.
     Draining,
+    /// Has left.
     Gone,
 }
 
-/// One line of a list of servers.
+/// One entry of the list of servers.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
     pub server: ServerId,
+    /// Status of the server.
     pub listed: Listed,
+    /// Position of its kind in [`Settings::roles`] and [`Settings::kv_tokens`].
     pub kind: usize,
     pub zone: u32,
     pub cell: u32,
+    /// Capacity relative to other servers.
     pub weight: f64,
-    /// When its process last started; 0 means long ago.
+    /// When its process last started; 0 if long ago.
     pub ready_at: Time,
 }
 
-/// What a list of servers is.
+/// What a message with a list of servers contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
-    /// Only the entries that changed.
+    /// Only the entries that have changed.
     Changes,
-    /// All of them: whoever is missing has left.
+    /// All entries: a server that is missing has left.
     Full,
-    /// All of them as last known before a restart; may be stale.
+    /// All entries as last known before a restart of the front; they may be stale.
     Restored,
     /// A call for the list failed; there are no entries.
     Failed,
 }
 
-/// A request that a client has sent.
+/// A request received from a client.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     pub id: ReqId,
+    /// Position in [`Settings::classes`].
     pub class: usize,
+    /// Position in [`Settings::tenants`].
     pub tenant: usize,
+    /// The session that the request continues.
     pub session: Option<TextKey>,
+    /// A prefix that the prompt shares with other requests.
     pub prefix: Option<TextKey>,
+    /// Time until the client's deadline.
     pub time_left: Time,
-    /// Rough length of the answer: tokens times the TPOT aim; 0 where there is none.
+    /// Estimated length of the answer: output tokens times the TPOT target; 0 if unknown.
     pub hint: Time,
+    /// Prompt tokens.
     pub prompt: f64,
+    /// Prompt tokens in the shared prefix.
     pub shared: f64,
+    /// Maximum number of output tokens.
     pub max_out: f64,
+    /// The client marks the request as a repeat. Not used by the module.
     pub repeat: bool,
+    /// The client marks the request as one that comes again after an interruption. Not used by the module.
     pub returned: bool,
 }
 
-/// How an attempt ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// Answered in full.
     Served,
+    /// The server reported an error.
     Error,
+    /// The server refused the attempt without running it.
     Full,
+    /// The time-out of the attempt passed.
     TimedOut,
+    /// No connection was established.
     NoConnection,
+    /// The connection broke.
     Broken,
+    /// Cancelled.
     Cancelled,
+    /// Never sent by the host.
     NotSent,
-    /// The prompt has been read and its state waits at the reader.
+    /// The prompt has been read and its KV state waits at the reader.
     Read,
 }
 
 impl Outcome {
-    /// Proves that the attempt had no effect.
+    /// Whether the outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent | Outcome::Read)
     }
 }
 
-/// One thing that has happened.
+/// An event that the host reports to the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Servers {
-        mode: ListMode,
-        entries: Vec<Entry>,
-    },
+    /// A list of servers has arrived.
+    Servers { mode: ListMode, entries: Vec<Entry> },
+    /// A client has sent a request.
     Arrived(Arrival),
+    /// An attempt has ended.
     Ended {
         id: ReqId,
+        /// Number of the attempt, counted from 0.
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
         took: Time,
+        /// The client needs no further final answer.
         settled: bool,
+        /// For `Read`: prompt tokens found in the cache. For `Full`: 1 if the writer found no KV state to
+        /// fetch.
         note: u64,
+        /// Values by position, see [`Settings::report_fields`].
         load: Option<Vec<f64>>,
     },
-    Streaming {
-        id: ReqId,
-        attempt: u32,
-        server: ServerId,
-        took: Time,
-    },
-    ClientGone {
-        id: ReqId,
-    },
+    /// The first token of an answer has arrived.
+    Streaming { id: ReqId, attempt: u32, server: ServerId, took: Time },
+    /// The client has disconnected.
+    ClientGone { id: ReqId },
+    /// A probe has ended.
     Probed {
         server: ServerId,
         outcome: Outcome,
         took: Time,
+        /// Values by position, see [`Settings::report_fields`].
         load: Option<Vec<f64>>,
     },
-    Place {
-        id: ReqId,
-        attempt: u32,
-        server: ServerId,
-        held: bool,
-    },
-    Timer {
-        name: u64,
-    },
-    /// This front ends: nothing new comes, and what still runs after this time is cut.
-    Stopping {
-        within: Time,
-    },
+    /// A place at a server was reserved or lost. Ignored by the module.
+    Place { id: ReqId, attempt: u32, server: ServerId, held: bool },
+    /// A timer set with [`Action::Timer`] has expired.
+    Timer { name: u64 },
+    /// This front shuts down: no new requests arrive, and what still runs after `within` is cut.
+    Stopping { within: Time },
 }
 
-/// One thing to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    Send {
-        id: ReqId,
-        server: ServerId,
-        timeout: Time,
-    },
-    /// Final: turned away, and trying again does no harm. A `retry_after` of 0 is no advice.
-    Refuse {
-        id: ReqId,
-        retry_after: Time,
-    },
-    /// Final: failed. Promises nothing.
-    Fail {
-        id: ReqId,
-    },
-    Cancel {
-        id: ReqId,
-        attempt: u32,
-    },
-    /// Let go of every state and place held for the request.
-    Release {
-        id: ReqId,
-    },
-    Probe {
-        server: ServerId,
-    },
-    Timer {
-        after: Time,
-        name: u64,
-    },
-    /// Ask for changes of the list of servers from now on.
+    /// Send an attempt to a server and end it after `timeout`.
+    Send { id: ReqId, server: ServerId, timeout: Time },
+    /// Final answer: refused, and trying again does no harm. A `retry_after` of 0 means no advice.
+    Refuse { id: ReqId, retry_after: Time },
+    /// Final answer: failed. Whether trying again is harmless is unknown.
+    Fail { id: ReqId },
+    /// Cancel an attempt in flight.
+    Cancel { id: ReqId, attempt: u32 },
+    /// Release every KV state and place held for the request.
+    Release { id: ReqId },
+    /// Probe a server for its load.
+    Probe { server: ServerId },
+    /// Report [`Event::Timer`] with this name after this time.
+    Timer { after: Time, name: u64 },
+    /// Subscribe to changes of the list of servers.
     Subscribe,
-    /// End a running stream in good order; its client comes again.
-    Move {
-        id: ReqId,
-    },
+    /// End a running stream cleanly; its client sends the request again.
+    Move { id: ReqId },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of a router for language-model servers that work in two stages: a reader reads the
+//! The decisions of a router for language-model servers that work in two stages: a reader processes the
 //! prompt (prefill), a writer streams the answer (decode).
 //!
-//! The library does no I/O, reads no clock and starts no threads. A front feeds one [`Router`] with
-//! [`Event`]s and carries out the [`Action`]s it gets back, in their order:
+//! The library does no I/O, reads no clock and starts no threads. A front passes [`Event`]s to one [`Router`]
+//! and carries out the [`Action`]s that it returns, in their order:
 //!
 //! ```
 //! use elderstage::{Action, Arrival, Entry, Event, ListMode, Listed, ReqId, Router, ServerId};
@@ -30,7 +30,7 @@
 pub use api::*;
 pub use policy::Router;
 
-/// Settings of a small made-up deployment, for trying the library out and for tests.
+/// Settings of a small fictitious deployment, for trying out the library and for tests.
 pub fn example_settings() -> Settings {
     Settings {
         me: 0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,7 @@
-//! The settings object of a deployment, as the simulator's wire and a front node's configuration give it, to the
-//! module's `Settings`. A key that is missing has its neutral reading: nothing allowed, no bound, no cost.
+//! Reads the settings object of a deployment, as the simulator's wire and the configuration of a front node
+//! give it, into [`Settings`]. It checks the type of each value, but not whether the values fit together.
+//!
+//! A missing key gets its neutral value: nothing allowed, no limit, no cost.
 
 use std::fmt;
 
@@ -7,37 +9,42 @@
 
 use crate::api::{Class, Discovery, Group, Repeat, ReportField, Role, Settings, Tenant, Time};
 
-/// What is wrong with the settings, and where.
+/// An invalid value in the settings and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Keys and positions that lead to the value; empty for the whole.
+    /// Keys and positions that lead to the value; empty for the whole object.
     pub path: String,
+    /// What is wrong with the value.
     pub what: String,
 }
 
 impl fmt::Display for SettingsError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.path.is_empty() {
-            write!(to, "{}", self.what)
+            write!(formatter, "{}", self.what)
         } else {
-            write!(to, "{}: {}", self.path, self.what)
+            write!(formatter, "{}: {}", self.path, self.what)
         }
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// What the settings call things by name, in the order of the positions that the module knows, and the limits that
-/// concern sockets and not the module.
+/// The names that the settings use, in the order of the positions that the module uses, and the limits for
+/// sockets and clients, which the module does not need.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Names {
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Names of the kinds of servers.
     pub kinds: Vec<String>,
+    /// Names of the classes.
     pub classes: Vec<String>,
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Servers close a connection that was idle for so long; `None` where nothing is said.
+    /// How long a connection may be idle before servers close it; `None` if the settings give no value.
     pub idle_close: Option<Time>,
-    /// By class: how long its clients wait, over all their tries.
+    /// By class: how long its clients wait, over all their attempts.
     pub deadlines: Vec<Time>,
 }
 
@@ -47,171 +54,174 @@
         self.deadlines.iter().copied().max().unwrap_or(NO_DEADLINE)
     }
 
-    /// Whether requests, lists and sockets are read alike under both: how long clients wait may change at any time.
+    /// Whether requests, lists and sockets are read in the same way under both. Only the deadlines of clients
+    /// may differ, since they may change at any time.
     pub fn reads_like(&self, other: &Names) -> bool {
         *self == Names { deadlines: self.deadlines.clone(), ..other.clone() }
     }
 }
 
-/// The time of a class that names none: more than any client waits, and far from the end of the clock.
+/// The deadline of a class that gives none: longer than any client waits, and far from the end of the clock.
 const NO_DEADLINE: Time = u64::MAX >> 20;
 
-/// A value and the path that leads to it, for messages.
-struct At<'a> {
+/// A value and its path, which error messages name.
+struct ValueAtPath<'a> {
     value: &'a Value,
     path: String,
 }
 
-impl<'a> At<'a> {
-    fn get(&self, key: &str) -> At<'a> {
+impl<'a> ValueAtPath<'a> {
+    fn get(&self, key: &str) -> ValueAtPath<'a> {
         let path = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
-        At { value: self.value.get(key).unwrap_or(&Value::Null), path }
+        ValueAtPath { value: self.value.get(key).unwrap_or(&Value::Null), path }
     }
 
-    fn wrong<T>(&self, wanted: &str) -> Result<T, SettingsError> {
-        Err(SettingsError { path: self.path.clone(), what: format!("{} is not {wanted}", self.value) })
+    fn invalid<T>(&self, expected: &str) -> Result<T, SettingsError> {
+        Err(SettingsError { path: self.path.clone(), what: format!("{} is not {expected}", self.value) })
     }
 
-    fn number(&self, absent: f64) -> Result<f64, SettingsError> {
+    fn number(&self, default: f64) -> Result<f64, SettingsError> {
         match self.value.as_f64() {
             Some(number) if number.is_finite() && number >= 0.0 => Ok(number),
-            None if self.value.is_null() => Ok(absent),
-            _ => self.wrong("a number of 0 or more"),
+            None if self.value.is_null() => Ok(default),
+            _ => self.invalid("a number of 0 or more"),
         }
     }
 
-    fn whole(&self, absent: u64) -> Result<u64, SettingsError> {
-        let number = self.number(absent as f64)?;
+    fn integer(&self, default: u64) -> Result<u64, SettingsError> {
+        let number = self.number(default as f64)?;
         if number.fract() == 0.0 && number <= 9.0e18 {
             Ok(number as u64)
         } else {
-            self.wrong("a whole number")
+            self.invalid("a whole number")
         }
     }
 
-    fn small(&self, absent: u32) -> Result<u32, SettingsError> {
-        u32::try_from(self.whole(absent.into())?).or_else(|_| self.wrong("a small whole number"))
+    fn integer_u32(&self, default: u32) -> Result<u32, SettingsError> {
+        u32::try_from(self.integer(default.into())?)
+            .or_else(|_| self.invalid("a whole number up to 4294967295"))
     }
 
-    fn flag(&self) -> Result<bool, SettingsError> {
+    fn boolean(&self) -> Result<bool, SettingsError> {
         match self.value {
             Value::Null => Ok(false),
-            Value::Bool(flag) => Ok(*flag),
-            _ => self.wrong("true or false"),
+            Value::Bool(boolean) => Ok(*boolean),
+            _ => self.invalid("true or false"),
         }
     }
 
-    fn word(&self) -> Result<&'a str, SettingsError> {
+    fn string(&self) -> Result<&'a str, SettingsError> {
         match self.value {
             Value::Null => Ok(""),
-            Value::String(word) => Ok(word),
-            _ => self.wrong("a word"),
+            Value::String(string) => Ok(string),
+            _ => self.invalid("a string"),
         }
     }
 
-    fn list(&self) -> Result<Vec<At<'a>>, SettingsError> {
+    fn array(&self) -> Result<Vec<ValueAtPath<'a>>, SettingsError> {
         match self.value {
             Value::Null => Ok(Vec::new()),
             Value::Array(items) => {
-                let at = |(i, value)| At { value, path: format!("{}[{i}]", self.path) };
-                Ok(items.iter().enumerate().map(at).collect())
+                let value_at =
+                    |(index, value)| ValueAtPath { value, path: format!("{}[{index}]", self.path) };
+                Ok(items.iter().enumerate().map(value_at).collect())
             }
-            _ => self.wrong("a list"),
+            _ => self.invalid("a list"),
         }
     }
 }
 
-/// From JSON text.
+/// Reads the settings from JSON text.
 pub fn read(text: &str) -> Result<Settings, SettingsError> {
     let object: Value = serde_json::from_str(text)
         .map_err(|error| SettingsError { path: String::new(), what: format!("bad JSON: {error}") })?;
     from_value(&object)
 }
 
-/// The names that the settings give, by position.
+/// Reads the names and the limits for sockets and clients.
 pub fn names(object: &Value) -> Result<Names, SettingsError> {
-    let root = At { value: object, path: String::new() };
-    let words = |key: &str| -> Result<Vec<String>, SettingsError> {
-        root.get(key).list()?.iter().map(|item| item.word().map(str::to_owned)).collect()
+    let root = ValueAtPath { value: object, path: String::new() };
+    let strings = |key: &str| -> Result<Vec<String>, SettingsError> {
+        root.get(key).array()?.iter().map(|item| item.string().map(str::to_owned)).collect()
     };
-    let named = |key: &str| -> Result<Vec<String>, SettingsError> {
-        root.get(key).list()?.iter().map(|item| item.get("name").word().map(str::to_owned)).collect()
+    let names_of = |key: &str| -> Result<Vec<String>, SettingsError> {
+        root.get(key).array()?.iter().map(|item| item.get("name").string().map(str::to_owned)).collect()
     };
     let mut deadlines = Vec::new();
-    for class in root.get("services").list()? {
-        deadlines.push(class.get("give-up-us").whole(NO_DEADLINE)?);
+    for class in root.get("services").array()? {
+        deadlines.push(class.get("give-up-us").integer(NO_DEADLINE)?);
     }
-    let idle_close = root.get("limits").get("idle-close-us").whole(0)?;
+    let idle_close = root.get("limits").get("idle-close-us").integer(0)?;
     Ok(Names {
-        zones: words("zones")?,
-        kinds: words("skus")?,
-        classes: named("services")?,
-        tenants: named("orgs")?,
+        zones: strings("zones")?,
+        kinds: strings("skus")?,
+        classes: names_of("services")?,
+        tenants: names_of("orgs")?,
         idle_close: Some(idle_close).filter(|time| *time > 0),
         deadlines,
     })
 }
 
-/// From parsed JSON.
+/// Reads the settings from parsed JSON.
 pub fn from_value(object: &Value) -> Result<Settings, SettingsError> {
-    let root = At { value: object, path: String::new() };
+    let root = ValueAtPath { value: object, path: String::new() };
     if !object.is_object() {
-        return root.wrong("an object");
+        return root.invalid("an object");
     }
     let (domain, limits, rules) = (root.get("domain"), root.get("limits"), root.get("obligations"));
     let report = root.get("report");
     for part in [&domain, &limits, &rules, &report] {
         if !part.value.is_null() && !part.value.is_object() {
-            return part.wrong("an object");
+            return part.invalid("an object");
         }
     }
-    let nth = |at: &At, index: usize, absent: f64| -> Result<f64, SettingsError> {
-        at.list()?.get(index).map_or(Ok(absent), |item| item.number(absent))
+    let number_at = |value: &ValueAtPath, index: usize, default: f64| -> Result<f64, SettingsError> {
+        value.array()?.get(index).map_or(Ok(default), |item| item.number(default))
     };
     let mut classes = Vec::new();
-    for (index, class) in root.get("services").list()?.iter().enumerate() {
-        let give_up = class.get("give-up-us").whole(NO_DEADLINE)?;
-        let group = match class.get("group").word()? {
+    for (index, class) in root.get("services").array()?.iter().enumerate() {
+        let deadline = class.get("give-up-us").integer(NO_DEADLINE)?;
+        let group = match class.get("group").string()? {
             "" | "all" => Group::All,
             "zone" => Group::Zone,
             "cell" => Group::Cell,
-            _ => return class.get("group").wrong("all, zone or cell"),
+            _ => return class.get("group").invalid("all, zone or cell"),
         };
-        let repeat = match class.get("semantics").word()? {
+        let repeat = match class.get("semantics").string()? {
             "pure" => Repeat::Safe,
-            "token" => Repeat::Keyed { group, memory: class.get("memory-span-us").whole(0)? },
+            "token" => Repeat::Keyed { group, memory: class.get("memory-span-us").integer(0)? },
             "" | "side_effect" => Repeat::Unsafe,
-            _ => return class.get("semantics").wrong("pure, token or side_effect"),
+            _ => return class.get("semantics").invalid("pure, token or side_effect"),
         };
         classes.push(Class {
             repeat,
-            ttft_aim: class.get("aim-us").whole(give_up)?,
-            ttft_aim_per_1000: nth(&domain.get("aim-us-per-1000-prompt-tokens"), index, 0.0)?,
-            tpot_aim: nth(&domain.get("token-aim-us"), index, 0.0)?,
+            ttft_aim: class.get("aim-us").integer(deadline)?,
+            ttft_aim_per_1000: number_at(&domain.get("aim-us-per-1000-prompt-tokens"), index, 0.0)?,
+            tpot_aim: number_at(&domain.get("token-aim-us"), index, 0.0)?,
             worth: class.get("worth").number(1.0)?,
             late_worth: class.get("late-value").number(0.0)?,
         });
     }
     let mut tenants = Vec::new();
-    for tenant in root.get("orgs").list()? {
+    for tenant in root.get("orgs").array()? {
         tenants.push(Tenant { quota_per_s: tenant.get("quota-per-s").number(f64::MAX)? });
     }
     let mut roles = Vec::new();
-    for role in domain.get("kind-role").list()? {
-        roles.push(match role.word()? {
+    for role in domain.get("kind-role").array()? {
+        roles.push(match role.string()? {
             "read" => Role::Prefill,
             "write" => Role::Decode,
             "both" => Role::Mixed,
-            _ => return role.wrong("read, write or both"),
+            _ => return role.invalid("read, write or both"),
         });
     }
     let mut kv_tokens = Vec::new();
-    for kind in domain.get("tokens-by-kind").list()? {
+    for kind in domain.get("tokens-by-kind").array()? {
         kv_tokens.push(kind.number(0.0)?);
     }
     let mut report_fields = Vec::new();
-    for field in report.get("fields").list()? {
-        report_fields.push(match field.word()? {
+    for field in report.get("fields").array()? {
+        report_fields.push(match field.string()? {
             "rif" => ReportField::InFlight,
             "q" => ReportField::Queue,
             "busy" => ReportField::Busy,
@@ -222,39 +232,39 @@
         });
     }
     Ok(Settings {
-        me: root.get("me").small(0)?,
-        zone: root.get("zone").small(0)?,
-        fronts: root.get("n-instances").small(1)?.max(1),
-        tick: root.get("tick-us").whole(0)?,
+        me: root.get("me").integer_u32(0)?,
+        zone: root.get("zone").integer_u32(0)?,
+        fronts: root.get("n-instances").integer_u32(1)?.max(1),
+        tick: root.get("tick-us").integer(0)?,
         classes,
         tenants,
         over_share_worth: root.get("over-share-worth").number(1.0)?,
         roles,
         kv_tokens,
-        writers_read: domain.get("self-prefill").flag()?,
-        places_ahead: domain.get("holds-allowed").flag()?,
-        resume: domain.get("resume").flag()?,
-        let_go_by: domain.get("let-go-by-us").whole(0)?,
-        discovery: match root.get("discovery").word()? {
+        writers_read: domain.get("self-prefill").boolean()?,
+        places_ahead: domain.get("holds-allowed").boolean()?,
+        resume: domain.get("resume").boolean()?,
+        let_go_by: domain.get("let-go-by-us").integer(0)?,
+        discovery: match root.get("discovery").string()? {
             "" | "automatic" => Discovery::Pushed,
             "subscribe" => Discovery::Asked,
-            _ => return root.get("discovery").wrong("automatic or subscribe"),
+            _ => return root.get("discovery").invalid("automatic or subscribe"),
         },
         report_fields,
-        reports_in_answers: report.get("how").word()? == "answers",
-        may_cancel: limits.get("cancel").flag()?,
-        may_probe: limits.get("probes").flag()?,
-        may_advise: limits.get("retry-after").flag()?,
-        may_duplicate: limits.get("may-duplicate").flag()?,
-        most_tries: limits.get("most-tries").small(1)?,
-        connect_timeout: limits.get("connect-timeout-us").whole(0)?,
-        max_retry_after: limits.get("max-retry-after-us").whole(0)?,
-        answer_slack: rules.get("answer-slack-us").whole(0)?,
-        ask_within: rules.get("ask-within-us").whole(0)?,
-        drain_grace: rules.get("drain-grace-us").whole(0)?,
+        reports_in_answers: report.get("how").string()? == "answers",
+        may_cancel: limits.get("cancel").boolean()?,
+        may_probe: limits.get("probes").boolean()?,
+        may_advise: limits.get("retry-after").boolean()?,
+        may_duplicate: limits.get("may-duplicate").boolean()?,
+        most_tries: limits.get("most-tries").integer_u32(1)?,
+        connect_timeout: limits.get("connect-timeout-us").integer(0)?,
+        max_retry_after: limits.get("max-retry-after-us").integer(0)?,
+        answer_slack: rules.get("answer-slack-us").integer(0)?,
+        ask_within: rules.get("ask-within-us").integer(0)?,
+        drain_grace: rules.get("drain-grace-us").integer(0)?,
         cold_from: rules.get("cold-from").number(1.0)?,
-        cold_for: rules.get("cold-us").whole(0)?,
+        cold_for: rules.get("cold-us").integer(0)?,
         fall_multiple: rules.get("fall-multiple").number(f64::MAX)?,
-        tip_after: rules.get("tip-after-us").whole(0)?,
+        tip_after: rules.get("tip-after-us").integer(0)?,
     })
 }
