--- a/src/bin/elderstage-simhost/wire.rs
+++ b/src/bin/elderstage-simhost/wire.rs
@@ -1,30 +1,34 @@
-//! The words of the wire: lines to events, actions to lines.
+//! The text format of the simulator's wire: parses lines into events and formats actions as lines. It keeps
+//! no state.
+//!
+//! Messages and fields that are not handled here are skipped, so that the simulator may add new ones.
 
 use std::fmt;
 
 use elderstage::{Action, Arrival, Entry, Event, ListMode, Listed, Outcome, ReqId, ServerId, TextKey};
 
-/// What is wrong with a line.
+/// An invalid line: which field is wrong, and why.
 #[derive(Debug)]
-pub struct Fail {
+pub struct LineError {
     field: String,
     what: String,
 }
 
-impl Fail {
-    pub fn new(field: impl Into<String>, what: impl Into<String>) -> Fail {
-        Fail { field: field.into(), what: what.into() }
+impl LineError {
+    /// Describes what is wrong with `field`.
+    pub fn new(field: impl Into<String>, what: impl Into<String>) -> LineError {
+        LineError { field: field.into(), what: what.into() }
     }
 }
 
-impl fmt::Display for Fail {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "field {}: {}", self.field, self.what)
+impl fmt::Display for LineError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "field {}: {}", self.field, self.what)
     }
 }
 
-/// The messages that this host acts on; others are skipped.
-pub const KNOWN: &[&str] = &[
+/// The messages that this host handles, besides `MARK` and `ENGINE`; all others are skipped.
+pub const HANDLED_MESSAGES: &[&str] = &[
     "END",
     "AT",
     "ATTACH",
@@ -40,33 +44,37 @@
     "DEADLINE_HIT",
 ];
 
-/// Fields of type text or object: they run to the line's end.
-const TO_END: &[&str] = &["profile-data"];
+/// Fields that contain spaces: their value is the rest of the line.
+const REST_OF_LINE_FIELDS: &[&str] = &["profile-data"];
 
-/// One line: a name and its fields.
+/// One line: the name of a message and its fields.
 pub struct Line<'a> {
     pub name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
-    pub fn parse(text: &'a str) -> Result<Line<'a>, Fail> {
+    /// Splits a line into its fields. The fields of a message that is not handled are not read.
+    pub fn parse(text: &'a str) -> Result<Line<'a>, LineError> {
         let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         let mut fields = Vec::new();
-        if name != "MARK" && name != "ENGINE" && !KNOWN.contains(&name) {
+        if name != "MARK" && name != "ENGINE" && !HANDLED_MESSAGES.contains(&name) {
             return Ok(Line { name, fields });
         }
         while !rest.is_empty() {
-            let Some((key, tail)) = rest.split_once('=') else {
-                return Err(Fail::new(rest, "is no name=value pair"));
+            let Some((key, remainder)) = rest.split_once('=') else {
+                return Err(LineError::new(rest, "is not a name=value pair"));
             };
             if key.is_empty() || key.contains(' ') {
-                return Err(Fail::new(key, "is no name=value pair"));
+                return Err(LineError::new(key, "is not a name=value pair"));
             }
-            let (value, tail) =
-                if TO_END.contains(&key) { (tail, "") } else { tail.split_once(' ').unwrap_or((tail, "")) };
+            let (value, remainder) = if REST_OF_LINE_FIELDS.contains(&key) {
+                (remainder, "")
+            } else {
+                remainder.split_once(' ').unwrap_or((remainder, ""))
+            };
             fields.push((key, value));
-            rest = tail;
+            rest = remainder;
         }
         Ok(Line { name, fields })
     }
@@ -75,62 +83,64 @@
         self.fields.iter().find(|(name, _)| *name == key).map(|(_, value)| *value)
     }
 
-    pub fn text(&self, key: &str) -> Result<&'a str, Fail> {
+    /// The value of a field that must be present and not empty.
+    pub fn text(&self, key: &str) -> Result<&'a str, LineError> {
         let found = self.find(key).filter(|value| !value.is_empty());
-        found.ok_or_else(|| Fail::new(key, format!("is missing from {}", self.name)))
+        found.ok_or_else(|| LineError::new(key, format!("is missing from {}", self.name)))
     }
 
-    pub fn int(&self, key: &str) -> Result<u64, Fail> {
-        whole(key, self.text(key)?)
+    /// The value of a required field as a whole number.
+    pub fn int(&self, key: &str) -> Result<u64, LineError> {
+        parse_int(key, self.text(key)?)
     }
 
-    fn int_or_0(&self, key: &str) -> Result<u64, Fail> {
-        self.find(key).map_or(Ok(0), |value| whole(key, value))
+    fn int_or_0(&self, key: &str) -> Result<u64, LineError> {
+        self.find(key).map_or(Ok(0), |value| parse_int(key, value))
     }
 
-    fn small(&self, key: &str) -> Result<u32, Fail> {
-        u32::try_from(self.int_or_0(key)?).map_err(|_| Fail::new(key, "is out of range"))
+    fn int_u32(&self, key: &str) -> Result<u32, LineError> {
+        u32::try_from(self.int_or_0(key)?).map_err(|_| LineError::new(key, "is out of range"))
     }
 
-    fn id(&self) -> Result<ReqId, Fail> {
+    fn id(&self) -> Result<ReqId, LineError> {
         self.text("id")?;
-        Ok(ReqId(self.small("id")?))
+        Ok(ReqId(self.int_u32("id")?))
     }
 
-    fn number(&self, key: &str, absent: f64) -> Result<f64, Fail> {
+    fn number(&self, key: &str, default: f64) -> Result<f64, LineError> {
         let Some(value) = self.find(key) else {
-            return Ok(absent);
+            return Ok(default);
         };
         match value.parse::<f64>() {
             Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
-            _ => Err(Fail::new(key, format!("{value:?} is no number of 0 or more"))),
+            _ => Err(LineError::new(key, format!("{value:?} is not a finite number of 0 or more"))),
         }
     }
 
-    fn flag(&self, key: &str) -> Result<bool, Fail> {
+    fn flag(&self, key: &str) -> Result<bool, LineError> {
         match self.find(key) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(value) => Err(Fail::new(key, format!("{value:?} is neither 0 nor 1"))),
+            Some(value) => Err(LineError::new(key, format!("{value:?} is not 0 or 1"))),
         }
     }
 
-    fn server(&self) -> Result<ServerId, Fail> {
+    fn server(&self) -> Result<ServerId, LineError> {
         Ok(ServerId(self.text("engine")?.into()))
     }
 
-    fn load(&self) -> Result<Option<Vec<f64>>, Fail> {
+    fn load(&self) -> Result<Option<Vec<f64>>, LineError> {
         let Some(row) = self.find("health-info").filter(|row| !row.is_empty() && *row != "-") else {
             return Ok(None);
         };
         let values = row.split(',').map(|value| match value.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(number),
-            _ => Err(Fail::new("health-info", format!("{value:?} is no number"))),
+            _ => Err(LineError::new("health-info", format!("{value:?} is not a finite number"))),
         });
-        values.collect::<Result<Vec<f64>, Fail>>().map(Some)
+        values.collect::<Result<Vec<f64>, LineError>>().map(Some)
     }
 
-    fn outcome(&self) -> Result<Outcome, Fail> {
+    fn outcome(&self) -> Result<Outcome, LineError> {
         Ok(match self.text("disposition")? {
             "OK" => Outcome::Served,
             "INTERNAL" => Outcome::Error,
@@ -141,51 +151,53 @@
             "CANCELLED" => Outcome::Cancelled,
             "TOO_LATE" => Outcome::NotSent,
             "READ" => Outcome::Read,
-            other => return Err(Fail::new("disposition", format!("{other:?} is no outcome"))),
+            other => return Err(LineError::new("disposition", format!("{other:?} is not a known outcome"))),
         })
     }
 }
 
-fn whole(key: &str, value: &str) -> Result<u64, Fail> {
+fn parse_int(key: &str, value: &str) -> Result<u64, LineError> {
     let number = value.parse::<u64>().ok().filter(|number| *number <= 1 << 63);
-    number.ok_or_else(|| Fail::new(key, format!("{value:?} is no whole number from 0 to 2^63")))
+    number.ok_or_else(|| LineError::new(key, format!("{value:?} is not a whole number from 0 to 2^63")))
 }
 
-pub fn mode(line: &Line) -> Result<ListMode, Fail> {
+/// The kind of list that a `BACKENDS_CHANGED` line announces.
+pub fn parse_list_mode(line: &Line) -> Result<ListMode, LineError> {
     Ok(match line.text("mode")? {
         "update" => ListMode::Changes,
         "replace" => ListMode::Full,
         "restored" => ListMode::Restored,
         "unavailable" => ListMode::Failed,
-        other => return Err(Fail::new("mode", format!("{other:?} is no kind of list"))),
+        other => return Err(LineError::new("mode", format!("{other:?} is not a known list mode"))),
     })
 }
 
-pub fn entry(line: &Line) -> Result<Entry, Fail> {
+/// The entry of a list on an `ENGINE` line.
+pub fn parse_entry(line: &Line) -> Result<Entry, LineError> {
     let listed = match line.text("status")? {
         "Running" => Listed::Running,
         "Stopping" => Listed::Draining,
         "Deleted" => Listed::Gone,
-        other => return Err(Fail::new("status", format!("{other:?} is no status"))),
+        other => return Err(LineError::new("status", format!("{other:?} is not a known status"))),
     };
     Ok(Entry {
         server: line.server()?,
         listed,
-        kind: line.small("shape")? as usize,
-        zone: line.small("site")?,
-        cell: line.small("block")?,
+        kind: line.int_u32("shape")? as usize,
+        zone: line.int_u32("site")?,
+        cell: line.int_u32("block")?,
         weight: line.number("heft", 1.0)?,
         ready_at: line.int_or_0("ready-at-us")?,
     })
 }
 
-/// The event on a line, if it is one that this host knows.
-pub fn event(line: &Line) -> Result<Option<Event>, Fail> {
+/// The event on a line, or `None` for a message that is not handled.
+pub fn parse_event(line: &Line) -> Result<Option<Event>, LineError> {
     Ok(Some(match line.name {
         "ACCEPT" => Event::Arrived(Arrival {
             id: line.id()?,
-            class: line.small("tier-class")? as usize,
-            tenant: line.small("account")? as usize,
+            class: line.int_u32("tier-class")? as usize,
+            tenant: line.int_u32("account")? as usize,
             session: line.find("session-id").map(|key| TextKey(key.into())),
             prefix: line.find("prefix-id").map(|key| TextKey(key.into())),
             time_left: line.int("time-left-us")?,
@@ -198,7 +210,7 @@
         }),
         "ANSWER" => Event::Ended {
             id: line.id()?,
-            attempt: line.small("hop")?,
+            attempt: line.int_u32("hop")?,
             server: line.server()?,
             outcome: line.outcome()?,
             took: line.int_or_0("took-us")?,
@@ -208,7 +220,7 @@
         },
         "STREAMING" => Event::Streaming {
             id: line.id()?,
-            attempt: line.small("hop")?,
+            attempt: line.int_u32("hop")?,
             server: line.server()?,
             took: line.int_or_0("took-us")?,
         },
@@ -221,7 +233,7 @@
         },
         "BOOKING" => Event::Place {
             id: line.id()?,
-            attempt: line.small("hop")?,
+            attempt: line.int_u32("hop")?,
             server: line.server()?,
             held: line.int("what")? == 1,
         },
@@ -230,7 +242,8 @@
     }))
 }
 
-pub fn write(action: &Action, out: &mut String) {
+/// Appends the line for an action to `out`.
+pub fn write_action(action: &Action, out: &mut String) {
     let line = match action {
         Action::Send { id, server, timeout } => {
             format!("DELIVER id={} try-for-us={timeout} engine={}\n", id.0, server.0)
