--- a/src/policy/hand_over.rs
+++ b/src/policy/hand_over.rs
@@ -61,7 +61,7 @@
     ) -> WriterCost {
         let is_remote = fetch_kind(view, cell) == AttemptKind::RemoteFetch;
         let tokens = self.estimated_tokens(view, now);
-        let penalty_tokens = if is_remote { REMOTE_TOKEN_FACTOR * (arrival.prompt + tokens) } else { 0.0 };
+        let penalty_tokens = if is_remote { PENALTY_TOKEN_FACTOR * (arrival.prompt + tokens) } else { 0.0 };
         WriterCost {
             health_penalty: 0,
             load_penalty: 0,
@@ -85,7 +85,7 @@
             (kind == AttemptKind::RemoteFetch, request.ttft_target - (now - request.arrived_at) as f64);
         let tokens = self.estimated_tokens(view, now);
         let penalties = f64::from(u32::from(is_remote) + u32::from(requirement.is_unmet_by(view, now)));
-        let penalty_tokens = REMOTE_TOKEN_FACTOR * penalties * (arrival.prompt + tokens);
+        let penalty_tokens = PENALTY_TOKEN_FACTOR * penalties * (arrival.prompt + tokens);
         let fetch_time = self.predict_latency(view, kind, arrival.prompt, now);
         let is_late =
             fetch_time.max(view.oldest_wait(now)).max(if is_remote { link_wait } else { 0.0 }) > time_left;
--- a/src/policy/tunables.rs
+++ b/src/policy/tunables.rs
@@ -58,8 +58,9 @@
 pub(super) const FEW_FRONTS: u32 = 8;
 /// A report older than this many shortest TTFT targets is no evidence.
 pub(super) const REPORT_LIFE_TARGETS: f64 = 2.0;
-/// A KV state that leaves its cell counts with this multiple of its and the remote writer's tokens.
-pub(super) const REMOTE_TOKEN_FACTOR: f64 = 4.0;
+/// Penalty of a writer in another cell, and of one without a recent answer where that is required, as a
+/// multiple of the tokens of the KV state and the writer.
+pub(super) const PENALTY_TOKEN_FACTOR: f64 = 4.0;
 /// Most cached texts recorded for one server; when it is full, older entries are dropped.
 pub(super) const MAX_CACHED_TEXTS: usize = 2000;
 /// Held requests that may fail to be placed before the rest waits for the next event.
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -4,7 +4,7 @@
 
 const MS: Time = 1_000;
 
-// A router with its clock and the actions of the last event.
+/// A router with its clock and the actions of the last event.
 struct Harness {
     router: Router,
     now: Time,
@@ -55,8 +55,8 @@
     fn new(names: &[&str]) -> Harness {
         Harness::with(example_settings(), names)
     }
-    /// Passes an event to the router and returns the actions except timers and probes.
 
+    /// Passes an event to the router and returns the actions except timers and probes.
     fn handle(&mut self, event: Event) -> Vec<Action> {
         self.actions.clear();
         self.router.handle(self.now, event, &mut self.actions);
@@ -109,8 +109,8 @@
         }
     }
 }
-/// The server of the only send among the actions, if there is one.
 
+/// The server of the only send among the actions, if there is one.
 fn sent_to(actions: &[Action]) -> Option<String> {
     let mut sends = actions.iter().filter_map(|action| match action {
         Action::Send { server, .. } => Some(server.0.to_string()),
@@ -120,11 +120,12 @@
     assert!(sends.next().is_none(), "more than one send: {actions:?}");
     first
 }
-/// Number of final answers for a request.
 
+/// Number of final answers for a request.
 fn final_answers(actions: &[Action], id: u32) -> usize {
-    let of = |a: &&Action| matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } if i.0 == id);
-    actions.iter().filter(of).count()
+    let is_final =
+        |a: &&Action| matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } if i.0 == id);
+    actions.iter().filter(is_final).count()
 }
 
 fn settings_with_repeat(repeat: Repeat) -> Settings {
@@ -276,14 +277,14 @@
 #[test]
 fn a_kv_state_is_released_after_repeated_connection_failures() {
     let mut harness = Harness::new(&["r1", "w1a", "w1b", "w1c", "w1d"]);
-    let set = example_settings();
+    let settings = example_settings();
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     harness.now += 100 * MS;
     let read = harness.now;
     let mut writer = sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)).unwrap();
     let mut released = None;
     for attempt in 1..3 {
-        harness.now += set.connect_timeout;
+        harness.now += settings.connect_timeout;
         let done = harness.end_attempt(1, attempt, &writer, Outcome::NoConnection, 0);
         let release = done.iter().position(|action| *action == Action::Release { id: ReqId(1) });
         let send = done.iter().position(|action| matches!(action, Action::Send { .. }));
@@ -293,12 +294,12 @@
         writer = next;
     }
     let waited = released.expect("the KV state is released") - read;
-    assert!(waited <= 2 * set.connect_timeout && waited > set.let_go_by, "{waited} us");
+    assert!(waited <= 2 * settings.connect_timeout && waited > settings.let_go_by, "{waited} us");
     // An attempt that reached its server restarts the release clock.
     let mut harness = Harness::new(&["r1", "w1a", "w1b", "w1c"]);
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     let writer = sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)).unwrap();
-    harness.now += set.let_go_by + MS;
+    harness.now += settings.let_go_by + MS;
     let done = harness.end_attempt(1, 1, &writer, Outcome::Full, 0);
     assert!(sent_to(&done).is_some() && !done.contains(&Action::Release { id: ReqId(1) }), "{done:?}");
 }
@@ -326,8 +327,8 @@
 #[test]
 fn a_request_with_hardly_any_time_left_is_answered_on_arrival() {
     let mut harness = Harness::new(&["r1"]);
-    let ask = Arrival { time_left: 25 * MS, ..arrival(1, 1_000.0) };
-    assert_eq!(final_answers(&harness.handle(Event::Arrived(ask)), 1), 1);
+    let request = Arrival { time_left: 25 * MS, ..arrival(1, 1_000.0) };
+    assert_eq!(final_answers(&harness.handle(Event::Arrived(request)), 1), 1);
 }
 
 #[test]
@@ -632,12 +633,12 @@
     }
     // The local writer holds many tokens. Without the congested link the empty remote writer, which failed
     // nothing, would be chosen.
-    let more = ["w1", "w3"].map(|name| entry(name, Listed::Running, 0));
-    harness.update_list(ListMode::Changes, vec![more[0].clone()]);
+    let new_entries = ["w1", "w3"].map(|name| entry(name, Listed::Running, 0));
+    harness.update_list(ListMode::Changes, vec![new_entries[0].clone()]);
     harness.arrive(50, 80_000.0);
     assert_eq!(sent_to(&harness.end_attempt(50, 0, "r1", Outcome::Read, 0)).as_deref(), Some("w1"));
     harness.first_token(50, 1, "w1");
-    harness.update_list(ListMode::Changes, vec![more[1].clone()]);
+    harness.update_list(ListMode::Changes, vec![new_entries[1].clone()]);
     harness.arrive(51, 1_000.0);
     assert_eq!(sent_to(&harness.end_attempt(51, 0, "r1", Outcome::Read, 0)).as_deref(), Some("w1"));
 }
@@ -738,13 +739,13 @@
     settings.fronts = 100;
     let mut harness = Harness::with(settings, &["r1a", "r1b", "w1"]);
     harness.arrive(1, 1_000.0);
-    let asked = |actions: &[Action]| {
+    let probed_server = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Probe { server } => Some(server.clone()),
             _ => None,
         })
     };
-    let first = asked(&harness.actions).expect("the first reader is probed");
+    let first = probed_server(&harness.actions).expect("the first reader is probed");
     let load = |server: ServerId, thousands: f64| Event::Probed {
         server,
         outcome: Outcome::Served,
@@ -752,7 +753,7 @@
         load: Some(vec![thousands]),
     };
     assert_eq!(sent_to(&harness.handle(load(first.clone(), 50.0))), None);
-    let second = asked(&harness.actions).expect("then the other reader is probed");
+    let second = probed_server(&harness.actions).expect("then the other reader is probed");
     assert_ne!(first, second);
     assert_eq!(sent_to(&harness.handle(load(second.clone(), 0.0))), Some(second.0.to_string()));
 }
@@ -852,12 +853,12 @@
     names.push("w1".to_string());
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let readers = |prefix: Option<&str>| {
-        let of = |n: u32| {
+        let reader_of_front = |n: u32| {
             let mut harness = front_of_sixty(n, &names);
             names.iter().for_each(|name| drop(harness.report_load(name, 0.1, 0.0)));
             sent_to(&harness.arrive_with_texts(1, format!("s{n}"), prefix, 1_000.0)).unwrap()
         };
-        (0..60).map(of).collect::<std::collections::BTreeSet<_>>().len()
+        (0..60).map(reader_of_front).collect::<std::collections::BTreeSet<_>>().len()
     };
     let (shared, own) = (readers(Some("shared")), readers(None));
     assert!((2..=10).contains(&shared) && own >= 16, "shared {shared} own {own}");
@@ -886,14 +887,14 @@
 #[test]
 fn sixty_fronts_take_turns_with_combined_attempts_at_a_writer() {
     let sent = |slot: u64| {
-        let of = |me: &u32| {
+        let sends_attempt = |me: &u32| {
             let mut harness = front_of_sixty(*me, &["r1", "w1"]);
             harness.now += slot * 5_000 * MS;
             harness.report_load("r1", 0.1, 900.0);
             harness.report_load("w1", 0.1, 0.0);
             sent_to(&harness.arrive(1, 1_000.0)).is_some()
         };
-        (0..60).filter(of).count()
+        (0..60).filter(sends_attempt).count()
     };
     let sent: Vec<usize> = (0..20).map(sent).collect();
     assert!(sent.iter().all(|n| *n <= 12) && sent.iter().sum::<usize>() >= 10, "{sent:?}");
@@ -902,7 +903,7 @@
 /// A late request is worth little: it leaves nearly full servers to requests that can still be in time.
 #[test]
 fn late_requests_use_only_free_capacity() {
-    for (late, memory, goes) in [(false, 0.8, true), (true, 0.8, false), (true, 0.3, true)] {
+    for (late, memory, is_expected) in [(false, 0.8, true), (true, 0.8, false), (true, 0.3, true)] {
         let mut harness = front_of_sixty(0, &["r1", "w1"]);
         harness.report_load("r1", 0.1, 0.0);
         harness.report_load("w1", 0.1, 0.0);
@@ -910,7 +911,7 @@
         harness.now += if late { 1_500 } else { 100 } * MS;
         harness.report_load("w1", memory, 0.0);
         let sent = sent_to(&harness.end_attempt(1, 0, "r1", Outcome::Read, 0));
-        assert_eq!(sent.is_some(), goes, "late {late} memory {memory}");
+        assert_eq!(sent.is_some(), is_expected, "late {late} memory {memory}");
     }
 }
 
@@ -959,12 +960,12 @@
     }
     // A read of 100 ms behind 300 ms of work fits a TTFT target of one second; behind 600 ms it no longer
     // does.
-    for (id, thousands, goes) in [(11, 3.0, true), (12, 6.0, false)] {
+    for (id, thousands, is_expected) in [(11, 3.0, true), (12, 6.0, false)] {
         harness.report_load("r1", 0.1, thousands);
         harness.report_load("w1", 0.9, 0.0);
         harness.report_load("w1", 0.1, 0.0);
         let sent = sent_to(&harness.arrive(id, 1_000.0)).is_some_and(|at| at == "r1");
-        assert_eq!(sent, goes, "{thousands}");
+        assert_eq!(sent, is_expected, "{thousands}");
         harness.handle(Event::ClientGone { id: ReqId(id) });
         for at in ["r1", "w1"] {
             harness.end_attempt(id, 0, at, Outcome::Cancelled, 0);
@@ -1038,8 +1039,8 @@
     harness.learn_latencies();
     harness.handle(Event::Stopping { within: 1_500 * MS });
     harness.advance(500 * MS);
-    let ask = Arrival { time_left: 6_000 * MS, ..arrival(1, 1_000.0) };
-    let reader = sent_to(&harness.handle(Event::Arrived(ask))).unwrap();
+    let request = Arrival { time_left: 6_000 * MS, ..arrival(1, 1_000.0) };
+    let reader = sent_to(&harness.handle(Event::Arrived(request))).unwrap();
     let done = harness.advance(900 * MS);
     harness.now += 50 * MS;
     let done = [done, harness.end_attempt(1, 0, &reader, Outcome::TimedOut, 0)].concat();
