--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,24 +1,26 @@
-//! What is turned away before it is taken.
+//! Rejection of requests before any work is done for them.
 //!
-//! A front that drains takes nothing new; one that holds its limit takes nothing more. Both are told at once, and
-//! both are refusals: nothing has run, so trying again is harmless. The limit bounds memory, not load: load is
-//! the module's to judge, which refuses what fits nowhere. Seen as `turned_away` in the counters.
+//! A front rejects new requests while it drains and while it holds the maximum number of requests. The client
+//! is told at once, by a refusal: nothing has run, so trying again is harmless. The limit bounds memory, not
+//! load: the router judges load and refuses what fits on no server. Rejections are counted as `turned_away`.
 
 use crate::plan::Limits;
 
-/// Why a request is not taken.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum Rejection {
+    /// The front is draining.
     Draining,
+    /// The front holds the maximum number of requests.
     Full,
 }
 
-/// Whether one more request is taken.
-pub fn admit(draining: bool, held: usize, limits: &Limits) -> Result<(), Turned> {
+/// Whether one more request is admitted while `held` requests are in progress.
+pub fn admit(draining: bool, held: usize, limits: &Limits) -> Result<(), Rejection> {
     if draining {
-        Err(Turned::Draining)
+        Err(Rejection::Draining)
     } else if held >= limits.requests {
-        Err(Turned::Full)
+        Err(Rejection::Full)
     } else {
         Ok(())
     }
--- a/crates/core/src/chain.rs
+++ b/crates/core/src/chain.rs
@@ -1,40 +1,41 @@
-//! One request over its legs and tool calls, and which final answer is true to promise.
+//! The state of one client request over its legs and tool calls, and the rule which final answer it may get.
 //!
-//! A chain is in one of three phases: a leg is with the module, a tool call is out, or it is over. It ends in
-//! exactly one [`Final`]. A refusal promises that trying again is harmless, so it is given only while that is
-//! known: no tool with an effect may have run, and of a class that is not safe to repeat no earlier leg was
-//! written. Everything else that does not end served is a failure, which promises nothing.
+//! A chain is in one of three phases: a leg is with the router, a tool call is in flight, or the chain has
+//! its final answer. It ends in exactly one [`Final`]. A refusal promises that trying again is harmless. It
+//! is given only while that is known: no tool with an effect may have run, and in a class that is not safe to
+//! repeat no earlier leg was written. Any other end that is not served is a failure, which promises nothing.
 
 use elderstage::{Repeat, ReqId, ServerId, Time};
 
-/// A client's request at this front.
+/// Identifies a client's request within one front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChainId(pub u64);
 
-/// Why a request ended as it did; told to the client and counted.
+/// Why a request ended as it did. It is reported to the client and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// The front is going out of service.
+    /// The front is draining.
     Draining,
-    /// The front holds as many requests as it may.
+    /// The front already holds the maximum number of requests.
     FrontFull,
-    /// The module found no server that could take it in time.
+    /// The router found no server that could take the request in time.
     NoRoom,
     /// An attempt may have run and must not be repeated.
     MayHaveRun,
     /// A stream broke after its first token.
     StreamBroke,
-    /// A tool call with an effect ended without a result.
+    /// A tool call that may have had an effect ended without a result.
     ToolUnknown,
-    /// The request's whole time is up.
+    /// The time limit of the whole request has passed.
     OutOfTime,
     /// More turns or calls than the route allows.
     TooManyTurns,
-    /// The answer grew past the bound on one answer's text.
+    /// The answer exceeds the limit on one answer's text.
     TooLong,
 }
 
 impl Reason {
+    /// The sentence that the client gets.
     pub fn text(self) -> &'static str {
         match self {
             Reason::Draining => "the front is going out of service",
@@ -53,102 +54,107 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
+    /// The client got its whole answer.
     Served,
-    /// Trying again is harmless; not before this time has passed (0: no advice).
-    Refused {
-        reason: Reason,
-        retry_after: Time,
-    },
-    /// Promises nothing.
-    Failed {
-        reason: Reason,
-    },
-    /// The client has left or cancelled: no answer is owed.
+    /// Trying again is harmless, but not before `retry_after` has passed (0: no advice).
+    Refused { reason: Reason, retry_after: Time },
+    /// The request may or may not have run; nothing is promised.
+    Failed { reason: Reason },
+    /// The client left or cancelled, so it gets no answer.
     Gone,
 }
 
-/// One turn of the writer.
+/// One turn of the model: a request of its own to the router.
 #[derive(Clone, Debug)]
 pub struct Leg {
     pub id: ReqId,
     pub attempts: u32,
-    /// The attempt that is out.
-    pub out: Option<(ServerId, crate::driver::Stage)>,
-    /// The reader whose state waits, and the attempt that read it.
-    pub state: Option<(ServerId, u32)>,
-    pub streaming: bool,
-    /// A writer may have begun it.
+    /// Server and stage of the attempt in flight.
+    pub in_flight: Option<(ServerId, crate::driver::Stage)>,
+    /// The reader that keeps the KV state for a writer, and the attempt that read it.
+    pub kept_state: Option<(ServerId, u32)>,
+    /// The first token has arrived.
+    pub is_streaming: bool,
+    /// A writer may have started on it.
     pub may_have_run: bool,
 }
 
 impl Leg {
+    /// A leg without attempts.
     pub fn new(id: ReqId) -> Leg {
-        Leg { id, attempts: 0, out: None, state: None, streaming: false, may_have_run: false }
+        Leg { id, attempts: 0, in_flight: None, kept_state: None, is_streaming: false, may_have_run: false }
     }
 }
 
-/// A tool call that is out.
+/// A tool call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToolOut {
-    /// What was known of effects before this call was first made.
-    pub effect_before: bool,
-    /// Position among the turn's calls.
+pub struct PendingToolCall {
+    /// Value of [`Chain::may_have_had_effect`] before the current try; restored if the call did not run.
+    pub had_effect_before: bool,
+    /// Position among the calls of the turn.
     pub call: usize,
+    /// Index into the plan's tools.
     pub tool: usize,
+    /// Tries so far.
     pub tries: u32,
 }
 
+/// What a chain waits for.
 #[derive(Clone, Debug)]
 pub enum Phase {
     Leg(Leg),
-    Tool(ToolOut),
+    Tool(PendingToolCall),
 }
 
-/// The state of one request.
+/// The state of one client request.
 #[derive(Clone, Debug)]
 pub struct Chain {
     pub route: usize,
     pub class: usize,
     pub arrived: Time,
     pub deadline: Time,
-    /// What the client waits for a turn's first token.
-    pub patience: Time,
-    /// Bytes of the conversation so far; grows with answers and results.
+    /// How long the client waits for the first token of a turn.
+    pub first_token_limit: Time,
+    /// Bytes of the conversation so far, with answers and tool results.
     pub bytes: usize,
     pub shared_bytes: usize,
-    /// Legs begun.
+    /// Legs started.
     pub legs: u32,
-    /// Calls of the present turn, each with its tool if the route has it.
+    /// Tool calls of the current turn: the index of the tool, or `None` if the route does not have it.
     pub calls: Vec<Option<usize>>,
-    /// Position of the next call to make.
+    /// Position of the next call to start.
     pub next_call: usize,
     /// A tool with an effect may have run.
-    pub effect: bool,
+    pub may_have_had_effect: bool,
     pub phase: Phase,
-    /// The final answer has been given; what is out is still to be heard of.
-    pub over: bool,
+    /// The final answer has been given; the end of an attempt in flight may still be outstanding.
+    pub is_answered: bool,
 }
 
 impl Chain {
-    /// Whether trying the whole request again is known to be harmless.
-    pub fn harmless(&self, repeat: Repeat) -> bool {
-        let written = self.legs > 1 || matches!(&self.phase, Phase::Leg(leg) if leg.may_have_run);
-        !self.effect && (repeat == Repeat::Safe || !written)
+    /// Whether repeating the whole request is known to be harmless.
+    pub fn is_harmless_to_repeat(&self, repeat: Repeat) -> bool {
+        let writer_may_have_run = self.legs > 1 || matches!(&self.phase, Phase::Leg(leg) if leg.may_have_run);
+        !self.may_have_had_effect && (repeat == Repeat::Safe || !writer_may_have_run)
     }
 
-    /// The module refused the present leg: the word for the whole request.
-    pub fn refusal(&self, repeat: Repeat, retry_after: Time) -> Final {
-        // The module knows more of the present leg than we do: a keyed one may be refused after it ran.
-        if !self.effect && (repeat == Repeat::Safe || self.legs <= 1) {
+    /// The final answer of the request after the router refused its current leg.
+    pub fn final_for_refusal(&self, repeat: Repeat, retry_after: Time) -> Final {
+        // The router decides for the current leg: it may refuse a keyed one even after it ran.
+        if !self.may_have_had_effect && (repeat == Repeat::Safe || self.legs <= 1) {
             Final::Refused { reason: Reason::NoRoom, retry_after }
         } else {
             Final::Failed { reason: Reason::MayHaveRun }
         }
     }
 
-    /// The request ends for a reason of ours: the word for it.
-    pub fn ending(&self, repeat: Repeat, reason: Reason, retry_after: Time) -> Final {
-        if self.harmless(repeat) { Final::Refused { reason, retry_after } } else { Final::Failed { reason } }
+    /// The final answer of a request that the core ends for `reason`.
+    pub fn final_for_end(&self, repeat: Repeat, reason: Reason, retry_after: Time) -> Final {
+        if self.is_harmless_to_repeat(repeat) {
+            Final::Refused { reason, retry_after }
+        } else {
+            Final::Failed { reason }
+        }
     }
 }
 
--- a/crates/core/src/chain/tests.rs
+++ b/crates/core/src/chain/tests.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-fn chain(legs: u32, effect: bool, may_have_run: bool) -> Chain {
+fn chain(legs: u32, may_have_had_effect: bool, may_have_run: bool) -> Chain {
     Chain {
         route: 0,
         class: 0,
         arrived: 0,
         deadline: 1,
-        patience: 1,
+        first_token_limit: 1,
         bytes: 0,
         shared_bytes: 0,
         legs,
         calls: Vec::new(),
         next_call: 0,
-        effect,
+        may_have_had_effect,
         phase: Phase::Leg(Leg { may_have_run, ..Leg::new(ReqId(1)) }),
-        over: false,
+        is_answered: false,
     }
 }
 
-/// Guards against a client that tries again, as a refusal allows, after its order was placed.
+/// Guards against a refusal after an order was placed: the client may then retry and place it twice.
 #[test]
-fn nothing_is_refused_once_an_effect_may_have_happened() {
+fn never_refuses_once_an_effect_may_have_happened() {
     for repeat in [Repeat::Safe, Repeat::Unsafe] {
         let after_effect = chain(2, true, false);
-        assert!(matches!(after_effect.refusal(repeat, 1), Final::Failed { .. }), "{repeat:?}");
-        assert!(matches!(after_effect.ending(repeat, Reason::OutOfTime, 1), Final::Failed { .. }));
+        assert!(matches!(after_effect.final_for_refusal(repeat, 1), Final::Failed { .. }), "{repeat:?}");
+        assert!(matches!(after_effect.final_for_end(repeat, Reason::OutOfTime, 1), Final::Failed { .. }));
     }
-    assert!(matches!(chain(2, false, false).refusal(Repeat::Unsafe, 1), Final::Failed { .. }));
-    assert!(matches!(chain(2, false, false).refusal(Repeat::Safe, 1), Final::Refused { .. }));
-    assert!(matches!(chain(1, false, false).refusal(Repeat::Unsafe, 1), Final::Refused { .. }));
+    assert!(matches!(chain(2, false, false).final_for_refusal(Repeat::Unsafe, 1), Final::Failed { .. }));
+    assert!(matches!(chain(2, false, false).final_for_refusal(Repeat::Safe, 1), Final::Refused { .. }));
+    assert!(matches!(chain(1, false, false).final_for_refusal(Repeat::Unsafe, 1), Final::Refused { .. }));
     let running = chain(1, false, true);
-    assert!(matches!(running.ending(Repeat::Unsafe, Reason::OutOfTime, 1), Final::Failed { .. }));
-    assert!(matches!(running.ending(Repeat::Safe, Reason::OutOfTime, 1), Final::Refused { .. }));
+    assert!(matches!(running.final_for_end(Repeat::Unsafe, Reason::OutOfTime, 1), Final::Failed { .. }));
+    assert!(matches!(running.final_for_end(Repeat::Safe, Reason::OutOfTime, 1), Final::Refused { .. }));
 }
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -1,170 +1,134 @@
-//! The core's one door: events in, effects out, and the module in between.
+//! The core's state machine: takes events, drives the router and emits effects.
+//!
+//! It does no I/O and reads no clock: the caller passes the time. Each chain that is submitted gets exactly
+//! one [`Effect::Answer`], and then one [`Effect::Forget`] once none of its attempts is in flight.
 
 use std::collections::{BTreeMap, HashMap};
 
 use elderstage::{
-    Action, Arrival, Entry, Event as Told, ListMode, Outcome, Repeat, ReqId, Role, Router, ServerId, TextKey,
-    Time,
+    Action, Arrival, Entry, Event as RouterEvent, ListMode, Outcome, Repeat, ReqId, Role, Router, ServerId,
+    TextKey, Time,
 };
 
-use crate::admission::{self, Turned};
-use crate::chain::{Chain, ChainId, Final, Leg, Phase, Reason, ToolOut};
+use crate::admission::{self, Rejection};
+use crate::chain::{Chain, ChainId, Final, Leg, PendingToolCall, Phase, Reason};
 use crate::estimate::Estimate;
 use crate::evidence::{self, Evidence, ToolEnd};
 use crate::members::Members;
 use crate::plan::{Plan, ToolPlan};
-use crate::timers::{Due, Timers};
+use crate::timers::{TimerPurpose, Timers};
 
-/// What an attempt is to do at its engine.
+/// The work that an attempt does at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Read the prompt and keep the state.
+    /// Read the prompt (prefill) and keep its KV state for a writer.
     Read,
-    /// Fetch the state of the leg's read, and write.
+    /// Fetch the KV state that the leg's reader keeps, and write the answer (decode).
     Write,
-    /// Read and write at one place.
+    /// Read and write on one server.
     Whole,
 }
 
-/// A request that a client has sent.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct Submit {
     pub chain: ChainId,
+    /// Index into [`Plan::routes`].
     pub route: usize,
     pub tenant: usize,
     pub session: Option<String>,
-    /// Names the text with which the prompt begins, where it is shared, and its bytes.
+    /// Name and length in bytes of the text that the prompt begins with, if other requests share it.
     pub prefix: Option<(String, usize)>,
-    /// Bytes of the whole prompt.
+    /// Length of the whole prompt, in bytes.
     pub bytes: usize,
-    /// The client has marked it as tried before.
+    /// The client marked the request as a repeat of an earlier one.
     pub repeat: bool,
 }
 
-/// A call that a turn has made.
+/// A tool call that the model made in a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// Name of the tool, as the model wrote it.
     pub tool: String,
+    /// Length of the arguments, in bytes.
     pub bytes: usize,
 }
 
-/// One thing that the front has seen.
+/// An event that the front observed.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// A client sent a request.
     Submit(Submit),
-    /// The first token, or the first piece of a tool call, has come.
-    Streaming {
-        chain: ChainId,
-        leg: ReqId,
-        attempt: u32,
-        took: Time,
-    },
+    /// The first token, or the first fragment of a tool call, arrived from the engine.
+    Streaming { chain: ChainId, leg: ReqId, attempt: u32, took: Time },
+    /// An attempt ended, after `took`.
     AttemptEnded {
         chain: ChainId,
         leg: ReqId,
         attempt: u32,
         evidence: Evidence,
         took: Time,
-        /// Tokens of prompt and answer as the engine counted them.
+        /// Prompt tokens and answer tokens, as counted by the engine.
         usage: Option<(u64, u64)>,
-        /// Bytes of text, and the calls, of a turn that ended in good order.
+        /// Bytes of text and the tool calls of a turn that ended normally.
         text: usize,
         calls: Vec<Call>,
         load: Option<Vec<f64>>,
     },
-    ToolEnded {
-        chain: ChainId,
-        call: usize,
-        end: ToolEnd,
-    },
-    /// The client has left, or cancelled the request.
-    ClientGone {
-        chain: ChainId,
-    },
-    /// The answer has outgrown what the front may hold of it.
-    TooLong {
-        chain: ChainId,
-    },
-    Servers {
-        mode: ListMode,
-        entries: Vec<Entry>,
-    },
-    Probed {
-        server: ServerId,
-        evidence: Option<Evidence>,
-        took: Time,
-        load: Option<Vec<f64>>,
-    },
-    /// A server has told when its process started; starts before `long_ago` are those of warm servers.
-    Started {
-        server: ServerId,
-        at: Time,
-        long_ago: Time,
-    },
-    /// Take nothing new from now on.
+    /// A tool call ended. `call` is its position among the calls of the turn.
+    ToolEnded { chain: ChainId, call: usize, end: ToolEnd },
+    /// The client closed its connection or cancelled the request.
+    ClientGone { chain: ChainId },
+    /// The answer exceeds the size that the front may buffer.
+    TooLong { chain: ChainId },
+    /// The list of servers, or changes to it.
+    Servers { mode: ListMode, entries: Vec<Entry> },
+    /// A probe ended; `evidence` is `None` if the server answered that it is healthy.
+    Probed { server: ServerId, evidence: Option<Evidence>, took: Time, load: Option<Vec<f64>> },
+    /// A server reported the start time of its process. A server that started before `long_ago` counts as
+    /// warm.
+    Started { server: ServerId, at: Time, long_ago: Time },
+    /// Reject new requests from now on.
     Drain,
-    /// The time for the drain is up: end what is left.
+    /// The drain period is over: end all remaining requests.
     Stop,
 }
 
-/// One thing that the front is to do.
+/// An action that the front carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// Start an attempt.
     Send {
         chain: ChainId,
         leg: ReqId,
-        /// Number of the leg in its chain, from 1.
+        /// Number of the leg within its chain, from 1.
         turn: u32,
         attempt: u32,
         server: ServerId,
         stage: Stage,
         timeout: Time,
-        /// The class is keyed: repeats are dropped by a key.
+        /// The request's class is keyed: the server drops repeats by an idempotency key.
         keyed: bool,
-        /// It must not run twice: its connection is proven before its body goes.
+        /// The request must not run twice: its connection is proven before its body is sent.
         once: bool,
     },
-    /// Stop waiting for an attempt; its end is still to be told.
-    Cancel {
-        chain: ChainId,
-        turn: u32,
-        attempt: u32,
-    },
-    /// Tell a reader to let go of the state of this attempt, read or still being read.
-    Release {
-        chain: ChainId,
-        turn: u32,
-        attempt: u32,
-        server: ServerId,
-    },
-    Probe {
-        server: ServerId,
-    },
-    CallTool {
-        chain: ChainId,
-        turn: u32,
-        call: usize,
-        tool: usize,
-        attempt: u32,
-        timeout: Time,
-    },
-    CancelTool {
-        chain: ChainId,
-        turn: u32,
-        call: usize,
-    },
-    /// The one final answer.
-    Answer {
-        chain: ChainId,
-        last: Final,
-    },
-    /// Nothing more will come for this request.
-    Forget {
-        chain: ChainId,
-    },
+    /// Cancel an attempt; the front still reports its end.
+    Cancel { chain: ChainId, turn: u32, attempt: u32 },
+    /// Tell a reader to release the KV state of this attempt, whether its read is finished or still running.
+    Release { chain: ChainId, turn: u32, attempt: u32, server: ServerId },
+    /// Send a health request to a server.
+    Probe { server: ServerId },
+    /// Call a tool. `tool` is an index into [`Plan::tools`].
+    CallTool { chain: ChainId, turn: u32, call: usize, tool: usize, attempt: u32, timeout: Time },
+    /// Cancel a tool call.
+    CancelTool { chain: ChainId, turn: u32, call: usize },
+    /// Give the client its final answer; emitted once per chain.
+    Answer { chain: ChainId, last: Final },
+    /// Drop everything held for this chain: no further effect refers to it.
+    Forget { chain: ChainId },
 }
 
-/// What the core has counted since its start.
+/// Counters since the start of the core.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     pub taken: u64,
@@ -185,104 +149,112 @@
     pub restarts_seen: u64,
 }
 
-/// One front's state.
+/// The state of one front.
 pub struct Core {
     plan: Plan,
     router: Router,
     members: Members,
     chains: HashMap<ChainId, Chain>,
-    legs: HashMap<ReqId, ChainId>,
-    asks: HashMap<ChainId, (Option<TextKey>, Option<TextKey>, usize)>,
+    chain_by_leg: HashMap<ReqId, ChainId>,
+    /// Session key, prefix key and tenant of each chain.
+    routing_keys: HashMap<ChainId, (Option<TextKey>, Option<TextKey>, usize)>,
+    /// One for each route.
     estimates: Vec<Estimate>,
     timers: Timers,
-    next_leg: u32,
+    last_leg_number: u32,
     draining: bool,
     counters: Counters,
 }
 
 impl Core {
-    /// A front that knows nothing yet. The seed feeds the module's random numbers.
+    /// A core without servers or requests. `seed` seeds the router's random numbers.
     pub fn new(plan: Plan, seed: u64) -> Core {
         Core {
             router: Router::new(plan.settings.clone(), seed),
             members: Members::default(),
             chains: HashMap::new(),
-            legs: HashMap::new(),
-            asks: HashMap::new(),
+            chain_by_leg: HashMap::new(),
+            routing_keys: HashMap::new(),
             estimates: vec![Estimate::default(); plan.routes.len()],
             timers: Timers::default(),
-            next_leg: 0,
+            last_leg_number: 0,
             draining: false,
             counters: Counters::default(),
             plan,
         }
     }
 
+    /// The counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Requests that have not come to their end.
+    /// Number of chains that have not been forgotten yet.
     pub fn held(&self) -> usize {
         self.chains.len()
     }
 
+    /// Whether new requests are rejected.
     pub fn draining(&self) -> bool {
         self.draining
     }
 
-    /// When [`Core::wake`] is due.
+    /// When [`Core::wake`] is due next.
     pub fn next_timer(&self) -> Option<Time> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
-    /// Acts on all timers that are due.
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Effect>) {
-        while let Some(due) = self.timers.pop(now) {
+    /// Handles all timers that are due.
+    pub fn wake(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        while let Some(due) = self.timers.pop_due(now) {
             match due {
-                Due::Module(name) => self.tell(now, Told::Timer { name }, out),
-                Due::Chain(chain) => self.end_chain(now, chain, Reason::OutOfTime, out),
+                TimerPurpose::Router(name) => self.notify_router(now, RouterEvent::Timer { name }, effects),
+                TimerPurpose::Chain(chain) => self.end_chain(now, chain, Reason::OutOfTime, effects),
             }
         }
     }
 
-    /// Takes one event and adds what is to be done to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
+    /// Handles one event and appends the resulting effects to `effects`.
+    pub fn handle(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::Submit(submit) => self.submit(now, submit, out),
+            Event::Submit(submit) => self.submit(now, submit, effects),
             Event::Streaming { chain, leg, attempt, took } => {
-                self.streaming(now, chain, leg, attempt, took, out)
+                self.attempt_streaming(now, chain, leg, attempt, took, effects)
             }
-            Event::AttemptEnded { .. } => self.attempt_ended(now, event, out),
-            Event::ToolEnded { chain, call, end } => self.tool_ended(now, chain, call, end, out),
+            Event::AttemptEnded { .. } => self.attempt_ended(now, event, effects),
+            Event::ToolEnded { chain, call, end } => self.tool_ended(now, chain, call, end, effects),
             Event::ClientGone { chain } => {
-                if self.chains.get(&chain).is_some_and(|c| !c.over) {
-                    self.close(now, chain, Final::Gone, out);
+                if self.chains.get(&chain).is_some_and(|c| !c.is_answered) {
+                    self.finish(now, chain, Final::Gone, effects);
                 }
             }
-            Event::TooLong { chain } => self.end_chain(now, chain, Reason::TooLong, out),
+            Event::TooLong { chain } => self.end_chain(now, chain, Reason::TooLong, effects),
             Event::Servers { mode, entries } => {
-                let entries = self.members.list(mode, entries);
-                self.tell(now, Told::Servers { mode, entries }, out);
+                let entries = self.members.apply_list(mode, entries);
+                self.notify_router(now, RouterEvent::Servers { mode, entries }, effects);
             }
             Event::Probed { server, evidence, took, load } => {
-                let outcome =
-                    evidence.map_or(Outcome::Served, |evidence| evidence::judge(Stage::Whole, &evidence).0);
-                self.tell(now, Told::Probed { server, outcome, took, load }, out);
+                let outcome = evidence
+                    .map_or(Outcome::Served, |evidence| evidence::classify(Stage::Whole, &evidence).0);
+                self.notify_router(now, RouterEvent::Probed { server, outcome, took, load }, effects);
             }
             Event::Started { server, at, long_ago } => {
-                if let Some(entry) = self.members.started(&server, at, long_ago) {
+                if let Some(entry) = self.members.record_start(&server, at, long_ago) {
                     self.counters.restarts_seen += 1;
-                    self.tell(now, Told::Servers { mode: ListMode::Changes, entries: vec![entry] }, out);
+                    self.notify_router(
+                        now,
+                        RouterEvent::Servers { mode: ListMode::Changes, entries: vec![entry] },
+                        effects,
+                    );
                 }
             }
             Event::Drain => self.draining = true,
             Event::Stop => {
                 self.draining = true;
-                let mut left: Vec<ChainId> = self.chains.keys().copied().collect();
-                left.sort_unstable();
-                for chain in left {
-                    self.end_chain(now, chain, Reason::Draining, out);
+                let mut remaining: Vec<ChainId> = self.chains.keys().copied().collect();
+                remaining.sort_unstable();
+                for chain in remaining {
+                    self.end_chain(now, chain, Reason::Draining, effects);
                 }
             }
         }
@@ -290,201 +262,217 @@
 
     // ---- Requests ----
 
-    fn submit(&mut self, now: Time, submit: Submit, out: &mut Vec<Effect>) {
+    fn submit(&mut self, now: Time, submit: Submit, effects: &mut Vec<Effect>) {
         let chain = submit.chain;
-        if let Err(turned) = admission::admit(self.draining, self.chains.len(), &self.plan.limits) {
+        if let Err(rejection) = admission::admit(self.draining, self.chains.len(), &self.plan.limits) {
             self.counters.turned_away += 1;
-            let reason = match turned {
-                Turned::Draining => Reason::Draining,
-                Turned::Full => Reason::FrontFull,
+            let reason = match rejection {
+                Rejection::Draining => Reason::Draining,
+                Rejection::Full => Reason::FrontFull,
             };
             let retry_after = self.plan.limits.retry_after;
-            out.push(Effect::Answer { chain, last: Final::Refused { reason, retry_after } });
-            out.push(Effect::Forget { chain });
+            effects.push(Effect::Answer { chain, last: Final::Refused { reason, retry_after } });
+            effects.push(Effect::Forget { chain });
             return;
         }
         self.counters.taken += 1;
         let class = self.plan.routes[submit.route].class;
         let plan = &self.plan.classes[class];
         let tokens = self.estimates[submit.route].tokens(submit.bytes);
-        let patience = plan.give_up + (plan.give_up_per_1000 * tokens / 1000.0) as Time;
+        let first_token_limit = plan.give_up + (plan.give_up_per_1000 * tokens / 1000.0) as Time;
         let deadline = now + plan.total;
-        self.timers.set(deadline, Due::Chain(chain));
+        self.timers.set(deadline, TimerPurpose::Chain(chain));
         let shared_bytes = submit.prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
         let key = |text: String| TextKey(text.into());
         let prefix = submit.prefix.map(|(name, _)| key(name));
-        // Without a session of its own, a request that may come back with a tool's result is one session: its next
-        // leg is then read where its first was kept.
+        // A request on a route with tools gets a session of its own if it names none: the router then reads
+        // its next leg on the server that keeps the first.
         let tools = !self.plan.routes[submit.route].tools.is_empty();
         let session = submit.session.or_else(|| tools.then(|| format!("request {}", chain.0)));
-        self.asks.insert(chain, (session.map(key), prefix, submit.tenant));
+        self.routing_keys.insert(chain, (session.map(key), prefix, submit.tenant));
         let state = Chain {
             route: submit.route,
             class,
             arrived: now,
             deadline,
-            patience,
+            first_token_limit,
             bytes: submit.bytes,
             shared_bytes,
             legs: 0,
             calls: Vec::new(),
             next_call: 0,
-            effect: false,
+            may_have_had_effect: false,
             phase: Phase::Leg(Leg::new(ReqId(0))),
-            over: false,
+            is_answered: false,
         };
         self.chains.insert(chain, state);
-        self.begin_leg(now, chain, submit.repeat, out);
+        self.start_leg(now, chain, submit.repeat, effects);
     }
 
-    /// Hands the next turn to the module as a request of its own, with the time that is left.
-    fn begin_leg(&mut self, now: Time, id: ChainId, repeat: bool, out: &mut Vec<Effect>) {
+    /// Submits the next turn to the router as a request of its own, with the time that is left.
+    fn start_leg(&mut self, now: Time, id: ChainId, repeat: bool, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let route = &self.plan.routes[chain.route];
         if chain.legs >= route.most_legs {
-            return self.end_chain(now, id, Reason::TooManyTurns, out);
+            return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
-        self.next_leg = self.next_leg.wrapping_add(1);
-        let leg = ReqId(self.next_leg);
+        self.last_leg_number = self.last_leg_number.wrapping_add(1);
+        let leg = ReqId(self.last_leg_number);
         chain.legs += 1;
         chain.phase = Phase::Leg(Leg::new(leg));
-        self.legs.insert(leg, id);
+        self.chain_by_leg.insert(leg, id);
         self.counters.legs += 1;
         let estimate = &self.estimates[chain.route];
         let prompt = estimate.tokens(chain.bytes);
         let shared =
             if chain.shared_bytes > 0 { estimate.tokens(chain.shared_bytes).min(prompt) } else { 0.0 };
         let tpot = self.plan.settings.classes[chain.class].tpot_aim;
-        let (session, prefix, tenant) = self.asks.get(&id).cloned().unwrap_or_default();
+        let (session, prefix, tenant) = self.routing_keys.get(&id).cloned().unwrap_or_default();
         let arrival = Arrival {
             id: leg,
             class: chain.class,
             tenant,
             session,
             prefix,
-            time_left: chain.patience.min(chain.deadline.saturating_sub(now)),
-            hint: (estimate.answer() * tpot) as Time,
+            time_left: chain.first_token_limit.min(chain.deadline.saturating_sub(now)),
+            hint: (estimate.answer_tokens() * tpot) as Time,
             prompt,
             shared,
             max_out: route.max_tokens,
             repeat,
-            // A later leg is read where its session was, which its key tells; it is no return after a break.
+            // The session key leads a later leg to its reader; `returned` is for sessions that come back
+            // after a break.
             returned: false,
         };
-        self.tell(now, Told::Arrived(arrival), out);
+        self.notify_router(now, RouterEvent::Arrived(arrival), effects);
     }
 
-    fn streaming(
+    fn attempt_streaming(
         &mut self,
         now: Time,
         id: ChainId,
         leg: ReqId,
         attempt: u32,
         took: Time,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let Phase::Leg(state) = &mut chain.phase else { return };
-        let Some((server, _)) = state.out.clone().filter(|_| state.id == leg) else { return };
-        state.streaming = true;
+        let Some((server, _)) = state.in_flight.clone().filter(|_| state.id == leg) else { return };
+        state.is_streaming = true;
         state.may_have_run = true;
-        // The writer has fetched the state; its reader has let go of it.
-        state.state = None;
-        if !chain.over {
-            self.tell(now, Told::Streaming { id: leg, attempt, server, took }, out);
+        // The writer has fetched the state and the reader has released it.
+        state.kept_state = None;
+        if !chain.is_answered {
+            self.notify_router(now, RouterEvent::Streaming { id: leg, attempt, server, took }, effects);
         }
     }
 
-    fn attempt_ended(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
+    fn attempt_ended(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         let Event::AttemptEnded { chain: id, leg, attempt, evidence, took, usage, text, calls, load } = event
         else {
             return;
         };
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let Phase::Leg(state) = &mut chain.phase else { return };
-        let Some((server, stage)) = state.out.take().filter(|_| state.id == leg) else { return };
-        let (outcome, note) = evidence::judge(stage, &evidence);
+        let Some((server, stage)) = state.in_flight.take().filter(|_| state.id == leg) else { return };
+        let (outcome, note) = evidence::classify(stage, &evidence);
         *self.counters.outcomes.entry(outcome_name(outcome)).or_default() += 1;
-        let (streamed, turn) = (state.streaming, chain.legs);
+        let (streamed, turn) = (state.is_streaming, chain.legs);
         if stage != Stage::Read && !outcome.never_ran() {
             state.may_have_run = true;
         }
         if outcome == Outcome::Read {
-            state.state = Some((server.clone(), attempt));
+            state.kept_state = Some((server.clone(), attempt));
         } else if stage == Stage::Read && !outcome.never_ran() {
-            // Whether the reader keeps a state is not known then: guards against one left pinned there.
-            out.push(Effect::Release { chain: id, turn, attempt, server: server.clone() });
+            // It is not known whether the reader keeps a state. The release prevents one from staying pinned.
+            effects.push(Effect::Release { chain: id, turn, attempt, server: server.clone() });
             self.counters.releases += 1;
         }
         if let Some((prompt, answer)) = usage {
             let estimate = &mut self.estimates[chain.route];
-            estimate.saw_prompt(chain.bytes, prompt);
+            estimate.record_prompt(chain.bytes, prompt);
             if outcome == Outcome::Served && answer > 0 {
-                estimate.saw_answer(answer);
+                estimate.record_answer(answer);
             }
         }
-        // A break in a stream that had started ends the leg, as does its good end.
+        // A stream that breaks after its first token ends the leg, just as a complete stream does.
         let settled = streamed || outcome == Outcome::Served;
-        let over = chain.over;
-        self.tell(now, Told::Ended { id: leg, attempt, server, outcome, took, settled, note, load }, out);
-        if over {
-            return self.forget(id, out);
+        let is_answered = chain.is_answered;
+        self.notify_router(
+            now,
+            RouterEvent::Ended { id: leg, attempt, server, outcome, took, settled, note, load },
+            effects,
+        );
+        if is_answered {
+            return self.remove_if_finished(id, effects);
         }
         if outcome == Outcome::Served {
-            self.turn_ended(now, id, text, &calls, out);
+            self.turn_ended(now, id, text, &calls, effects);
         } else if settled {
-            self.end_chain(now, id, Reason::StreamBroke, out);
+            self.end_chain(now, id, Reason::StreamBroke, effects);
         }
     }
 
     // ---- Tool calls ----
 
-    fn turn_ended(&mut self, now: Time, id: ChainId, text: usize, calls: &[Call], out: &mut Vec<Effect>) {
+    fn turn_ended(&mut self, now: Time, id: ChainId, text: usize, calls: &[Call], effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         if calls.is_empty() {
-            return self.close(now, id, Final::Served, out);
+            return self.finish(now, id, Final::Served, effects);
         }
         if calls.len() > self.plan.limits.calls {
-            return self.end_chain(now, id, Reason::TooManyTurns, out);
+            return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         let route = &self.plan.routes[chain.route];
         let find = |call: &Call| route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool);
         chain.calls = calls.iter().map(find).collect();
         chain.next_call = 0;
         chain.bytes += text + calls.iter().map(|call| call.bytes).sum::<usize>();
-        self.next_tool(now, id, out);
+        self.start_next_call(now, id, effects);
     }
 
-    /// Makes the turn's next call, one after the other, or begins the next leg. A call for a tool that the route
-    /// does not have is not made; the model is told so.
-    fn next_tool(&mut self, now: Time, id: ChainId, out: &mut Vec<Effect>) {
+    /// Starts the turn's next tool call, or the next leg after the last one. Calls run one at a time. A call
+    /// to a tool that the route does not have is skipped; the model is told that there is no such tool.
+    fn start_next_call(&mut self, now: Time, id: ChainId, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         while chain.calls.get(chain.next_call).is_some_and(Option::is_none) {
             chain.next_call += 1;
         }
         match chain.calls.get(chain.next_call).copied().flatten() {
-            None => self.begin_leg(now, id, false, out),
+            None => self.start_leg(now, id, false, effects),
             Some(tool) => {
                 let call = chain.next_call;
                 chain.next_call += 1;
-                self.call_tool(now, id, ToolOut { call, tool, tries: 0, effect_before: false }, out);
+                self.start_tool_call(
+                    now,
+                    id,
+                    PendingToolCall { call, tool, tries: 0, had_effect_before: false },
+                    effects,
+                );
             }
         }
     }
 
-    fn call_tool(&mut self, now: Time, id: ChainId, mut call: ToolOut, out: &mut Vec<Effect>) {
+    fn start_tool_call(
+        &mut self,
+        now: Time,
+        id: ChainId,
+        mut call: PendingToolCall,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let tool = &self.plan.tools[call.tool];
         if call.tries == 0 {
-            call.effect_before = chain.effect;
+            call.had_effect_before = chain.may_have_had_effect;
         }
         call.tries += 1;
-        chain.effect |= tool.effect;
+        chain.may_have_had_effect |= tool.effect;
         chain.phase = Phase::Tool(call);
         self.counters.tool_calls += 1;
         self.counters.tool_retries += u64::from(call.tries > 1);
         let timeout = tool.timeout.min(chain.deadline.saturating_sub(now));
-        out.push(Effect::CallTool {
+        effects.push(Effect::CallTool {
             chain: id,
             turn: chain.legs,
             call: call.call,
@@ -494,57 +482,58 @@
         });
     }
 
-    fn tool_ended(&mut self, now: Time, id: ChainId, call: usize, end: ToolEnd, out: &mut Vec<Effect>) {
+    fn tool_ended(&mut self, now: Time, id: ChainId, call: usize, end: ToolEnd, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let Phase::Tool(mut state) = chain.phase.clone() else { return };
         if state.call != call {
             return;
         }
-        if chain.over {
-            return self.forget(id, out);
+        if chain.is_answered {
+            return self.remove_if_finished(id, effects);
         }
         let tool = &self.plan.tools[state.tool];
         if end == ToolEnd::NotRun {
-            chain.effect = state.effect_before;
+            chain.may_have_had_effect = state.had_effect_before;
         }
-        match tool_step(tool, &end, state.tries) {
-            ToolStep::GoOn => {
+        match decide_tool_step(tool, &end, state.tries) {
+            ToolStep::Continue => {
                 if let ToolEnd::Result { bytes } = end {
                     chain.bytes += bytes;
                 } else {
                     self.counters.tool_lost += 1;
                 }
-                self.next_tool(now, id, out);
+                self.start_next_call(now, id, effects);
             }
-            ToolStep::Again => {
-                state.effect_before = chain.effect;
-                self.call_tool(now, id, state, out);
+            ToolStep::Retry => {
+                state.had_effect_before = chain.may_have_had_effect;
+                self.start_tool_call(now, id, state, effects);
             }
-            ToolStep::End => {
+            ToolStep::EndRequest => {
                 self.counters.tool_lost += 1;
-                self.end_chain(now, id, Reason::ToolUnknown, out);
+                self.end_chain(now, id, Reason::ToolUnknown, effects);
             }
         }
     }
 
     // ---- Ends ----
 
-    /// Ends a request for a reason of the core's, with the word that is true then.
-    fn end_chain(&mut self, now: Time, id: ChainId, reason: Reason, out: &mut Vec<Effect>) {
-        let Some(chain) = self.chains.get(&id).filter(|chain| !chain.over) else { return };
-        let last = chain.ending(self.repeat(chain), reason, self.plan.limits.retry_after);
-        self.close(now, id, last, out);
+    /// Ends a request for a reason found by the core, with the final answer that [`Chain::final_for_end`]
+    /// allows.
+    fn end_chain(&mut self, now: Time, id: ChainId, reason: Reason, effects: &mut Vec<Effect>) {
+        let Some(chain) = self.chains.get(&id).filter(|chain| !chain.is_answered) else { return };
+        let last = chain.final_for_end(self.repeat_policy(chain), reason, self.plan.limits.retry_after);
+        self.finish(now, id, last, effects);
     }
 
-    fn repeat(&self, chain: &Chain) -> Repeat {
+    fn repeat_policy(&self, chain: &Chain) -> Repeat {
         self.plan.classes[chain.class].repeat
     }
 
-    /// Gives the one final answer, and stops what is still out.
-    fn close(&mut self, now: Time, id: ChainId, last: Final, out: &mut Vec<Effect>) {
-        let Some(chain) = self.chains.get_mut(&id).filter(|chain| !chain.over) else { return };
-        chain.over = true;
-        out.push(Effect::Answer { chain: id, last });
+    /// Gives the final answer and cancels the attempt or tool call in flight.
+    fn finish(&mut self, now: Time, id: ChainId, last: Final, effects: &mut Vec<Effect>) {
+        let Some(chain) = self.chains.get_mut(&id).filter(|chain| !chain.is_answered) else { return };
+        chain.is_answered = true;
+        effects.push(Effect::Answer { chain: id, last });
         match last {
             Final::Served => self.counters.served += 1,
             Final::Refused { .. } => self.counters.refused += 1,
@@ -557,92 +546,92 @@
         match &chain.phase {
             Phase::Leg(leg) => {
                 let leg = leg.id;
-                // To the module the client of this leg has left: it cancels what is out and lets go. It has
-                // forgotten the leg already when the word was its own.
-                self.tell(now, Told::ClientGone { id: leg }, out);
+                // The router is told that the client has left: it cancels the attempt in flight and releases
+                // the state. If the router itself ended the leg, it no longer knows it and ignores this.
+                self.notify_router(now, RouterEvent::ClientGone { id: leg }, effects);
             }
             Phase::Tool(tool) => {
-                out.push(Effect::CancelTool { chain: id, turn: chain.legs, call: tool.call });
+                effects.push(Effect::CancelTool { chain: id, turn: chain.legs, call: tool.call });
             }
         }
-        self.forget(id, out);
+        self.remove_if_finished(id, effects);
     }
 
-    /// Drops a request that is over and of which nothing is out.
-    fn forget(&mut self, id: ChainId, out: &mut Vec<Effect>) {
+    /// Removes a chain that has its final answer and no attempt in flight.
+    fn remove_if_finished(&mut self, id: ChainId, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get(&id) else { return };
-        let idle = match &chain.phase {
-            Phase::Leg(leg) => leg.out.is_none(),
-            // The end of a call that was cancelled is not waited for: it changes nothing any more.
+        let is_idle = match &chain.phase {
+            Phase::Leg(leg) => leg.in_flight.is_none(),
+            // The end of a cancelled tool call has no consequence, so it is not awaited.
             Phase::Tool(_) => true,
         };
-        if !chain.over || !idle {
+        if !chain.is_answered || !is_idle {
             return;
         }
         if let Phase::Leg(leg) = &chain.phase {
-            self.legs.remove(&leg.id);
+            self.chain_by_leg.remove(&leg.id);
         }
         self.chains.remove(&id);
-        self.asks.remove(&id);
-        out.push(Effect::Forget { chain: id });
+        self.routing_keys.remove(&id);
+        effects.push(Effect::Forget { chain: id });
     }
 
-    // ---- The module ----
+    // ---- The router ----
 
-    fn tell(&mut self, now: Time, event: Told, out: &mut Vec<Effect>) {
+    fn notify_router(&mut self, now: Time, event: RouterEvent, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         self.router.handle(now, event, &mut actions);
         for action in actions {
-            self.act(now, action, out);
+            self.apply_action(now, action, effects);
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
+    fn apply_action(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
         match action {
-            Action::Timer { after, name } => self.timers.set(now + after, Due::Module(name)),
+            Action::Timer { after, name } => self.timers.set(now + after, TimerPurpose::Router(name)),
             Action::Probe { server } => {
                 self.counters.probes += 1;
-                out.push(Effect::Probe { server });
+                effects.push(Effect::Probe { server });
             }
-            Action::Send { id, server, timeout } => self.send(id, server, timeout, out),
+            Action::Send { id, server, timeout } => self.send_attempt(id, server, timeout, effects),
             Action::Cancel { id, attempt } => {
-                if let Some((chain, state)) = self.leg_chain(id) {
-                    out.push(Effect::Cancel { chain, turn: state.legs, attempt });
+                if let Some((chain, state)) = self.chain_of_leg(id) {
+                    effects.push(Effect::Cancel { chain, turn: state.legs, attempt });
                 }
             }
             Action::Release { id } => {
-                let Some(chain_id) = self.legs.get(&id).copied() else { return };
+                let Some(chain_id) = self.chain_by_leg.get(&id).copied() else { return };
                 let Some(chain) = self.chains.get_mut(&chain_id) else { return };
                 let Phase::Leg(leg) = &mut chain.phase else { return };
                 if leg.id != id {
                     return;
                 }
-                if let Some((server, attempt)) = leg.state.take() {
+                if let Some((server, attempt)) = leg.kept_state.take() {
                     self.counters.releases += 1;
-                    out.push(Effect::Release { chain: chain_id, turn: chain.legs, attempt, server });
+                    effects.push(Effect::Release { chain: chain_id, turn: chain.legs, attempt, server });
                 }
             }
             Action::Refuse { id, retry_after } => {
-                let Some((chain_id, chain)) = self.leg_chain(id) else { return };
-                let last = chain.refusal(self.repeat(chain), retry_after);
-                self.close(now, chain_id, last, out);
+                let Some((chain_id, chain)) = self.chain_of_leg(id) else { return };
+                let last = chain.final_for_refusal(self.repeat_policy(chain), retry_after);
+                self.finish(now, chain_id, last, effects);
             }
             Action::Fail { id } => {
-                let Some((chain_id, _)) = self.leg_chain(id) else { return };
-                self.close(now, chain_id, Final::Failed { reason: Reason::MayHaveRun }, out);
+                let Some((chain_id, _)) = self.chain_of_leg(id) else { return };
+                self.finish(now, chain_id, Final::Failed { reason: Reason::MayHaveRun }, effects);
             }
-            // The list comes by itself, and streams are not moved: neither is asked of this front.
+            // The front receives the list without asking for it, and this front does not move streams.
             Action::Subscribe | Action::Move { .. } => {}
         }
     }
 
-    fn leg_chain(&self, leg: ReqId) -> Option<(ChainId, &Chain)> {
-        let id = *self.legs.get(&leg)?;
+    fn chain_of_leg(&self, leg: ReqId) -> Option<(ChainId, &Chain)> {
+        let id = *self.chain_by_leg.get(&leg)?;
         Some((id, self.chains.get(&id)?))
     }
 
-    fn send(&mut self, leg: ReqId, server: ServerId, timeout: Time, out: &mut Vec<Effect>) {
-        let Some(id) = self.legs.get(&leg).copied() else { return };
+    fn send_attempt(&mut self, leg: ReqId, server: ServerId, timeout: Time, effects: &mut Vec<Effect>) {
+        let Some(id) = self.chain_by_leg.get(&leg).copied() else { return };
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let kind = self.members.get(&server).map(|entry| entry.kind);
         let role = kind.and_then(|kind| self.plan.settings.roles.get(kind)).copied().unwrap_or_default();
@@ -650,35 +639,37 @@
         let keyed = matches!(repeat, Repeat::Keyed { .. });
         let turn = chain.legs;
         let Phase::Leg(state) = &mut chain.phase else { return };
-        let stage = match (role, &state.state) {
+        let stage = match (role, &state.kept_state) {
             (Role::Prefill, _) => Stage::Read,
             (_, Some(_)) => Stage::Write,
             (_, None) => Stage::Whole,
         };
         let attempt = state.attempts;
         state.attempts += 1;
-        state.out = Some((server.clone(), stage));
+        state.in_flight = Some((server.clone(), stage));
         self.counters.attempts += 1;
-        // Whatever a reader does has no effect.
+        // Reading a prompt has no side effect, so it may be repeated.
         let once = repeat != Repeat::Safe && stage != Stage::Read;
-        out.push(Effect::Send { chain: id, leg, turn, attempt, server, stage, timeout, keyed, once });
+        effects.push(Effect::Send { chain: id, leg, turn, attempt, server, stage, timeout, keyed, once });
     }
 }
 
 enum ToolStep {
-    /// With the result, or with word to the model that there is none.
-    GoOn,
-    Again,
-    End,
+    /// Go on with the result, or tell the model that there is none.
+    Continue,
+    /// Make the same call again.
+    Retry,
+    /// End the request: the call may have had an effect, and its result is not known.
+    EndRequest,
 }
 
-/// What follows a tool call. One with an effect is made again only when it is proved not to have run.
-fn tool_step(tool: &ToolPlan, end: &ToolEnd, tries: u32) -> ToolStep {
+/// Decides what follows a tool call. A call with an effect is retried only if it is proved not to have run.
+fn decide_tool_step(tool: &ToolPlan, end: &ToolEnd, tries: u32) -> ToolStep {
     match end {
-        ToolEnd::Result { .. } => ToolStep::GoOn,
-        ToolEnd::Unknown if tool.effect => ToolStep::End,
-        ToolEnd::NotRun | ToolEnd::Unknown if tries < tool.tries => ToolStep::Again,
-        ToolEnd::NotRun | ToolEnd::Unknown => ToolStep::GoOn,
+        ToolEnd::Result { .. } => ToolStep::Continue,
+        ToolEnd::Unknown if tool.effect => ToolStep::EndRequest,
+        ToolEnd::NotRun | ToolEnd::Unknown if tries < tool.tries => ToolStep::Retry,
+        ToolEnd::NotRun | ToolEnd::Unknown => ToolStep::Continue,
     }
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,16 @@
-//! State and decisions of the product that are not the decision module's: free of I/O, clocks and threads.
+//! The state machine of one front: everything but I/O, clocks, threads and the choice of servers.
 //!
-//! A front feeds one [`Core`] with [`Event`]s, each with one reading of its clock, and carries out the
-//! [`Effect`]s. The core owns the module's [`elderstage::Router`]; a client's request is a *chain* of *legs*, one
-//! for each turn of the writer, and each leg is a request of its own to the module.
+//! A front feeds one [`Core`] with [`Event`]s, each with the time at which it is handled, and carries out the
+//! [`Effect`]s that come back. The core owns an [`elderstage::Router`] ("the router" in this crate), which
+//! chooses the server of each attempt. A client's request is a *chain* of *legs*: one leg for each turn of
+//! the model, with tool calls in between. Each leg is a request of its own to the router.
 //!
-//! - [`chain`]: one request over its legs and tool calls, and which final answer is true to promise.
-//! - [`evidence`]: what was seen of an attempt or a tool call, and what it proves.
-//! - [`estimate`]: tokens from bytes, and lengths of answers, learned.
-//! - [`members`]: the servers as listed and as they show themselves.
-//! - [`addresses`]: many addresses of one server, and one attempt over them.
-//! - [`admission`]: what is turned away before it is taken.
+//! - [`chain`]: the state of one client request, and the rule which final answer it may get.
+//! - [`evidence`]: what was observed of an attempt or a tool call, and which outcome follows.
+//! - [`estimate`]: learned estimates of prompt tokens and answer lengths.
+//! - [`members`]: the servers on the list, with the start times that they report themselves.
+//! - [`addresses`]: the addresses of a server, and one connection attempt over them.
+//! - [`admission`]: rejection of requests before any work is done for them.
 
 pub mod addresses;
 pub mod admission;
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,57 +1,61 @@
-//! The servers: as the list has them, and as they show themselves.
+//! The servers on the list, with the start times that they report themselves.
 //!
-//! The list says which servers there are, their role, zone and state. A server's own report says when its process
-//! started. A start that the list does not know yet is news: the module must treat the server as cold and forget
-//! what it kept, seconds before the list says so. The later of the two starts counts, so late news of an older
-//! process changes nothing. Costs one number a server; seen as `restarts_seen` in the counters.
+//! The list names the servers with their role, zone and state. A server's own load report says when its
+//! process started. A restart shows there seconds before the list has it; from then on the router must treat
+//! the server as cold, with nothing cached. The later of the two start times counts, so a late report of an
+//! older process changes nothing. The cost is one number for each server. Restarts are counted as
+//! `restarts_seen`.
 
 use std::collections::BTreeMap;
 
 use elderstage::{Entry, ListMode, ServerId, Time};
 
-/// Starts told within this time are the same start: clocks of list and server differ a little.
-const SAME_START: Time = 1_000_000;
+/// Start times that differ by less than this, in microseconds, are one start: the clocks of the list and of
+/// the server differ slightly.
+const START_TOLERANCE: Time = 1_000_000;
 
+/// The listed servers and their reported starts.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     entries: BTreeMap<ServerId, Entry>,
-    seen: BTreeMap<ServerId, Time>,
+    reported_starts: BTreeMap<ServerId, Time>,
 }
 
 impl Members {
-    /// Takes a list and gives it back with the starts that the servers themselves have told.
-    pub fn list(&mut self, mode: ListMode, mut entries: Vec<Entry>) -> Vec<Entry> {
+    /// Applies a list, and returns it with the start times that the servers reported themselves.
+    pub fn apply_list(&mut self, mode: ListMode, mut entries: Vec<Entry>) -> Vec<Entry> {
         if matches!(mode, ListMode::Full | ListMode::Restored) {
             self.entries.clear();
         }
         for entry in &mut entries {
-            if let Some(seen) = self.seen.get(&entry.server) {
-                let same = entry.ready_at.abs_diff(*seen) < SAME_START;
-                if same || *seen > entry.ready_at {
-                    entry.ready_at = *seen;
+            if let Some(reported) = self.reported_starts.get(&entry.server) {
+                let is_same_start = entry.ready_at.abs_diff(*reported) < START_TOLERANCE;
+                if is_same_start || *reported > entry.ready_at {
+                    entry.ready_at = *reported;
                 }
             }
             self.entries.insert(entry.server.clone(), entry.clone());
         }
         if matches!(mode, ListMode::Full | ListMode::Restored) {
-            self.seen.retain(|server, _| self.entries.contains_key(server));
+            self.reported_starts.retain(|server, _| self.entries.contains_key(server));
         }
         entries
     }
 
+    /// The listed entry of a server.
     pub fn get(&self, server: &ServerId) -> Option<&Entry> {
         self.entries.get(server)
     }
 
-    /// Takes a start that a server has told of itself. An entry comes back when it is news. `long_ago`: starts
-    /// before it are those of warm servers, which the list tells as 0.
-    pub fn started(&mut self, server: &ServerId, at: Time, long_ago: Time) -> Option<Entry> {
+    /// Records a start time that a server reported. Returns the changed entry if the start is new. A server
+    /// that started before `long_ago` counts as warm; the list gives 0 as its start time.
+    pub fn record_start(&mut self, server: &ServerId, at: Time, long_ago: Time) -> Option<Entry> {
         let entry = self.entries.get_mut(server)?;
-        let known = self.seen.get(server).copied().unwrap_or(0).max(entry.ready_at);
-        if at <= long_ago || at < known + SAME_START {
+        let known = self.reported_starts.get(server).copied().unwrap_or(0).max(entry.ready_at);
+        if at <= long_ago || at < known + START_TOLERANCE {
             return None;
         }
-        self.seen.insert(server.clone(), at);
+        self.reported_starts.insert(server.clone(), at);
         entry.ready_at = at;
         Some(entry.clone())
     }
--- a/crates/core/src/members/tests.rs
+++ b/crates/core/src/members/tests.rs
@@ -6,20 +6,20 @@
     Entry { server: ServerId("w".into()), ready_at, ..Entry::default() }
 }
 
-/// Guards against a restarted server that is sent a warm server's load until the list has noticed.
+/// Guards against sending a warm server's load to a restarted server until the list shows the restart.
 #[test]
-fn a_start_told_by_the_server_is_news_once_and_outlives_an_older_list() {
+fn a_reported_start_is_new_once_and_overrides_an_older_list() {
     let (mut members, w) = (Members::default(), ServerId("w".into()));
-    members.list(ListMode::Full, vec![entry(0)]);
-    assert!(members.started(&w, 5 * S, 10 * S).is_none(), "long ago");
-    assert_eq!(members.started(&w, 50 * S, 10 * S).map(|e| e.ready_at), Some(50 * S));
-    assert!(members.started(&w, 50 * S + 1000, 10 * S).is_none(), "the same start");
-    assert!(members.started(&w, 30 * S, 10 * S).is_none(), "late news of an older process");
-    let listed = members.list(ListMode::Changes, vec![entry(0)]);
+    members.apply_list(ListMode::Full, vec![entry(0)]);
+    assert!(members.record_start(&w, 5 * S, 10 * S).is_none(), "started long ago");
+    assert_eq!(members.record_start(&w, 50 * S, 10 * S).map(|e| e.ready_at), Some(50 * S));
+    assert!(members.record_start(&w, 50 * S + 1000, 10 * S).is_none(), "the same start");
+    assert!(members.record_start(&w, 30 * S, 10 * S).is_none(), "late report of an older process");
+    let listed = members.apply_list(ListMode::Changes, vec![entry(0)]);
     assert_eq!(listed[0].ready_at, 50 * S);
-    let listed = members.list(ListMode::Changes, vec![entry(50 * S + 300)]);
-    assert_eq!(listed[0].ready_at, 50 * S, "told apart by less than clocks differ");
-    let listed = members.list(ListMode::Full, vec![entry(90 * S)]);
+    let listed = members.apply_list(ListMode::Changes, vec![entry(50 * S + 300)]);
+    assert_eq!(listed[0].ready_at, 50 * S, "the starts differ by less than the tolerance");
+    let listed = members.apply_list(ListMode::Full, vec![entry(90 * S)]);
     assert_eq!(listed[0].ready_at, 90 * S);
-    assert!(members.started(&ServerId("x".into()), 99 * S, 0).is_none(), "not on the list");
+    assert!(members.record_start(&ServerId("x".into()), 99 * S, 0).is_none(), "not on the list");
 }
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -1,60 +1,64 @@
-//! What the operator has set, as the core acts on it. All times are microseconds.
+//! The operator's settings in the form that the core uses. All times are in microseconds.
 
 use elderstage::{Repeat, Settings, Time};
 
-/// A class of requests, beyond what the module is told of it.
+/// Settings of a request class that the router does not need.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
+    /// Whether a request may run twice.
     pub repeat: Repeat,
-    /// Longest wait for a turn's first token, and what is added for each 1,000 prompt tokens.
+    /// Longest wait for a turn's first token, and the addition for each 1,000 prompt tokens.
     pub give_up: Time,
     pub give_up_per_1000: f64,
     /// Longest time for the whole request, tool calls included.
     pub total: Time,
 }
 
-/// A tool that the front calls in the middle of a stream.
+/// A tool that the front calls between two turns of the model.
 #[derive(Clone, Debug)]
 pub struct ToolPlan {
     pub name: String,
-    /// A call may change something: it is never made twice.
+    /// A call may change something, so it must never run twice.
     pub effect: bool,
     pub timeout: Time,
-    /// Calls of one request for one turn of the model; more than 1 only without effect.
+    /// Most tries of one call. With an effect, a value above 1 applies only to calls that are proved not to
+    /// have run.
     pub tries: u32,
 }
 
-/// What a client can ask for.
+/// A route: one service that clients can address.
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
     pub name: String,
+    /// Index into [`Plan::classes`].
     pub class: usize,
-    /// Tools, by position in [`Plan::tools`].
+    /// Indices into [`Plan::tools`].
     pub tools: Vec<usize>,
+    /// Most tokens of one answer.
     pub max_tokens: f64,
-    /// Turns of the writer in one request.
+    /// Most legs (turns of the model) in one request.
     pub most_legs: u32,
 }
 
-/// Bounds of one front.
+/// Limits of one front.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests held at once.
+    /// Most requests held at once.
     pub requests: usize,
-    /// Tool calls of one turn.
+    /// Most tool calls in one turn.
     pub calls: usize,
-    /// Advice when to come back, where the front turns a request away itself.
+    /// Advice when to try again, in refusals that the front itself decides.
     pub retry_after: Time,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        // 20,000 requests take some 400 MB of stacks, buffers and text at a few tens of KiB each.
+        // 20,000 requests take about 400 MB: each has a few tens of KiB of stack, buffers and text.
         Limits { requests: 20_000, calls: 8, retry_after: 500_000 }
     }
 }
 
-/// All of it.
+/// The whole plan of one front.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub settings: Settings,
--- a/crates/core/tests/chains.rs
+++ b/crates/core/tests/chains.rs
@@ -1,4 +1,5 @@
-//! Requests over their legs, in simulated time: what may be promised, and that nothing is left behind.
+//! Whole client requests in simulated time: which final answer they get, and that no state remains
+//! afterwards.
 
 mod world;
 
@@ -7,14 +8,14 @@
 use elderstage_core::evidence::{Evidence, ToolEnd};
 use elderstage_core::{ChainId, Effect, Event, Stage};
 use proptest::prelude::*;
-use world::{Act, MS, World, plan};
+use world::{MS, Script, World, plan};
 
-fn turn(calls: &[&'static str]) -> Act {
-    Act::Stream(10 * MS, 100 * MS, Evidence::Turn { cached: 0 }, calls.to_vec())
+fn turn(calls: &[&'static str]) -> Script {
+    Script::Stream(10 * MS, 100 * MS, Evidence::Turn { cached: 0 }, calls.to_vec())
 }
 
 #[test]
-fn a_turn_is_read_handed_over_and_served() {
+fn a_request_is_read_then_written_and_served() {
     let mut world = World::new(Repeat::Safe);
     world.submit(1);
     world.run(1_000 * MS);
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_tool_call_makes_a_second_leg_where_the_first_was_kept() {
+fn the_leg_after_a_tool_call_is_read_where_the_first_was_kept() {
     let mut world = World::new(Repeat::Unsafe);
     world.writes = vec![turn(&["place_order"]), turn(&[])];
     world.submit(1);
@@ -38,17 +39,17 @@
             _ => None,
         })
         .collect();
-    assert_eq!(readers[0], readers[1], "the second leg's prompt begins with the first's");
+    assert_eq!(readers[0], readers[1], "the second leg is read where the first was kept");
 }
 
 #[test]
-fn after_an_effect_nothing_is_refused() {
-    // The writer of the second leg hangs, dies, or is full until the client's time is up.
+fn after_an_effect_a_request_fails_instead_of_being_refused() {
+    // The second leg's writer hangs, fails, stays full until the client's time is up, or breaks its stream.
     for second in [
-        Act::Hang,
-        Act::End(5 * MS, Evidence::Broke),
-        Act::End(5 * MS, Evidence::Status { status: 429, code: None }),
-        Act::Stream(5 * MS, 50 * MS, Evidence::Broke, Vec::new()),
+        Script::Hang,
+        Script::End(5 * MS, Evidence::Broke),
+        Script::End(5 * MS, Evidence::Status { status: 429, code: None }),
+        Script::Stream(5 * MS, 50 * MS, Evidence::Broke, Vec::new()),
     ] {
         let mut world = World::new(Repeat::Unsafe);
         world.writes = vec![turn(&["place_order"]), second.clone()];
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_call_that_may_have_run_is_not_made_again_and_one_that_did_not_is() {
+fn a_call_with_an_effect_is_retried_only_if_it_did_not_run() {
     let mut lost = World::new(Repeat::Unsafe);
     lost.writes = vec![turn(&["place_order"]), turn(&[])];
     lost.tools = vec![(10 * MS, ToolEnd::Unknown)];
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_tool_without_effect_that_is_lost_twice_is_told_to_the_model() {
+fn the_model_goes_on_when_a_tool_without_effect_fails_twice() {
     let mut world = World::new(Repeat::Safe);
     world.writes = vec![turn(&["stock"]), turn(&[])];
     world.tools = vec![(10 * MS, ToolEnd::Unknown)];
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn several_calls_of_a_turn_are_made_one_after_the_other_and_unknown_tools_never() {
+fn the_calls_of_a_turn_run_one_at_a_time_and_unknown_tools_are_skipped() {
     let mut world = World::new(Repeat::Unsafe);
     world.writes = vec![turn(&["stock", "rm_rf", "place_order"]), turn(&[])];
     world.submit(1);
@@ -107,26 +108,26 @@
 }
 
 #[test]
-fn a_model_that_calls_for_ever_is_ended() {
+fn endless_tool_calls_end_at_the_turn_limit() {
     let mut world = World::new(Repeat::Safe);
     world.writes = vec![turn(&["stock"])];
     world.submit(1);
     world.run(5_000 * MS);
-    assert_eq!(world.calls(), 3, "as many legs as the route allows");
+    assert_eq!(world.calls(), 3, "one call for each leg that the route allows");
     assert!(matches!(world.final_of(1), Final::Refused { reason: Reason::TooManyTurns, .. }));
 }
 
 #[test]
-fn the_whole_time_ends_a_stream_and_a_tool_call() {
+fn the_time_limit_of_the_request_ends_a_stream_and_a_tool_call() {
     let mut stream = World::new(Repeat::Unsafe);
-    stream.writes = vec![Act::Stream(10 * MS, 60_000 * MS, Evidence::Turn { cached: 0 }, Vec::new())];
+    stream.writes = vec![Script::Stream(10 * MS, 60_000 * MS, Evidence::Turn { cached: 0 }, Vec::new())];
     stream.submit(1);
     stream.run(21_000 * MS);
     assert_eq!(stream.final_of(1), Final::Failed { reason: Reason::OutOfTime });
     assert_eq!(stream.core.held(), 0, "the attempt was cancelled");
     let mut plan = plan(Repeat::Unsafe);
     plan.tools[1].timeout = 60_000 * MS;
-    let mut tool = World::with(plan);
+    let mut tool = World::with_plan(plan);
     tool.writes = vec![turn(&["place_order"])];
     tool.tools = vec![(50_000 * MS, ToolEnd::Result { bytes: 1 })];
     tool.submit(1);
@@ -136,13 +137,13 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_and_leaves_nothing() {
+fn no_state_remains_after_a_client_leaves() {
     for after in [5, 25, 60, 115, 130] {
         let mut world = World::new(Repeat::Unsafe);
         world.writes = vec![turn(&["place_order"]), turn(&[])];
         world.submit(1);
         world.run(after * MS);
-        world.pass(Event::ClientGone { chain: ChainId(1) });
+        world.handle_event(Event::ClientGone { chain: ChainId(1) });
         world.run(3_000 * MS);
         assert_eq!(world.final_of(1), Final::Gone, "after {after} ms");
         assert_eq!(world.core.held(), 0, "after {after} ms");
@@ -151,9 +152,9 @@
 }
 
 #[test]
-fn a_read_given_up_is_let_go_of_at_its_reader() {
+fn a_cancelled_read_is_released_at_its_reader() {
     let mut world = World::new(Repeat::Safe);
-    world.reads = vec![Act::Hang, Act::End(20 * MS, Evidence::Read { cached: 0 })];
+    world.reads = vec![Script::Hang, Script::End(20 * MS, Evidence::Read { cached: 0 })];
     world.submit(1);
     world.run(6_000 * MS);
     assert_eq!(world.final_of(1), Final::Served);
@@ -161,19 +162,19 @@
 }
 
 #[test]
-fn a_front_that_drains_or_is_full_takes_nothing_and_stops_what_outlasts_it() {
+fn a_draining_or_full_front_refuses_requests_and_stop_ends_the_rest() {
     let mut world = World::new(Repeat::Unsafe);
-    world.writes = vec![Act::Stream(10 * MS, 60_000 * MS, Evidence::Turn { cached: 0 }, Vec::new())];
+    world.writes = vec![Script::Stream(10 * MS, 60_000 * MS, Evidence::Turn { cached: 0 }, Vec::new())];
     for chain in 1..=50 {
         world.submit(chain);
     }
     world.submit(51);
     assert!(matches!(world.final_of(51), Final::Refused { reason: Reason::FrontFull, .. }));
     world.run(100 * MS);
-    world.pass(Event::Drain);
+    world.handle_event(Event::Drain);
     world.submit(52);
     assert!(matches!(world.final_of(52), Final::Refused { reason: Reason::Draining, .. }));
-    world.pass(Event::Stop);
+    world.handle_event(Event::Stop);
     world.run(1_000 * MS);
     assert_eq!(world.core.held(), 0);
     for chain in 1..=50 {
@@ -182,12 +183,12 @@
 }
 
 #[test]
-fn late_and_foreign_news_changes_nothing() {
+fn late_events_and_events_of_unknown_chains_change_nothing() {
     let mut world = World::new(Repeat::Safe);
     world.submit(1);
     world.run(1_000 * MS);
     let before = world.effects.len();
-    let ended = |chain, leg| Event::AttemptEnded {
+    let attempt_ended = |chain, leg| Event::AttemptEnded {
         chain: ChainId(chain),
         leg: ReqId(leg),
         attempt: 0,
@@ -199,19 +200,19 @@
         load: None,
     };
     for event in [
-        ended(1, 1),
-        ended(9, 9),
+        attempt_ended(1, 1),
+        attempt_ended(9, 9),
         Event::Streaming { chain: ChainId(1), leg: ReqId(1), attempt: 0, took: 1 },
         Event::ToolEnded { chain: ChainId(1), call: 0, end: ToolEnd::Unknown },
         Event::ClientGone { chain: ChainId(1) },
         Event::TooLong { chain: ChainId(7) },
     ] {
-        world.pass(event);
+        world.handle_event(event);
     }
     assert_eq!(world.effects.len(), before);
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn script() -> impl Strategy<Value = Script> {
     let evidence = prop_oneof![
         Just(Evidence::NotConnected),
         Just(Evidence::Broke),
@@ -223,11 +224,11 @@
     let calls =
         prop::sample::select(vec![vec![], vec!["stock"], vec!["place_order"], vec!["stock", "place_order"]]);
     prop_oneof![
-        1 => (0..800 * MS, evidence).prop_map(|(after, evidence)| Act::End(after, evidence)),
-        1 => Just(Act::Hang),
-        1 => (0..500 * MS).prop_map(|first| Act::Stream(first, first + MS, Evidence::Broke, vec![])),
+        1 => (0..800 * MS, evidence).prop_map(|(after, evidence)| Script::End(after, evidence)),
+        1 => Just(Script::Hang),
+        1 => (0..500 * MS).prop_map(|first| Script::Stream(first, first + MS, Evidence::Broke, vec![])),
         4 => (0..900 * MS, 1..900 * MS, calls)
-            .prop_map(|(first, more, calls)| Act::Stream(first, first + more, Evidence::Turn { cached: 0 }, calls)),
+            .prop_map(|(first, more, calls)| Script::Stream(first, first + more, Evidence::Turn { cached: 0 }, calls)),
     ]
 }
 
@@ -246,58 +247,59 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever engines, tools and clients do: one final answer in time, no effect twice, nothing left.
+    /// For any mixture of faults: each request gets one final answer in time, no effect happens twice, and no
+    /// state is left behind.
     #[test]
-    fn any_mixture_of_faults_keeps_the_rules(
-        reads in prop::collection::vec(act(), 0..6),
-        writes in prop::collection::vec(act(), 1..12),
+    fn any_mixture_of_faults_keeps_the_invariants(
+        reads in prop::collection::vec(script(), 0..6),
+        writes in prop::collection::vec(script(), 1..12),
         tools in prop::collection::vec(tool(), 1..6),
-        leaves in prop::collection::vec(prop::option::of(0..4_000 * MS), 1..6),
+        leave_times in prop::collection::vec(prop::option::of(0..4_000 * MS), 1..6),
         safe in any::<bool>(),
     ) {
         let repeat = if safe { Repeat::Safe } else { Repeat::Unsafe };
         let mut world = World::new(repeat);
-        // Reads end as reads, or as whatever was drawn that is no stream.
+        // A read that was drawn as a stream becomes a normal read; other scripts are used as drawn.
         world.reads = reads
             .into_iter()
-            .map(|act| match act {
-                Act::Stream(first, ..) => Act::End(first, Evidence::Read { cached: 0 }),
+            .map(|script| match script {
+                Script::Stream(first, ..) => Script::End(first, Evidence::Read { cached: 0 }),
                 other => other,
             })
-            .chain([Act::End(15 * MS, Evidence::Read { cached: 0 })])
+            .chain([Script::End(15 * MS, Evidence::Read { cached: 0 })])
             .collect();
         world.writes = writes;
         world.tools = tools;
-        for (chain, leave) in leaves.iter().enumerate() {
+        for (chain, leave_after) in leave_times.iter().enumerate() {
             let id = chain as u64 + 1;
             world.submit(id);
-            if let Some(after) = leave {
+            if let Some(after) = leave_after {
                 world.run(*after / 8);
-                world.pass(Event::ClientGone { chain: ChainId(id) });
+                world.handle_event(Event::ClientGone { chain: ChainId(id) });
             }
         }
-        let begun = world.now;
+        let started = world.now;
         world.run(22_000 * MS);
         prop_assert_eq!(world.core.held(), 0);
-        for (chain, leave) in leaves.iter().enumerate() {
+        for (chain, leave_after) in leave_times.iter().enumerate() {
             let finals = world.finals.get(&(chain as u64 + 1)).cloned().unwrap_or_default();
             prop_assert_eq!(finals.len(), 1);
-            prop_assert!(leave.is_some() || finals[0] != Final::Gone);
+            prop_assert!(leave_after.is_some() || finals[0] != Final::Gone);
         }
         let last = world.effects.iter().filter(|(_, e)| matches!(e, Effect::Answer { .. })).map(|(at, _)| *at).max();
-        prop_assert!(last.unwrap_or(0) <= begun + 20_000 * MS, "an answer after the whole time");
-        // By turn: writers that may have run, and calls of the tool with an effect.
-        let mut may_have_run = std::collections::BTreeMap::new();
+        prop_assert!(last.unwrap_or(0) <= started + 20_000 * MS, "an answer came after the request's time limit");
+        // Attempts at writers, for each turn.
+        let mut writer_sends = std::collections::BTreeMap::new();
         for (_, effect) in &world.effects {
             if let Effect::Send { chain, turn, stage: Stage::Write | Stage::Whole, .. } = effect {
-                *may_have_run.entry((*chain, *turn)).or_insert(0) += 1;
+                *writer_sends.entry((*chain, *turn)).or_insert(0) += 1;
             }
         }
         let proved = world.core.counters().outcomes.iter();
         let proved: u64 =
             proved.filter(|(name, _)| ["full", "no-connection"].contains(name)).map(|(_, count)| count).sum();
-        let again: u64 = may_have_run.values().map(|sends: &u64| sends - 1).sum();
-        prop_assert!(safe || again <= proved, "{again} sent again, {proved} proved not to have run");
-        prop_assert!(world.longest_wait <= 300 * MS, "a state waited {} us", world.longest_wait);
+        let repeated: u64 = writer_sends.values().map(|sends: &u64| sends - 1).sum();
+        prop_assert!(safe || repeated <= proved, "{repeated} sends were repeats, {proved} attempts were proved not to have run");
+        prop_assert!(world.longest_state_wait <= 300 * MS, "a reader kept a state for {} us", world.longest_state_wait);
     }
 }
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -1,6 +1,6 @@
-//! Every interleaving of accept, refusal, word to go on, close, answer and time-out over a server's addresses, by
-//! exhaustive search: no path writes a request's body twice, has its head on two open connections, or reports as
-//! proved never to have run what may have.
+//! Every interleaving of accept, refusal, word to go on, close, answer and time-out over a server's
+//! addresses, by exhaustive search: no path writes a request's body twice, has its head on two open
+//! connections, or reports as proved never to have run what may have.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,7 +8,7 @@
 use elderstage::{ServerId, Time};
 use elderstage_core::Stage;
 use elderstage_core::addresses::{Choice, Lost, Proof, Race, Rest, Step, Supply};
-use elderstage_core::evidence::{Evidence, judge};
+use elderstage_core::evidence::{Evidence, classify};
 use elderstage_protocol::place::Place;
 
 const MS: Time = 1_000;
@@ -181,19 +181,19 @@
                     Lost::NotProven => Evidence::NotProven,
                     Lost::NoRoom => Evidence::NoRoom,
                 };
-                assert!(judge(Stage::Whole, &evidence).0.never_ran());
+                assert!(classify(Stage::Whole, &evidence).0.never_ran());
                 assert_eq!(self.touched, *lost == Lost::NotProven, "{self:?}");
             }
             Some(Ended::Answered) => {
                 assert_eq!(self.bodies, 0);
                 let evidence = Evidence::Unsent { status: 503 };
-                assert!(judge(Stage::Whole, &evidence).0.never_ran());
+                assert!(classify(Stage::Whole, &evidence).0.never_ran());
             }
             Some(Ended::Sent(_)) => {
                 // Whatever comes now, nothing of the connection's end proves that it did not run.
                 for evidence in [Evidence::Broke, Evidence::TimedOut, Evidence::Cancelled, Evidence::Garbled]
                 {
-                    assert!(!judge(Stage::Whole, &evidence).0.never_ran());
+                    assert!(!classify(Stage::Whole, &evidence).0.never_ran());
                 }
                 let body = self.wires.iter().filter(|wire| wire.body).count();
                 assert_eq!((body, self.bodies), (1, 1));
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! A core driven in simulated time: scripted engines and tools that take fixed times, and a record of all effects.
+//! A simulator for tests: drives a core in simulated time against engines and tools with scripted outcomes
+//! and durations, and records all effects.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -13,14 +14,14 @@
 
 pub const MS: Time = 1_000;
 
-/// What an attempt does, by stage.
+/// The scripted course of one attempt.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Ends like this after this time.
+pub enum Script {
+    /// Ends with this evidence after this time.
     End(Time, Evidence),
-    /// Streams from the first time on, and ends at the second; with calls of these tools.
+    /// First token after the first time, end after the second, with calls to these tools.
     Stream(Time, Time, Evidence, Vec<&'static str>),
-    /// Never says anything: it ends when its time is up or it is cancelled.
+    /// Stays silent until its timeout or until it is cancelled.
     Hang,
 }
 
@@ -29,18 +30,18 @@
     pub now: Time,
     pub effects: Vec<(Time, Effect)>,
     pub finals: BTreeMap<u64, Vec<Final>>,
-    due: BinaryHeap<Reverse<(Time, u64)>>,
+    queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, Event>,
-    next: u64,
-    /// What attempts and tool calls do, in order; the last one is repeated.
-    pub reads: Vec<Act>,
-    pub writes: Vec<Act>,
+    last_event: u64,
+    /// Scripts of reads, writes and tool calls, used in order; the last one repeats.
+    pub reads: Vec<Script>,
+    pub writes: Vec<Script>,
     pub tools: Vec<(Time, ToolEnd)>,
-    out: BTreeMap<(ChainId, u32, u32), (ReqId, u64)>,
-    states: BTreeMap<(ChainId, u32), Time>,
-    tool_ends: BTreeMap<ChainId, ToolEnd>,
-    /// Longest that a state waited with no attempt out.
-    pub longest_wait: Time,
+    in_flight: BTreeMap<(ChainId, u32, u32), (ReqId, u64)>,
+    kept_states: BTreeMap<(ChainId, u32), Time>,
+    last_tool_ends: BTreeMap<ChainId, ToolEnd>,
+    /// Longest time that a reader kept a state before a writer was sent for it or it was released.
+    pub longest_state_wait: Time,
 }
 
 pub fn plan(repeat: Repeat) -> Plan {
@@ -62,37 +63,37 @@
     }
 }
 
-fn pick<T: Clone>(acts: &mut Vec<T>) -> T {
-    if acts.len() > 1 { acts.remove(0) } else { acts[0].clone() }
+fn next_script<T: Clone>(scripts: &mut Vec<T>) -> T {
+    if scripts.len() > 1 { scripts.remove(0) } else { scripts[0].clone() }
 }
 
 impl World {
     pub fn new(repeat: Repeat) -> World {
-        World::with(plan(repeat))
+        World::with_plan(plan(repeat))
     }
 
-    pub fn with(plan: Plan) -> World {
+    pub fn with_plan(plan: Plan) -> World {
         let mut world = World {
             core: Core::new(plan, 5),
             now: 1_000_000 * MS,
             effects: Vec::new(),
             finals: BTreeMap::new(),
-            due: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            next: 0,
-            reads: vec![Act::End(20 * MS, Evidence::Read { cached: 0 })],
-            writes: vec![Act::Stream(10 * MS, 200 * MS, Evidence::Turn { cached: 0 }, Vec::new())],
+            last_event: 0,
+            reads: vec![Script::End(20 * MS, Evidence::Read { cached: 0 })],
+            writes: vec![Script::Stream(10 * MS, 200 * MS, Evidence::Turn { cached: 0 }, Vec::new())],
             tools: vec![(30 * MS, ToolEnd::Result { bytes: 20 })],
-            out: BTreeMap::new(),
-            states: BTreeMap::new(),
-            tool_ends: BTreeMap::new(),
-            longest_wait: 0,
+            in_flight: BTreeMap::new(),
+            kept_states: BTreeMap::new(),
+            last_tool_ends: BTreeMap::new(),
+            longest_state_wait: 0,
         };
-        world.list(&[("r1", 0), ("r2", 0), ("w1", 1), ("w2", 1)]);
+        world.set_servers(&[("r1", 0), ("r2", 0), ("w1", 1), ("w2", 1)]);
         world
     }
 
-    pub fn list(&mut self, servers: &[(&str, usize)]) {
+    pub fn set_servers(&mut self, servers: &[(&str, usize)]) {
         let entry = |(name, kind): &(&str, usize)| Entry {
             server: ServerId((*name).into()),
             listed: Listed::Running,
@@ -101,11 +102,11 @@
             ..Entry::default()
         };
         let entries = servers.iter().map(entry).collect();
-        self.pass(Event::Servers { mode: ListMode::Full, entries });
+        self.handle_event(Event::Servers { mode: ListMode::Full, entries });
     }
 
     pub fn submit(&mut self, chain: u64) {
-        self.pass(Event::Submit(Submit {
+        self.handle_event(Event::Submit(Submit {
             chain: ChainId(chain),
             route: 0,
             tenant: 0,
@@ -116,20 +117,20 @@
         }));
     }
 
-    pub fn pass(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         let mut effects = Vec::new();
         self.core.handle(self.now, event, &mut effects);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    fn later(&mut self, after: Time, event: Event) -> u64 {
-        self.next += 1;
-        self.due.push(Reverse((self.now + after, self.next)));
-        self.events.insert(self.next, event);
-        self.next
+    fn schedule(&mut self, after: Time, event: Event) -> u64 {
+        self.last_event += 1;
+        self.queue.push(Reverse((self.now + after, self.last_event)));
+        self.events.insert(self.last_event, event);
+        self.last_event
     }
 
-    fn ended(
+    fn attempt_ended(
         &self,
         chain: ChainId,
         leg: ReqId,
@@ -143,58 +144,62 @@
         Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text: 80, calls, load: None }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             self.effects.push((self.now, effect.clone()));
             match effect {
                 Effect::Send { chain, leg, turn, attempt, stage, timeout, .. } => {
                     if stage != Stage::Read
-                        && let Some(since) = self.states.remove(&(chain, turn))
+                        && let Some(since) = self.kept_states.remove(&(chain, turn))
                     {
-                        self.longest_wait = self.longest_wait.max(self.now - since);
+                        self.longest_state_wait = self.longest_state_wait.max(self.now - since);
                     }
-                    let act =
-                        if stage == Stage::Read { pick(&mut self.reads) } else { pick(&mut self.writes) };
-                    let ended = match act {
-                        Act::End(after, evidence) => {
+                    let script = if stage == Stage::Read {
+                        next_script(&mut self.reads)
+                    } else {
+                        next_script(&mut self.writes)
+                    };
+                    let end_event = match script {
+                        Script::End(after, evidence) => {
                             let after = after.min(timeout);
-                            let event = self.ended(chain, leg, attempt, evidence, after, &[]);
-                            self.later(after, event)
+                            let event = self.attempt_ended(chain, leg, attempt, evidence, after, &[]);
+                            self.schedule(after, event)
                         }
-                        Act::Stream(first, end, evidence, calls) => {
-                            self.later(first, Event::Streaming { chain, leg, attempt, took: first });
-                            let event = self.ended(chain, leg, attempt, evidence, end, &calls);
-                            self.later(end, event)
+                        Script::Stream(first, end, evidence, calls) => {
+                            self.schedule(first, Event::Streaming { chain, leg, attempt, took: first });
+                            let event = self.attempt_ended(chain, leg, attempt, evidence, end, &calls);
+                            self.schedule(end, event)
                         }
-                        Act::Hang => {
-                            let event = self.ended(chain, leg, attempt, Evidence::TimedOut, timeout, &[]);
-                            self.later(timeout, event)
+                        Script::Hang => {
+                            let event =
+                                self.attempt_ended(chain, leg, attempt, Evidence::TimedOut, timeout, &[]);
+                            self.schedule(timeout, event)
                         }
                     };
-                    self.out.insert((chain, turn, attempt), (leg, ended));
+                    self.in_flight.insert((chain, turn, attempt), (leg, end_event));
                 }
                 Effect::Cancel { chain, turn, attempt } => {
-                    if let Some((leg, ended)) = self.out.get(&(chain, turn, attempt)).copied()
-                        && self.events.remove(&ended).is_some()
+                    if let Some((leg, end_event)) = self.in_flight.get(&(chain, turn, attempt)).copied()
+                        && self.events.remove(&end_event).is_some()
                     {
-                        let event = self.ended(chain, leg, attempt, Evidence::Cancelled, 0, &[]);
-                        self.later(MS, event);
+                        let event = self.attempt_ended(chain, leg, attempt, Evidence::Cancelled, 0, &[]);
+                        self.schedule(MS, event);
                     }
                 }
                 Effect::CallTool { chain, call, timeout, tool, attempt, .. } => {
-                    let before = self.tool_ends.get(&chain);
+                    let before = self.last_tool_ends.get(&chain);
                     assert!(
                         tool == 0 || attempt == 1 || before == Some(&ToolEnd::NotRun),
-                        "a call with an effect was made again after {before:?}"
+                        "a call with an effect was repeated after {before:?}"
                     );
-                    let (after, end) = pick(&mut self.tools);
+                    let (after, end) = next_script(&mut self.tools);
                     let end = if after > timeout { ToolEnd::Unknown } else { end };
-                    self.tool_ends.insert(chain, end.clone());
-                    self.later(after.min(timeout), Event::ToolEnded { chain, call, end });
+                    self.last_tool_ends.insert(chain, end.clone());
+                    self.schedule(after.min(timeout), Event::ToolEnded { chain, call, end });
                 }
                 Effect::Release { chain, turn, .. } => {
-                    if let Some(since) = self.states.remove(&(chain, turn)) {
-                        self.longest_wait = self.longest_wait.max(self.now - since);
+                    if let Some(since) = self.kept_states.remove(&(chain, turn)) {
+                        self.longest_state_wait = self.longest_state_wait.max(self.now - since);
                     }
                 }
                 Effect::Answer { chain, last } => self.finals.entry(chain.0).or_default().push(last),
@@ -203,11 +208,11 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by `span` and handles everything due until then.
     pub fn run(&mut self, span: Time) {
         let end = self.now + span;
         loop {
-            let event = self.due.peek().map(|Reverse((at, _))| *at);
+            let event = self.queue.peek().map(|Reverse((at, _))| *at);
             let next = [event, self.core.next_timer()].into_iter().flatten().min();
             match next.filter(|at| *at <= end) {
                 None => {
@@ -217,19 +222,19 @@
                 Some(at) => {
                     self.now = self.now.max(at);
                     if event == Some(at) {
-                        let Some(Reverse((_, number))) = self.due.pop() else { continue };
+                        let Some(Reverse((_, number))) = self.queue.pop() else { continue };
                         if let Some(event) = self.events.remove(&number) {
                             if let Event::AttemptEnded { chain, evidence: Evidence::Read { .. }, .. } = &event
                             {
                                 let turn = self.turn(*chain);
-                                self.states.insert((*chain, turn), self.now);
+                                self.kept_states.insert((*chain, turn), self.now);
                             }
-                            self.pass(event);
+                            self.handle_event(event);
                         }
                     } else {
                         let mut effects = Vec::new();
                         self.core.wake(self.now, &mut effects);
-                        self.carry_out(effects);
+                        self.apply_effects(effects);
                     }
                 }
             }
