--- a/crates/core/src/addresses/gate.rs
+++ b/crates/core/src/addresses/gate.rs
@@ -1,39 +1,42 @@
-//! The budget of dials, and the bounds on open connections.
+//! Limits on the rate of dials and on the number of open connections of one front.
+//!
+//! The limiter counts connections and grants dials; it neither opens nor closes any. It never grants a dial
+//! beyond the rate with its burst; callers check [`ConnectionLimiter::has_room`] before they dial.
 
 use std::collections::HashMap;
 
 use elderstage::Time;
 use elderstage_protocol::place::Place;
 
-/// One front's bounds on connecting.
+/// One front's limits on dials and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Dials a second, and how many may come at once after a quiet time.
+    /// Dials per second, and the largest burst after a quiet period.
     pub dials_per_s: f64,
     pub dials_at_once: f64,
-    /// Connections open or being made: to one server, and in all.
+    /// Connections that are open or being dialed: to one server, and in total.
     pub per_server: usize,
     pub in_all: usize,
-    /// Idle connections kept for one address; how long; and until what age and number of requests.
+    /// Idle connections kept for each address, for how long, and up to which age and number of requests.
     pub idle_each: usize,
     pub idle_for: Time,
     pub age: Time,
     pub uses: u32,
-    /// A server's connections are closed so long after it was told to leave.
+    /// A server's connections are closed this long after it started to leave.
     pub grace: Time,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            // A front that loses half of 64 servers at 20 connections each is whole again in some three seconds,
-            // and 64 such fronts ask 12,800 connects a second of the fleet, 200 of each server: under 1% of a core.
+            // A front that loses half of 64 servers, at 20 connections each, has reconnected in about three
+            // seconds. 64 such fronts make 12,800 connects a second, 200 to each server: under 1% of a core.
             dials_per_s: 200.0,
             dials_at_once: 100.0,
             per_server: 512,
             in_all: 8192,
             idle_each: 64,
-            // Servers close idle connections after 30 s to a minute as a rule; ours go first.
+            // Servers usually close idle connections after 30 s to a minute; the front closes them earlier.
             idle_for: 20_000_000,
             age: 600_000_000,
             uses: 10_000,
@@ -42,84 +45,93 @@
     }
 }
 
-/// Why a dial may not be made.
+/// Why a dial is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoRoom {
-    /// The budget has no place for it in time.
+pub enum DialRejection {
+    /// The dial rate allows none in time.
     Budget,
-    /// As many connections are open as may be.
+    /// The maximum number of connections is open.
     Connections,
 }
 
-/// Counts what is open and hands out times at which dials may begin.
+/// Counts open connections and schedules dials within the rate limit.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct ConnectionLimiter {
     bounds: Bounds,
-    /// When the budget is whole again, if no further dial is made (the cell rate algorithm of ITU-T I.371).
-    whole: Time,
-    open: HashMap<Place, usize>,
-    all: usize,
+    /// When the whole burst is available again if no further dial is made (the theoretical arrival time of
+    /// the generic cell rate algorithm, ITU-T I.371).
+    burst_available_at: Time,
+    /// Connections that are open or being dialed, by address.
+    open_by_place: HashMap<Place, usize>,
+    /// Connections that are open or being dialed, in total.
+    total: usize,
 }
 
-impl Gate {
-    pub fn new(bounds: Bounds) -> Gate {
-        Gate { bounds, whole: 0, open: HashMap::new(), all: 0 }
+impl ConnectionLimiter {
+    /// A limiter without connections, with the whole burst available.
+    pub fn new(bounds: Bounds) -> ConnectionLimiter {
+        ConnectionLimiter { bounds, burst_available_at: 0, open_by_place: HashMap::new(), total: 0 }
     }
 
-    fn step(&self) -> f64 {
+    fn dial_interval_us(&self) -> f64 {
         1e6 / self.bounds.dials_per_s.max(0.001)
     }
 
-    /// Room for one more connection to the server that has these addresses.
-    pub fn room<'a>(&self, places: impl Iterator<Item = &'a Place>) -> bool {
-        let open: usize = places.map(|place| self.open.get(place).copied().unwrap_or(0)).sum();
-        open < self.bounds.per_server && self.all < self.bounds.in_all
+    /// Whether one more connection fits to the server that has these addresses.
+    pub fn has_room<'a>(&self, places: impl Iterator<Item = &'a Place>) -> bool {
+        let open_count: usize = places.map(|place| self.open_by_place.get(place).copied().unwrap_or(0)).sum();
+        open_count < self.bounds.per_server && self.total < self.bounds.in_all
     }
 
-    /// When a dial may begin, which is then counted on; not at all if that is later than `by`.
-    pub fn reserve(&mut self, now: Time, by: Time) -> Result<Time, NoRoom> {
-        let burst = (self.step() * (self.bounds.dials_at_once - 1.0).max(0.0)) as Time;
-        let at = now.max(self.whole.saturating_sub(burst));
+    /// Reserves a dial and returns when it may start. Reserves none if that is later than `by`.
+    pub fn reserve_dial(&mut self, now: Time, by: Time) -> Result<Time, DialRejection> {
+        let burst = (self.dial_interval_us() * (self.bounds.dials_at_once - 1.0).max(0.0)) as Time;
+        let at = now.max(self.burst_available_at.saturating_sub(burst));
         if at > by {
-            return Err(NoRoom::Budget);
+            return Err(DialRejection::Budget);
         }
-        self.whole = self.whole.max(now) + self.step() as Time;
+        self.burst_available_at = self.burst_available_at.max(now) + self.dial_interval_us() as Time;
         Ok(at)
     }
 
-    /// A dial that nobody waits for: only from what is left of a budget that is more than half full.
-    pub fn spare(&mut self, now: Time) -> bool {
-        let half = (self.step() * self.bounds.dials_at_once / 2.0) as Time;
-        self.whole <= now + half && self.all < self.bounds.in_all && self.reserve(now, now).is_ok()
+    /// Reserves a dial that no request waits for; only while more than half of the burst is available.
+    pub fn try_reserve_spare(&mut self, now: Time) -> bool {
+        let half = (self.dial_interval_us() * self.bounds.dials_at_once / 2.0) as Time;
+        self.burst_available_at <= now + half
+            && self.total < self.bounds.in_all
+            && self.reserve_dial(now, now).is_ok()
     }
 
-    pub fn opened(&mut self, place: &Place) {
-        *self.open.entry(place.clone()).or_default() += 1;
-        self.all += 1;
+    /// Counts a connection that is open or being dialed.
+    pub fn count_opened(&mut self, place: &Place) {
+        *self.open_by_place.entry(place.clone()).or_default() += 1;
+        self.total += 1;
     }
 
-    pub fn closed(&mut self, place: &Place) {
-        if let Some(count) = self.open.get_mut(place) {
+    /// Counts a connection as closed.
+    pub fn count_closed(&mut self, place: &Place) {
+        if let Some(count) = self.open_by_place.get_mut(place) {
             *count -= 1;
-            self.all -= 1;
+            self.total -= 1;
             if *count == 0 {
-                self.open.remove(place);
+                self.open_by_place.remove(place);
             }
         }
     }
 
-    /// As many connections are open as may be, over all servers.
-    pub fn full(&self) -> bool {
-        self.all >= self.bounds.in_all
+    /// Whether the maximum total number of connections is open.
+    pub fn is_full(&self) -> bool {
+        self.total >= self.bounds.in_all
     }
 
-    /// Connections open or being made, in all.
-    pub fn all(&self) -> usize {
-        self.all
+    /// Connections that are open or being dialed, in total.
+    pub fn total(&self) -> usize {
+        self.total
     }
 
-    pub fn open_at(&self, place: &Place) -> usize {
-        self.open.get(place).copied().unwrap_or(0)
+    /// Connections to one address that are open or being dialed.
+    pub fn open_to(&self, place: &Place) -> usize {
+        self.open_by_place.get(place).copied().unwrap_or(0)
     }
 }
 
--- a/crates/core/src/addresses/gate/tests.rs
+++ b/crates/core/src/addresses/gate/tests.rs
@@ -7,29 +7,29 @@
 }
 
 #[test]
-fn dials_come_at_once_up_to_the_budget_and_then_at_its_pace() {
+fn dials_start_at_once_up_to_the_burst_and_then_at_the_rate() {
     let bounds = Bounds { dials_per_s: 10.0, dials_at_once: 5.0, ..Bounds::default() };
-    let mut gate = Gate::new(bounds);
+    let mut limiter = ConnectionLimiter::new(bounds);
     let now = 100 * S;
-    let at: Vec<Time> = (0..8).map(|_| gate.reserve(now, now + S).unwrap() - now).collect();
+    let at: Vec<Time> = (0..8).map(|_| limiter.reserve_dial(now, now + S).unwrap() - now).collect();
     assert_eq!(at, [0, 0, 0, 0, 0, 100_000, 200_000, 300_000]);
-    // Guards against a queue without an end: what cannot begin in time is told so and takes nothing.
+    // Guards against an unbounded queue: a dial that cannot start in time is rejected and uses no budget.
     for _ in 0..1000 {
-        assert_eq!(gate.reserve(now, now + 350_000), Err(NoRoom::Budget));
+        assert_eq!(limiter.reserve_dial(now, now + 350_000), Err(DialRejection::Budget));
     }
-    assert_eq!(gate.reserve(now, now + S), Ok(now + 400_000));
-    assert!(!gate.spare(now + S / 2), "less than half is left");
-    assert!(gate.spare(now + S));
+    assert_eq!(limiter.reserve_dial(now, now + S), Ok(now + 400_000));
+    assert!(!limiter.try_reserve_spare(now + S / 2), "less than half of the burst is available");
+    assert!(limiter.try_reserve_spare(now + S));
 }
 
 #[test]
-fn any_second_holds_at_most_the_pace_and_the_burst() {
+fn any_second_has_at_most_the_rate_and_the_burst() {
     let bounds = Bounds { dials_per_s: 50.0, dials_at_once: 20.0, ..Bounds::default() };
-    let mut gate = Gate::new(bounds);
+    let mut limiter = ConnectionLimiter::new(bounds);
     let mut at: Vec<Time> = Vec::new();
     for ms in 0..5_000 {
         let now = S + ms * 1_000;
-        at.extend(gate.reserve(now, now + 250_000));
+        at.extend(limiter.reserve_dial(now, now + 250_000));
     }
     at.sort_unstable();
     let most = at.iter().map(|from| at.iter().filter(|t| (*from..from + S).contains(t)).count()).max();
@@ -37,20 +37,20 @@
 }
 
 #[test]
-fn open_connections_are_bounded_for_a_server_over_its_addresses_and_in_all() {
+fn open_connections_are_limited_per_server_and_in_total() {
     let bounds = Bounds { per_server: 3, in_all: 5, ..Bounds::default() };
-    let mut gate = Gate::new(bounds);
+    let mut limiter = ConnectionLimiter::new(bounds);
     let (a, b) = ([place(1), place(2)], [place(3)]);
     for at in [1, 2, 2] {
-        assert!(gate.room(a.iter()));
-        gate.opened(&place(at));
+        assert!(limiter.has_room(a.iter()));
+        limiter.count_opened(&place(at));
     }
-    assert!(!gate.room(a.iter()) && gate.room(b.iter()));
-    gate.opened(&place(3));
-    gate.opened(&place(3));
-    assert!(!gate.room(b.iter()), "five in all");
-    gate.closed(&place(2));
-    assert!(gate.room(a.iter()) && gate.room(b.iter()));
-    gate.closed(&place(9));
-    assert_eq!((gate.all(), gate.open_at(&place(2))), (4, 1));
+    assert!(!limiter.has_room(a.iter()) && limiter.has_room(b.iter()));
+    limiter.count_opened(&place(3));
+    limiter.count_opened(&place(3));
+    assert!(!limiter.has_room(b.iter()), "five in total");
+    limiter.count_closed(&place(2));
+    assert!(limiter.has_room(a.iter()) && limiter.has_room(b.iter()));
+    limiter.count_closed(&place(9));
+    assert_eq!((limiter.total(), limiter.open_to(&place(2))), (4, 1));
 }
--- a/crates/core/src/addresses/mod.rs
+++ b/crates/core/src/addresses/mod.rs
@@ -1,14 +1,15 @@
-//! Many addresses of one server, and one attempt over them.
+//! Connections to servers that have several addresses.
 //!
-//! A server may be reached by IPv6, IPv4 and a Unix socket. What was learned of each address decides the order in
-//! which they are tried ([`Book`]). One attempt connects staggered, as RFC 8305 has it, proves a connection where
-//! the request must not run twice, and ends with one send or none ([`Race`]). Dials have a budget and connections
-//! have bounds ([`Gate`]); idle ones are kept for the next request ([`Pool`]). [`Addresses`] is all of it as one
-//! front has it; the front holds the sockets and does what it is told.
+//! A server may be reached by IPv6, IPv4 and a Unix socket. The state of each address decides the order in
+//! which they are tried ([`AddressBook`]). One attempt starts its dials staggered as in RFC 8305, proves a
+//! connection where the request must not run twice, and sends the request at most once ([`Race`]). The dial
+//! rate and the number of connections are limited ([`ConnectionLimiter`]); idle connections are kept for the
+//! next request ([`Pool`]). [`Addresses`] combines all of this for one front. It does no I/O: the front owns
+//! the sockets and carries out the [`Step`]s.
 //!
-//! **When it acts**: on each attempt at an engine, and every few tens of milliseconds for trials and closing.
-//! **What it costs**: some hundred bytes an address; an attempt that finds an idle connection, a look into two maps.
-//! **How it is seen**: [`Counts`], by the front's metrics; a family that goes down or comes back is logged.
+//! The code runs on each attempt at an engine, and every few tens of milliseconds for trials and closing. It
+//! takes on the order of 100 bytes for each address; an attempt that finds an idle connection costs two map
+//! look-ups. The front exports [`Counts`] as metrics and logs when a family goes down or comes back.
 
 mod book;
 mod gate;
@@ -20,33 +21,33 @@
 use elderstage_protocol::place::{Family, Place};
 use waits::Waits;
 
-pub use book::{Book, Choice, Known, Trial};
-pub use gate::{Bounds, Gate, NoRoom};
+pub use book::{AddressBook, AddressState, Candidate, Trial};
+pub use gate::{Bounds, ConnectionLimiter, DialRejection};
 pub use pool::{Life, Pool};
-pub use race::{Beaten, Lost, Proof, Race, Rest, Step, Supply};
+pub use race::{ConnectionSource, Lost, Proof, Race, RaceSummary, Rest, Step};
 
-/// What an attempt asks of a connection.
+/// What an attempt needs from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
     /// The request must not run twice: unsafe and keyed classes at a writer.
     pub once: bool,
-    /// How the server's kind is proven.
+    /// How connections to this kind of server are proven.
     pub proof: Proof,
-    /// Longest time to connect and to prove, over all addresses: what the module counts on.
+    /// Longest time to connect and to prove, over all addresses; the router plans with it.
     pub connect: Time,
-    /// The attempt's whole time.
+    /// Time limit of the whole attempt.
     pub time: Time,
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub dials: u64,
     pub dials_failed: u64,
-    /// Dials that another one overtook.
+    /// Dials that were late when another address won the race.
     pub overtaken: u64,
     pub reused: u64,
-    /// Pooled connections that turned out closed.
+    /// Pooled connections that turned out to be closed.
     pub stale: u64,
     pub proofs: u64,
     pub proofs_failed: u64,
@@ -55,63 +56,63 @@
     pub trials_failed: u64,
     pub families_down: u64,
     pub families_back: u64,
-    /// Requests whose wait for a first byte was long, and those given up for it.
+    /// Requests that waited long for the first byte of their answer, and those that were given up for it.
     pub late: u64,
     pub given_up: u64,
 }
 
-/// All that one front knows and holds of addresses. `C` is a connection, which is never looked into.
+/// The addresses and connections of one front. `C` is a connection, which is opaque here.
 pub struct Addresses<C> {
-    pub book: Book,
-    gate: Gate,
+    pub book: AddressBook,
+    limiter: ConnectionLimiter,
     pool: Pool<C>,
     waits: Waits,
     bounds: Bounds,
     counts: Counts,
-    down: [bool; 3],
+    known_down: [bool; 3],
 }
 
-/// What a look after the addresses has come to.
+/// What [`Addresses::tend`] asks of the front.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tended {
     pub trials: Vec<Trial>,
-    /// Families that went down or came back since the last look; true for down.
+    /// Families that went down (`true`) or came back since the last call.
     pub families: Vec<(Family, bool)>,
-    /// Requests to give up, by their numbers: nothing comes over their address, and another one works.
+    /// Numbers of the requests to give up: their address delivers nothing, and another one works.
     pub give_up: Vec<u64>,
 }
 
 const FAMILIES: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
 
-struct Stock<'a, C> {
-    book: &'a mut Book,
-    gate: &'a mut Gate,
+struct RaceSupply<'a, C> {
+    book: &'a mut AddressBook,
+    limiter: &'a mut ConnectionLimiter,
     pool: &'a mut Pool<C>,
     counts: &'a mut Counts,
     server: ServerId,
 }
 
-impl<C> Supply<(C, Life)> for Stock<'_, C> {
-    fn idle(&mut self, now: Time, place: &Place) -> Option<(C, Life)> {
+impl<C> ConnectionSource<(C, Life)> for RaceSupply<'_, C> {
+    fn take_idle(&mut self, now: Time, place: &Place) -> Option<(C, Life)> {
         let taken = self.pool.take(now, place);
         self.counts.reused += u64::from(taken.is_some());
         taken
     }
 
-    fn dial(&mut self, now: Time, by: Time, place: &Place) -> Option<Time> {
+    fn reserve_dial(&mut self, now: Time, by: Time, place: &Place) -> Option<Time> {
         let places = || {
             self.book.places(&self.server).iter().chain([place].into_iter().filter(|p| {
-                // Its list may have changed since the attempt began.
+                // The server's addresses may have changed since the attempt started.
                 !self.book.places(&self.server).contains(p)
             }))
         };
-        // One that idles elsewhere makes room, once it is closed: this dial counts on it.
-        let room = self.gate.room(places()) || (self.gate.full() && self.pool.make_room());
-        let at = room.then(|| self.gate.reserve(now, by).ok()).flatten();
+        // An idle connection to any address is closed to make room. The dial is granted before that is done.
+        let has_room = self.limiter.has_room(places()) || (self.limiter.is_full() && self.pool.make_room());
+        let at = has_room.then(|| self.limiter.reserve_dial(now, by).ok()).flatten();
         match at {
             Some(_) => {
-                self.gate.opened(place);
-                self.book.dialing(place);
+                self.limiter.count_opened(place);
+                self.book.dial_started(place);
                 self.counts.dials += 1;
             }
             None => self.counts.no_room += 1,
@@ -119,58 +120,59 @@
         at
     }
 
-    fn unused(&mut self, place: &Place) {
-        self.gate.closed(place);
-        self.book.dialed(place);
+    fn cancel_dial(&mut self, place: &Place) {
+        self.limiter.count_closed(place);
+        self.book.dial_ended(place);
         self.counts.dials -= 1;
     }
 
-    fn late(&mut self, now: Time, since: Time, place: &Place) {
+    fn proof_late(&mut self, now: Time, since: Time, place: &Place) {
         self.counts.proofs_failed += 1;
-        self.book.failed(place, now, since);
+        self.book.record_failure(place, now, since);
     }
 }
 
 impl<C> Addresses<C> {
-    /// `jitter`, from 0 to 1, is drawn once for each front.
+    /// No addresses and no connections yet. `jitter`, from 0 to 1, is drawn once for each front.
     pub fn new(bounds: Bounds, jitter: f64) -> Addresses<C> {
         Addresses {
-            book: Book::new(jitter),
-            gate: Gate::new(bounds),
+            book: AddressBook::new(jitter),
+            limiter: ConnectionLimiter::new(bounds),
             pool: Pool::new(bounds),
             waits: Waits::default(),
             bounds,
             counts: Counts::default(),
-            down: [false; 3],
+            known_down: [false; 3],
         }
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Connections open or being made, and those of them that are idle.
+    /// Connections that are open or being dialed, and how many of them are idle.
     pub fn open(&self) -> (usize, usize) {
-        (self.gate.all(), self.pool.idle())
+        (self.limiter.total(), self.pool.idle_count())
     }
 
-    /// Connections to one address, open or being made.
+    /// Connections to one address that are open or being dialed.
     pub fn open_at(&self, place: &Place) -> usize {
-        self.gate.open_at(place)
+        self.limiter.open_to(place)
     }
 
-    /// Families that are held to be dead.
+    /// Families that count as down.
     pub fn down(&self) -> impl Iterator<Item = Family> + '_ {
         FAMILIES.into_iter().filter(|family| self.book.family_down(*family))
     }
 
-    /// Counts families that went down or came back; those, with whether they are down now.
-    fn families(&mut self) -> Vec<(Family, bool)> {
+    /// Counts and returns the families that went down or came back, with whether they are down now.
+    fn take_family_changes(&mut self) -> Vec<(Family, bool)> {
         let mut changed = Vec::new();
         for (index, family) in FAMILIES.into_iter().enumerate() {
             let down = self.book.family_down(family);
-            if down != self.down[index] {
-                self.down[index] = down;
+            if down != self.known_down[index] {
+                self.known_down[index] = down;
                 let count =
                     if down { &mut self.counts.families_down } else { &mut self.counts.families_back };
                 *count += 1;
@@ -182,170 +184,172 @@
 
     // ---- One attempt ----
 
-    /// Begins an attempt.
+    /// Starts an attempt.
     pub fn begin(&mut self, now: Time, server: &ServerId, ask: Ask) -> Race {
-        let order = self.book.order(server, now);
-        let several = order.len() > 1;
-        let proof = |choice: &Choice| {
-            // A proof is worth its round trip where the request must not run twice, or where there is somewhere
-            // else to go and nothing vouches for this address.
+        let candidates = self.book.candidates(server, now);
+        let has_several = candidates.len() > 1;
+        let proof = |candidate: &Candidate| {
+            // A proof costs a round trip. It is needed where the request must not run twice, or where the
+            // server has another address and this one has not answered recently.
             match ask.proof {
-                _ if !ask.once && (choice.proven || !several) => Proof::None,
-                Proof::Continue if choice.no_continue => Proof::Health,
+                _ if !ask.once && (candidate.is_proven || !has_several) => Proof::None,
+                Proof::Continue if candidate.rejects_continue => Proof::Health,
                 proof => proof,
             }
         };
-        Race::new(server.clone(), now, now + ask.connect.min(ask.time), order, proof)
+        Race::new(server.clone(), now, now + ask.connect.min(ask.time), candidates, proof)
     }
 
-    /// What the attempt does next.
+    /// The next step of the attempt.
     pub fn poll(&mut self, now: Time, race: &mut Race) -> Step<(C, Life)> {
         let server = race.server.clone();
-        let Addresses { book, gate, pool, counts, .. } = self;
-        let step = race.poll(now, &mut Stock { book, gate, pool, counts, server });
+        let Addresses { book, limiter, pool, counts, .. } = self;
+        let step = race.poll(now, &mut RaceSupply { book, limiter, pool, counts, server });
         match &step {
             Step::Prove(..) => self.counts.proofs += 1,
-            Step::Send(..) => self.settle(now, race),
+            Step::Send(..) => self.record_race_outcome(now, race),
             _ => {}
         }
         step
     }
 
-    fn settle(&mut self, now: Time, race: &Race) {
-        let Some(beaten) = race.beaten(now) else { return };
-        for (place, since) in &beaten.overtaken {
+    fn record_race_outcome(&mut self, now: Time, race: &Race) {
+        let Some(summary) = race.summary(now) else { return };
+        for (place, since) in &summary.overtaken {
             self.counts.overtaken += 1;
-            self.book.failed(place, now, *since);
+            self.book.record_failure(place, now, *since);
         }
-        if !beaten.lost.is_empty() {
-            self.book.beaten(&race.server, &beaten.winner, &beaten.lost, now);
+        if !summary.lost.is_empty() {
+            self.book.record_family_failures(&race.server, &summary.winner, &summary.lost, now);
         }
     }
 
-    /// A dial has ended, with a connection or without one. The race is told by itself.
+    /// Records the end of a dial, with or without a connection. The caller also notifies the race.
     pub fn dialed(&mut self, now: Time, place: &Place, since: Time, connected: bool) {
-        self.book.dialed(place);
+        self.book.dial_ended(place);
         if connected {
-            self.book.connected(place, now.saturating_sub(since));
+            self.book.record_connect(place, now.saturating_sub(since));
         } else {
             self.counts.dials_failed += 1;
-            self.book.shaken(place, now);
-            self.book.failed(place, now, since);
+            self.book.invalidate_proofs(place, now);
+            self.book.record_failure(place, now, since);
         }
     }
 
-    /// A connection was closed, or spoke nonsense, while it was proven.
+    /// Records that a connection was closed, or got a malformed answer, during its proof.
     pub fn not_proven(&mut self, now: Time, race: &mut Race, lane: usize) {
         let since = race.proving_since(lane);
         self.counts.proofs_failed += 1;
-        self.book.shaken(&race.place(lane).clone(), now);
+        self.book.invalidate_proofs(&race.place(lane).clone(), now);
         if race.failed(lane) {
-            self.book.failed(&race.place(lane).clone(), now, since.unwrap_or(now));
+            self.book.record_failure(&race.place(lane).clone(), now, since.unwrap_or(now));
         } else {
             self.counts.stale += 1;
         }
     }
 
-    /// An idle connection was closed by its peer meanwhile.
+    /// Records that the peer had closed an idle connection.
     pub fn stale(&mut self, race: &mut Race, lane: usize) {
         self.counts.stale += 1;
         race.stale(lane);
     }
 
-    /// The word to go on has come. `false`: it comes too late.
+    /// Records that the proof succeeded. Returns `false` if it comes too late.
     pub fn proven(&mut self, now: Time, race: &mut Race, lane: usize) -> bool {
         let took = race.proving_since(lane).map(|since| now.saturating_sub(since));
-        self.book.proven(&race.place(lane).clone(), now, took);
+        self.book.record_answer(&race.place(lane).clone(), now, took);
         race.proven(lane)
     }
 
-    /// The peer has answered the head with 417: it does not know the expectation. `open`: the connection stays open.
+    /// Records that the peer answered the head with 417, which rejects the expectation. `open`: the
+    /// connection stays open.
     pub fn without_continue(&mut self, now: Time, race: &mut Race, lane: usize, open: bool) {
         let place = race.place(lane).clone();
-        self.book.proven(&place, now, None);
-        self.book.refused_continue(&place);
+        self.book.record_answer(&place, now, None);
+        self.book.record_rejected_continue(&place);
         race.without_continue(lane, open);
     }
 
-    // ---- After the send ----
+    // ---- After the request was sent ----
 
-    /// The request was written. The number is for what follows.
+    /// Records that the request was written. The number identifies it in the calls that follow.
     pub fn sent(&mut self, now: Time, server: &ServerId, place: &Place, safe: bool) -> u64 {
-        self.waits.begin(server, place, now, safe)
+        self.waits.start(server, place, now, safe)
     }
 
-    /// The first byte of its answer has come.
+    /// Records the first byte of the answer.
     pub fn answered(&mut self, now: Time, number: u64) {
-        if let Some(wait) = self.waits.answered(number, now) {
-            self.book.proven(&wait.place, now, None);
+        if let Some(wait) = self.waits.record_answer(number, now) {
+            self.book.record_answer(&wait.place, now, None);
         }
     }
 
-    /// It has ended without a byte. `reused`: on a pooled connection, which may have been closed meanwhile and then
-    /// says nothing of its address.
+    /// Records that the request ended without a byte of answer. `reused`: it went over a pooled connection,
+    /// which the peer may have closed; that says nothing about the address.
     pub fn silent(&mut self, now: Time, number: u64, reused: bool) {
-        let Some(wait) = self.waits.ended(number) else { return };
-        self.book.shaken(&wait.place, now);
-        if !wait.late && !reused {
-            self.book.silent(&wait.place, now, wait.since);
+        let Some(wait) = self.waits.remove(number) else { return };
+        self.book.invalidate_proofs(&wait.place, now);
+        if !wait.is_late && !reused {
+            self.book.record_no_answer(&wait.place, now, wait.since);
         }
     }
 
-    /// Something was answered over an address beside a request.
+    /// Records an answer over an address that is not the answer to a request, for instance to a health check.
     pub fn heard(&mut self, now: Time, place: &Place) {
-        self.book.proven(place, now, Some(1));
+        self.book.record_answer(place, now, Some(1));
     }
 
-    /// A connection is free again after an answer that ended in good order.
+    /// Takes back a connection after a complete answer.
     pub fn free(&mut self, now: Time, place: &Place, conn: C, life: Life) {
-        let left = self.book.left(place, now, self.bounds.grace);
-        self.pool.put(now, place, conn, life, left);
+        let should_close = self.book.should_close(place, now, self.bounds.grace);
+        self.pool.put(now, place, conn, life, should_close);
     }
 
-    /// A connection has been closed, or a dial has ended without one.
+    /// Records that a connection was closed, or that a dial ended without one.
     pub fn closed(&mut self, place: &Place) {
-        self.gate.closed(place);
+        self.limiter.count_closed(place);
     }
 
-    // ---- Now and then ----
+    // ---- Periodic work ----
 
-    /// The whole list of servers: each one's addresses, and whether it is told to leave.
+    /// Applies a full list of servers: each one's addresses, and whether it is leaving.
     pub fn list(&mut self, now: Time, servers: impl IntoIterator<Item = (ServerId, Vec<Place>, bool)>) {
-        self.book.list(now, servers);
-        self.waits.forget_servers(|server| !self.book.places(server).is_empty());
+        self.book.apply_list(now, servers);
+        self.waits.retain_servers(|server| !self.book.places(server).is_empty());
     }
 
-    /// Closes what has outlived its time, looks after long waits, and begins the trials that are due.
-    /// No trial takes longer than `connect`.
+    /// Closes expired connections, handles requests that wait long, and starts the trials that are due. No
+    /// trial takes longer than `connect`.
     pub fn tend(&mut self, now: Time, connect: Time) -> Tended {
-        for wait in self.waits.late(now) {
+        for wait in self.waits.take_late(now) {
             self.counts.late += 1;
-            self.book.silent(&wait.place, now, wait.since);
-            self.book.suspect(&wait.server, &wait.place, now);
+            self.book.record_no_answer(&wait.place, now, wait.since);
+            self.book.suspect_addresses(&wait.server, &wait.place, now);
         }
         let book = &self.book;
-        let give_up = self.waits.give_up(|wait| book.hopeless(&wait.server, &wait.place, wait.since));
+        let give_up =
+            self.waits.take_given_up(|wait| book.should_give_up(&wait.server, &wait.place, wait.since));
         self.counts.given_up += give_up.len() as u64;
         let (book, grace) = (&self.book, self.bounds.grace);
-        self.pool.sweep(now, |place| book.left(place, now, grace));
-        let gate = &mut self.gate;
-        let trials = self.book.trials(now, connect, || gate.spare(now));
+        self.pool.sweep(now, |place| book.should_close(place, now, grace));
+        let limiter = &mut self.limiter;
+        let trials = self.book.start_trials(now, connect, || limiter.try_reserve_spare(now));
         for trial in &trials {
-            self.gate.opened(&trial.place);
+            self.limiter.count_opened(&trial.place);
             self.counts.trials += 1;
         }
-        Tended { trials, families: self.families(), give_up }
+        Tended { trials, families: self.take_family_changes(), give_up }
     }
 
-    /// A trial has ended; `good` when something was answered. Its connection is told of as any other.
+    /// Records the end of a trial; `good` if the address answered. Its connection is reported like any other.
     pub fn tried(&mut self, now: Time, trial: &Trial, since: Time, good: bool) {
         self.counts.trials_failed += u64::from(!good);
-        self.book.tried(trial, now, since, good);
+        self.book.record_trial(trial, now, since, good);
     }
 
-    /// What is to be closed.
+    /// Removes and returns the connections to close.
     pub fn closing(&mut self) -> Vec<C> {
-        self.pool.closing()
+        self.pool.take_closing()
     }
 }
 
--- a/crates/core/src/addresses/pool.rs
+++ b/crates/core/src/addresses/pool.rs
@@ -1,4 +1,6 @@
-//! Idle connections, kept for the next request.
+//! The pool of idle connections, kept for the next request.
+//!
+//! The pool never closes a connection itself: connections to close are collected until the caller takes them.
 
 use std::collections::HashMap;
 
@@ -7,15 +9,17 @@
 
 use super::gate::Bounds;
 
-/// A connection's life so far.
+/// Age and use count of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Life {
+    /// When it was opened.
     pub born: Time,
-    /// Requests that it has carried, one at a time: HTTP/1.1 carries one stream on a connection.
+    /// Requests that it has carried, one at a time, since HTTP/1.1 has no concurrent streams.
     pub uses: u32,
 }
 
 impl Life {
+    /// A connection that was opened at `now` and has carried no request.
     pub fn new(now: Time) -> Life {
         Life { born: now, uses: 0 }
     }
@@ -27,7 +31,7 @@
     since: Time,
 }
 
-/// Idle connections by address. What is to be closed is handed back, never dropped inside.
+/// Idle connections by address, and connections to close.
 pub struct Pool<C> {
     bounds: Bounds,
     idle: HashMap<Place, Vec<Idle<C>>>,
@@ -35,15 +39,16 @@
 }
 
 impl<C> Pool<C> {
+    /// An empty pool.
     pub fn new(bounds: Bounds) -> Pool<C> {
         Pool { bounds, idle: HashMap::new(), closing: Vec::new() }
     }
 
-    fn worn(&self, life: Life, now: Time) -> bool {
+    fn is_worn_out(&self, life: Life, now: Time) -> bool {
         life.uses >= self.bounds.uses || now >= life.born + self.bounds.age
     }
 
-    /// The latest used comes first, so that the others grow old and go.
+    /// Takes the most recently used idle connection, so that surplus ones expire.
     pub fn take(&mut self, now: Time, place: &Place) -> Option<(C, Life)> {
         let list = self.idle.get_mut(place)?;
         while let Some(Idle { conn, life, since }) = list.pop() {
@@ -55,31 +60,34 @@
         None
     }
 
-    /// Keeps a connection that is free, or has it closed.
-    pub fn put(&mut self, now: Time, place: &Place, conn: C, life: Life, left: bool) {
-        let worn = left || self.worn(life, now);
+    /// Keeps a connection for the next request, or marks it for closing. `is_leaving`: its address is no
+    /// longer in use.
+    pub fn put(&mut self, now: Time, place: &Place, conn: C, life: Life, is_leaving: bool) {
+        let is_worn_out = is_leaving || self.is_worn_out(life, now);
         let list = self.idle.entry(place.clone()).or_default();
-        if worn || list.len() >= self.bounds.idle_each {
+        if is_worn_out || list.len() >= self.bounds.idle_each {
             self.closing.push(conn);
         } else {
             list.push(Idle { conn, life, since: now });
         }
     }
 
-    /// Marks for closing what is idle for too long, too old, or at an address that is left.
-    pub fn sweep(&mut self, now: Time, left: impl Fn(&Place) -> bool) {
+    /// Marks for closing the connections that are idle too long, too old, or at an address for which
+    /// `is_leaving` holds.
+    pub fn sweep(&mut self, now: Time, is_leaving: impl Fn(&Place) -> bool) {
         let (bounds, closing) = (self.bounds, &mut self.closing);
         self.idle.retain(|place, list| {
-            let gone = left(place);
-            let old = |idle: &mut Idle<C>| {
-                gone || now >= idle.since + bounds.idle_for || now >= idle.life.born + bounds.age
+            let place_is_leaving = is_leaving(place);
+            let is_expired = |idle: &mut Idle<C>| {
+                place_is_leaving || now >= idle.since + bounds.idle_for || now >= idle.life.born + bounds.age
             };
-            closing.extend(list.extract_if(.., old).map(|idle| idle.conn));
+            closing.extend(list.extract_if(.., is_expired).map(|idle| idle.conn));
             !list.is_empty()
         });
     }
 
-    /// Marks the connection for closing that is idle the longest, to make room for another.
+    /// Marks the longest idle connection for closing, to make room for another one. Returns `false` if none
+    /// is idle.
     pub fn make_room(&mut self) -> bool {
         let oldest = |list: &Vec<Idle<C>>| list.first().map(|idle| idle.since);
         let Some(place) = self
@@ -97,12 +105,13 @@
         true
     }
 
-    pub fn idle(&self) -> usize {
+    /// Number of idle connections.
+    pub fn idle_count(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// What is to be closed.
-    pub fn closing(&mut self) -> Vec<C> {
+    /// Removes and returns the connections to close.
+    pub fn take_closing(&mut self) -> Vec<C> {
         std::mem::take(&mut self.closing)
     }
 }
--- a/crates/core/src/addresses/pool/tests.rs
+++ b/crates/core/src/addresses/pool/tests.rs
@@ -11,18 +11,18 @@
 }
 
 #[test]
-fn the_latest_used_comes_first_and_too_many_are_closed() {
+fn the_most_recently_used_is_taken_first_and_surplus_ones_are_closed() {
     let mut pool = pool();
     for conn in 0..3 {
         pool.put(S, &place(1), conn, Life::new(0), false);
     }
-    assert_eq!(pool.closing(), [2]);
+    assert_eq!(pool.take_closing(), [2]);
     assert_eq!(pool.take(S, &place(1)).map(|(conn, _)| conn), Some(1));
     assert_eq!(pool.take(S, &place(2)), None);
 }
 
 #[test]
-fn idle_old_and_worn_connections_are_closed() {
+fn idle_old_and_worn_out_connections_are_closed() {
     let mut pool = pool();
     pool.put(S, &place(1), 1, Life::new(0), false);
     assert_eq!(pool.take(21 * S, &place(1)), None, "idle for too long");
@@ -30,21 +30,21 @@
     assert_eq!(pool.take(60 * S, &place(1)), None, "too old");
     pool.put(S, &place(1), 3, Life { born: 0, uses: 3 }, false);
     pool.put(S, &place(1), 4, Life::new(0), true);
-    assert_eq!(pool.closing(), [1, 2, 3, 4]);
+    assert_eq!(pool.take_closing(), [1, 2, 3, 4]);
     pool.put(S, &place(1), 5, Life::new(0), false);
     pool.put(5 * S, &place(2), 6, Life::new(0), false);
     pool.sweep(6 * S, |at| *at == place(2));
-    assert_eq!((pool.closing(), pool.idle()), (vec![6], 1));
+    assert_eq!((pool.take_closing(), pool.idle_count()), (vec![6], 1));
     pool.sweep(21 * S, |_| false);
-    assert_eq!((pool.closing(), pool.idle()), (vec![5], 0));
+    assert_eq!((pool.take_closing(), pool.idle_count()), (vec![5], 0));
 }
 
 #[test]
-fn room_is_made_by_the_one_that_is_idle_the_longest() {
+fn the_longest_idle_connection_makes_room() {
     let mut pool = pool();
     assert!(!pool.make_room());
     pool.put(2 * S, &place(1), 1, Life::new(0), false);
     pool.put(S, &place(2), 2, Life::new(0), false);
     assert!(pool.make_room());
-    assert_eq!(pool.closing(), [2]);
+    assert_eq!(pool.take_closing(), [2]);
 }
--- a/crates/core/src/addresses/race.rs
+++ b/crates/core/src/addresses/race.rs
@@ -1,323 +1,343 @@
-//! One attempt over a server's addresses: connects staggered, one connection proven, one send.
+//! One attempt over the addresses of a server: staggered dials, a proof where needed, and at most one send.
 //!
-//! Connects may race, since a connect carries nothing of the request. Its head, where a proof by
-//! `Expect: 100-continue` is wanted, is on one connection at a time: before another gets it, the first is closed,
-//! and the body has gone to none. The body goes to one connection, once, and then the race is over.
+//! The race only decides; the caller does the I/O. Dials may run concurrently, since a connect carries
+//! nothing of the request. If a proof by `Expect: 100-continue` is needed, the request's head is on one open
+//! connection at a time: before another connection gets it, the first is closed, and no body has been sent on
+//! either. The body is sent on one connection, once, and this ends the race.
+//!
+//! A *lane* is one address of the race, with its dial and its proof.
 
 use elderstage::{ServerId, Time};
 use elderstage_protocol::place::Place;
 
-use super::book::Choice;
+use super::book::Candidate;
 
-/// Time between two dials where nothing was learned, and the shortest (RFC 8305, section 5: 250 ms, and 100 ms as
-/// the recommended minimum).
-const DELAY: Time = 250_000;
-const LEAST_DELAY: Time = 100_000;
-/// A connect or proof is late after so many times its usual time.
-const LATE: f64 = 4.0;
-/// Pooled connections of one address that may turn out closed before a new one is made.
-const STALE_MOST: u32 = 2;
+/// Longest and shortest delay between two dials, in microseconds (RFC 8305, section 5: 250 ms, and 100 ms as
+/// the recommended minimum). The longest also applies before any time is known.
+const MAX_DIAL_DELAY: Time = 250_000;
+const MIN_DIAL_DELAY: Time = 100_000;
+/// A connect or a proof is late after this multiple of its mean time.
+const LATE_FACTOR: f64 = 4.0;
+/// Pooled connections of one address that may turn out to be closed before a new one is dialed.
+const MAX_STALE_CONNECTIONS: u32 = 2;
 
-/// How a connection is proven before the body goes.
+/// How a connection is proven before the body is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Proof {
-    /// Not at all: the request goes whole.
+    /// No proof: the request is sent whole.
     None,
-    /// The head goes with `Expect: 100-continue`; the body follows the word to go on.
+    /// The head is sent with `Expect: 100-continue`, and the body after `100 Continue`.
     Continue,
-    /// A health request on the same connection is answered first; then the request goes whole.
+    /// A health request on the same connection must be answered first; then the request is sent whole.
     Health,
 }
 
-/// What the caller does next. Numbers are those of [`Race::place`].
+/// What the caller does next. The `usize` is the number of a lane, as for [`Race::place`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<C> {
-    /// Take this idle connection; if it turns out closed, [`stale`](Race::stale).
+    /// Use this idle connection; if it turns out to be closed, call [`stale`](Race::stale).
     Reuse(usize, C),
-    /// Begin to connect; no longer than until this time.
+    /// Start a dial, which may last until this time.
     Dial(usize, Time),
     /// Prove this connection.
     Prove(usize, Proof),
-    /// Close this connection: it got the head and said nothing.
+    /// Close this connection: it got the head and did not answer.
     Drop(usize),
-    /// Write the rest: the body after a proof by its head, or else the whole request. The race is over.
+    /// Write the body after a proof by the head, or else the whole request. The race is over.
     Send(usize, Rest),
-    /// Nothing until this time, or until something happens.
+    /// Do nothing until this time or the next event.
     Wait(Time),
-    /// No address is left, or no time.
+    /// No address or no time is left. The race is over.
     Lost(Lost),
 }
 
+/// What remains to be written of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rest {
+    /// The body; the head has been written.
     Body,
+    /// Head and body.
     Whole,
 }
 
-/// Why an attempt has no connection. In all cases no body was written: it is proved never to have run.
+/// Why an attempt got no connection. No body was written, so it is proved never to have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lost {
-    /// No address took a connection.
+    /// No address accepted a connection.
     NotConnected,
-    /// One or more took it, and none the head.
+    /// At least one connection got the head, and none answered it with `100 Continue`.
     NotProven,
-    /// The front's own bounds on connecting left no room.
+    /// The front's own limits allowed no dial.
     NoRoom,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum State {
-    Idle,
-    /// The budget lets it begin then.
-    Booked(Time),
+enum LaneState {
+    Untried,
+    /// The dial may start at this time.
+    Scheduled(Time),
     Dialing(Time),
     Ready,
-    /// Since when, and from when on it is late.
+    /// Start of the proof, and the time from which it is late.
     Proving(Time, Time),
     Proven(Rest),
-    Over,
+    Ended,
 }
 
 #[derive(Clone, Debug)]
 struct Lane {
-    choice: Choice,
+    candidate: Candidate,
     proof: Proof,
-    state: State,
-    reused: bool,
-    stale: u32,
-    /// From when on its dial is late.
-    late: Time,
+    state: LaneState,
+    is_reused: bool,
+    stale_count: u32,
+    /// When its dial becomes late.
+    late_at: Time,
     /// It failed or was late in this race.
-    lost: bool,
+    has_lost: bool,
 }
 
-/// What one address won against.
+/// The winner of a race and the addresses that lost against it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Beaten {
+pub struct RaceSummary {
     pub winner: Place,
-    /// All that failed or were late, those that were overtaken among them.
+    /// All addresses that failed or were late, including the overtaken ones.
     pub lost: Vec<Place>,
-    /// Dials that are out still, with their beginning, though another began later and was there first.
+    /// Late dials that are still in progress, with their start times.
     pub overtaken: Vec<(Place, Time)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum End {
+enum RaceEnd {
     Send(usize, Rest),
     Lost(Lost),
 }
 
-/// What the race asks of the pool and the budget.
-pub trait Supply<C> {
-    /// An idle connection to this address.
-    fn idle(&mut self, now: Time, place: &Place) -> Option<C>;
-    /// When a dial may begin, if by then; it is counted on from now.
-    fn dial(&mut self, now: Time, by: Time, place: &Place) -> Option<Time>;
-    /// A dial that was counted on is not made: the race is over before its time.
-    fn unused(&mut self, place: &Place);
-    /// A connection that had the head and was late is given up.
-    fn late(&mut self, now: Time, since: Time, place: &Place);
+/// What a race needs from the pool and the dial limiter.
+pub trait ConnectionSource<C> {
+    /// Takes an idle connection to this address.
+    fn take_idle(&mut self, now: Time, place: &Place) -> Option<C>;
+    /// Reserves a dial and returns when it may start; `None` if that is not possible until `by`.
+    fn reserve_dial(&mut self, now: Time, by: Time, place: &Place) -> Option<Time>;
+    /// Returns a reserved dial that is not made, because the race is over first.
+    fn cancel_dial(&mut self, place: &Place);
+    /// Reports a proof that was late and is given up; it started at `since`.
+    fn proof_late(&mut self, now: Time, since: Time, place: &Place);
 }
 
-/// One attempt's way to its one connection.
+/// The state of one connection attempt.
 #[derive(Clone, Debug)]
 pub struct Race {
     pub server: ServerId,
     lanes: Vec<Lane>,
-    /// The one connection that has the head.
-    holder: Option<usize>,
-    next: Time,
+    /// The one lane whose connection is being proven.
+    proving_lane: Option<usize>,
+    next_dial_at: Time,
     end: Time,
-    /// The head was written somewhere.
-    touched: bool,
-    crowded: bool,
-    over: Option<End>,
+    /// The head was written on some connection.
+    is_head_written: bool,
+    /// The front's limits denied a dial.
+    is_dial_denied: bool,
+    outcome: Option<RaceEnd>,
 }
 
 impl Race {
-    /// `proof` is what each address needs. It is all over by `end`: with little time the delays shrink, so that the
-    /// last address still has its share.
+    /// Starts a race that ends by `end`. `proof` gives the proof that each address needs. If time is short,
+    /// the delays shrink so that the last address still gets its share.
     pub fn new(
         server: ServerId,
         now: Time,
         end: Time,
-        order: Vec<Choice>,
-        proof: impl Fn(&Choice) -> Proof,
+        candidates: Vec<Candidate>,
+        proof: impl Fn(&Candidate) -> Proof,
     ) -> Race {
-        let lane = |choice: Choice| Lane {
-            proof: proof(&choice),
-            choice,
-            state: State::Idle,
-            reused: false,
-            stale: 0,
-            late: 0,
-            lost: false,
+        let lane = |candidate: Candidate| Lane {
+            proof: proof(&candidate),
+            candidate,
+            state: LaneState::Untried,
+            is_reused: false,
+            stale_count: 0,
+            late_at: 0,
+            has_lost: false,
         };
         Race {
             server,
-            lanes: order.into_iter().map(lane).collect(),
-            holder: None,
-            next: now,
+            lanes: candidates.into_iter().map(lane).collect(),
+            proving_lane: None,
+            next_dial_at: now,
             end,
-            touched: false,
-            crowded: false,
-            over: None,
+            is_head_written: false,
+            is_dial_denied: false,
+            outcome: None,
         }
     }
 
+    /// The address of a lane.
     pub fn place(&self, lane: usize) -> &Place {
-        &self.lanes[lane].choice.place
+        &self.lanes[lane].candidate.place
     }
 
-    /// Whether the connection was taken from the pool.
+    /// Whether the lane's connection was taken from the pool.
     pub fn reused(&self, lane: usize) -> bool {
-        self.lanes[lane].reused
+        self.lanes[lane].is_reused
     }
 
+    /// When the race ends at the latest.
     pub fn end(&self) -> Time {
         self.end
     }
 
-    fn delay(&self, now: Time, usual: f64) -> Time {
-        let learned = if usual > 0.0 { (usual * LATE) as Time } else { DELAY };
-        let left = self.lanes.iter().filter(|lane| lane.state == State::Idle).count() as Time;
+    fn dial_delay(&self, now: Time, mean: f64) -> Time {
+        let learned = if mean > 0.0 { (mean * LATE_FACTOR) as Time } else { MAX_DIAL_DELAY };
+        let left = self.lanes.iter().filter(|lane| lane.state == LaneState::Untried).count() as Time;
         let share = self.end.saturating_sub(now) / (left + 1);
-        learned.clamp(LEAST_DELAY, DELAY).min(share)
+        learned.clamp(MIN_DIAL_DELAY, MAX_DIAL_DELAY).min(share)
     }
 
-    fn find(&self, wanted: impl Fn(State) -> bool) -> Option<usize> {
-        self.lanes.iter().position(|lane| wanted(lane.state))
+    fn find_lane(&self, is_wanted: impl Fn(LaneState) -> bool) -> Option<usize> {
+        self.lanes.iter().position(|lane| is_wanted(lane.state))
     }
 
-    fn finish<C>(&mut self, end: End, supply: &mut impl Supply<C>) {
-        self.over = Some(end);
+    fn finish<C>(&mut self, end: RaceEnd, source: &mut impl ConnectionSource<C>) {
+        self.outcome = Some(end);
         for lane in &mut self.lanes {
-            if matches!(lane.state, State::Booked(_)) {
-                lane.state = State::Over;
-                supply.unused(&lane.choice.place);
+            if matches!(lane.state, LaneState::Scheduled(_)) {
+                lane.state = LaneState::Ended;
+                source.cancel_dial(&lane.candidate.place);
             }
         }
     }
 
-    fn lost(&self) -> End {
-        End::Lost(match (self.touched, self.crowded) {
+    fn lost_end(&self) -> RaceEnd {
+        RaceEnd::Lost(match (self.is_head_written, self.is_dial_denied) {
             (true, _) => Lost::NotProven,
             (false, true) => Lost::NoRoom,
             (false, false) => Lost::NotConnected,
         })
     }
 
-    /// What to do now. Call again after each step, at the time of a wait, and after each event.
-    pub fn poll<C>(&mut self, now: Time, supply: &mut impl Supply<C>) -> Step<C> {
+    /// The next step. Call it again after each step, at the end of a wait, and after each event.
+    pub fn poll<C>(&mut self, now: Time, source: &mut impl ConnectionSource<C>) -> Step<C> {
         loop {
-            match self.over {
-                Some(End::Send(lane, rest)) => return Step::Send(lane, rest),
-                Some(End::Lost(lost)) => return Step::Lost(lost),
+            match self.outcome {
+                Some(RaceEnd::Send(lane, rest)) => return Step::Send(lane, rest),
+                Some(RaceEnd::Lost(lost)) => return Step::Lost(lost),
                 None => {}
             }
-            if let Some(step) = self.step(now, supply) {
+            if let Some(step) = self.next_step(now, source) {
                 return step;
             }
         }
     }
 
-    fn step<C>(&mut self, now: Time, supply: &mut impl Supply<C>) -> Option<Step<C>> {
-        // First of all: guards against a word to go on that comes as the time fires, and a body sent after it.
+    fn next_step<C>(&mut self, now: Time, source: &mut impl ConnectionSource<C>) -> Option<Step<C>> {
+        // This check comes first, so that no body is sent if a proof succeeds just as the time runs out.
         if now >= self.end {
-            if let Some(holder) = self.holder
-                && let State::Proving(since, _) = self.lanes[holder].state
+            if let Some(proving_lane) = self.proving_lane
+                && let LaneState::Proving(since, _) = self.lanes[proving_lane].state
             {
-                supply.late(now, since, &self.lanes[holder].choice.place);
+                source.proof_late(now, since, &self.lanes[proving_lane].candidate.place);
             }
-            self.finish(self.lost(), supply);
+            self.finish(self.lost_end(), source);
             return None;
         }
-        let ready = self.find(|state| state == State::Ready);
-        if let Some(holder) = self.holder {
-            match self.lanes[holder].state {
-                State::Proven(rest) => {
-                    self.finish(End::Send(holder, rest), supply);
+        let ready = self.find_lane(|state| state == LaneState::Ready);
+        if let Some(proving_lane) = self.proving_lane {
+            match self.lanes[proving_lane].state {
+                LaneState::Proven(rest) => {
+                    self.finish(RaceEnd::Send(proving_lane, rest), source);
                     return None;
                 }
-                State::Proving(since, late) if now >= late && ready.is_some() => {
-                    (self.lanes[holder].state, self.lanes[holder].lost) = (State::Over, true);
-                    self.holder = None;
-                    supply.late(now, since, &self.lanes[holder].choice.place);
-                    return Some(Step::Drop(holder));
+                LaneState::Proving(since, late) if now >= late && ready.is_some() => {
+                    (self.lanes[proving_lane].state, self.lanes[proving_lane].has_lost) =
+                        (LaneState::Ended, true);
+                    self.proving_lane = None;
+                    source.proof_late(now, since, &self.lanes[proving_lane].candidate.place);
+                    return Some(Step::Drop(proving_lane));
                 }
                 _ => {}
             }
         }
-        if let Some(lane) = ready.filter(|_| self.holder.is_none()) {
-            let Lane { proof, choice, .. } = &self.lanes[lane];
+        if let Some(lane) = ready.filter(|_| self.proving_lane.is_none()) {
+            let Lane { proof, candidate, .. } = &self.lanes[lane];
             if *proof == Proof::None {
-                self.finish(End::Send(lane, Rest::Whole), supply);
+                self.finish(RaceEnd::Send(lane, Rest::Whole), source);
                 return None;
             }
-            let (proof, late) = (*proof, now + self.delay(now, choice.prove));
-            self.lanes[lane].state = State::Proving(now, late);
-            (self.holder, self.next) = (Some(lane), late);
-            self.touched |= proof == Proof::Continue;
+            let (proof, late) = (*proof, now + self.dial_delay(now, candidate.mean_proof));
+            self.lanes[lane].state = LaneState::Proving(now, late);
+            (self.proving_lane, self.next_dial_at) = (Some(lane), late);
+            self.is_head_written |= proof == Proof::Continue;
             return Some(Step::Prove(lane, proof));
         }
-        if let Some(lane) = self.find(|state| matches!(state, State::Booked(at) if at <= now)) {
-            self.lanes[lane].state = State::Dialing(now);
+        if let Some(lane) = self.find_lane(|state| matches!(state, LaneState::Scheduled(at) if at <= now)) {
+            self.lanes[lane].state = LaneState::Dialing(now);
             return Some(Step::Dial(lane, self.end));
         }
-        let out = self.holder.is_some()
-            || self.find(|state| matches!(state, State::Booked(_) | State::Dialing(_))).is_some();
-        // With nothing out there is nothing to wait for: that all are dead is known after the refusals, not the
-        // delays.
-        if let Some(lane) = self.find(|state| state == State::Idle).filter(|_| now >= self.next || !out) {
-            return self.begin(now, lane, supply);
+        let is_waiting = self.proving_lane.is_some()
+            || self
+                .find_lane(|state| matches!(state, LaneState::Scheduled(_) | LaneState::Dialing(_)))
+                .is_some();
+        // With no dial in progress the next one starts at once: if all addresses refuse, the race is lost
+        // without waiting for the delays.
+        if let Some(lane) = self
+            .find_lane(|state| state == LaneState::Untried)
+            .filter(|_| now >= self.next_dial_at || !is_waiting)
+        {
+            return self.start_lane(now, lane, source);
         }
-        if !out {
-            self.finish(self.lost(), supply);
+        if !is_waiting {
+            self.finish(self.lost_end(), source);
             return None;
         }
-        Some(Step::Wait(self.until(now)))
+        Some(Step::Wait(self.wait_until(now)))
     }
 
-    fn begin<C>(&mut self, now: Time, lane: usize, supply: &mut impl Supply<C>) -> Option<Step<C>> {
-        let place = self.lanes[lane].choice.place.clone();
-        if self.lanes[lane].stale < STALE_MOST
-            && let Some(conn) = supply.idle(now, &place)
+    fn start_lane<C>(
+        &mut self,
+        now: Time,
+        lane: usize,
+        source: &mut impl ConnectionSource<C>,
+    ) -> Option<Step<C>> {
+        let place = self.lanes[lane].candidate.place.clone();
+        if self.lanes[lane].stale_count < MAX_STALE_CONNECTIONS
+            && let Some(conn) = source.take_idle(now, &place)
         {
-            (self.lanes[lane].state, self.lanes[lane].reused) = (State::Ready, true);
+            (self.lanes[lane].state, self.lanes[lane].is_reused) = (LaneState::Ready, true);
             return Some(Step::Reuse(lane, conn));
         }
-        self.lanes[lane].reused = false;
-        let delay = self.delay(now, self.lanes[lane].choice.connect);
-        match supply.dial(now, self.end, &place) {
+        self.lanes[lane].is_reused = false;
+        let delay = self.dial_delay(now, self.lanes[lane].candidate.mean_connect);
+        match source.reserve_dial(now, self.end, &place) {
             None => {
-                self.lanes[lane].state = State::Over;
-                self.crowded = true;
+                self.lanes[lane].state = LaneState::Ended;
+                self.is_dial_denied = true;
                 None
             }
             Some(at) => {
-                // A dial that has to wait for the budget has its delay from then on.
-                self.next = at.max(now) + delay;
-                self.lanes[lane].late = self.next;
-                self.lanes[lane].state = State::Booked(at);
+                // If the dial has to wait for the rate limit, its delay counts from its start.
+                self.next_dial_at = at.max(now) + delay;
+                self.lanes[lane].late_at = self.next_dial_at;
+                self.lanes[lane].state = LaneState::Scheduled(at);
                 None
             }
         }
     }
 
-    fn until(&self, now: Time) -> Time {
+    fn wait_until(&self, now: Time) -> Time {
         let mut until = self.end;
-        let (mut idle, mut ready, mut late) = (false, false, None);
+        let (mut has_untried, mut ready, mut late) = (false, false, None);
         for lane in &self.lanes {
             match lane.state {
-                State::Idle => idle = true,
-                State::Ready => ready = true,
-                State::Booked(at) => until = until.min(at),
-                State::Proving(_, at) => late = Some(at),
+                LaneState::Untried => has_untried = true,
+                LaneState::Ready => ready = true,
+                LaneState::Scheduled(at) => until = until.min(at),
+                LaneState::Proving(_, at) => late = Some(at),
                 _ => {}
             }
         }
-        if idle {
-            until = until.min(self.next);
+        if has_untried {
+            until = until.min(self.next_dial_at);
         }
         if let Some(late) = late.filter(|_| ready) {
             until = until.min(late);
@@ -325,117 +345,119 @@
         until.max(now + 1)
     }
 
-    // ---- What is seen ----
+    // ---- Events ----
 
-    /// When the dial of this lane began, while it is out.
+    /// When the dial of this lane started, while it is in progress.
     pub fn dialing_since(&self, lane: usize) -> Option<Time> {
         match self.lanes[lane].state {
-            State::Dialing(since) => Some(since),
+            LaneState::Dialing(since) => Some(since),
             _ => None,
         }
     }
 
-    /// When the proof of this lane began, while it is out.
+    /// When the proof of this lane started, while it is in progress.
     pub fn proving_since(&self, lane: usize) -> Option<Time> {
         match self.lanes[lane].state {
-            State::Proving(since, _) => Some(since),
+            LaneState::Proving(since, _) => Some(since),
             _ => None,
         }
     }
 
-    /// A connect has ended well. `false`: nobody waits for it any more.
+    /// A dial succeeded. Returns `false` if the race no longer waits for it.
     pub fn connected(&mut self, lane: usize) -> bool {
-        let wanted = self.over.is_none() && self.dialing_since(lane).is_some();
-        if wanted {
-            self.lanes[lane].state = State::Ready;
+        let is_wanted = self.outcome.is_none() && self.dialing_since(lane).is_some();
+        if is_wanted {
+            self.lanes[lane].state = LaneState::Ready;
         }
-        wanted
+        is_wanted
     }
 
-    /// A connect has failed, or a connection was closed or answered with nonsense while it was proven. `true` when
-    /// that speaks against the address: a pooled connection that was closed meanwhile does not.
+    /// A dial failed, or a connection was closed or got a malformed answer during its proof. Returns `true`
+    /// if that counts against the address; a pooled connection that the peer had closed does not.
     pub fn failed(&mut self, lane: usize) -> bool {
-        if self.over.is_some() {
+        if self.outcome.is_some() {
             return false;
         }
         match self.lanes[lane].state {
-            State::Dialing(_) => {
-                (self.lanes[lane].state, self.lanes[lane].lost) = (State::Over, true);
+            LaneState::Dialing(_) => {
+                (self.lanes[lane].state, self.lanes[lane].has_lost) = (LaneState::Ended, true);
                 true
             }
-            State::Proving(..) => {
-                self.holder = None;
-                if self.lanes[lane].reused {
-                    self.again(lane);
+            LaneState::Proving(..) => {
+                self.proving_lane = None;
+                if self.lanes[lane].is_reused {
+                    self.retry_lane(lane);
                     return false;
                 }
-                (self.lanes[lane].state, self.lanes[lane].lost) = (State::Over, true);
+                (self.lanes[lane].state, self.lanes[lane].has_lost) = (LaneState::Ended, true);
                 true
             }
             _ => false,
         }
     }
 
-    /// An idle connection turned out closed before anything was written on it.
+    /// An idle connection turned out to be closed before anything was written on it.
     pub fn stale(&mut self, lane: usize) {
-        if self.over.is_none() && self.lanes[lane].state == State::Ready {
-            self.again(lane);
+        if self.outcome.is_none() && self.lanes[lane].state == LaneState::Ready {
+            self.retry_lane(lane);
         }
     }
 
-    fn again(&mut self, lane: usize) {
-        self.lanes[lane].state = State::Idle;
-        self.lanes[lane].stale += 1;
+    fn retry_lane(&mut self, lane: usize) {
+        self.lanes[lane].state = LaneState::Untried;
+        self.lanes[lane].stale_count += 1;
     }
 
-    /// The word to go on, or the answer to the health request, has come. `false`: too late, it is given up.
+    /// `100 Continue`, or the answer to the health request, arrived. Returns `false` if the proof was already
+    /// given up.
     pub fn proven(&mut self, lane: usize) -> bool {
-        let wanted = self.over.is_none() && self.proving_since(lane).is_some();
-        if wanted {
+        let is_wanted = self.outcome.is_none() && self.proving_since(lane).is_some();
+        if is_wanted {
             let rest = if self.lanes[lane].proof == Proof::Continue { Rest::Body } else { Rest::Whole };
-            self.lanes[lane].state = State::Proven(rest);
+            self.lanes[lane].state = LaneState::Proven(rest);
         }
-        wanted
+        is_wanted
     }
 
-    /// The peer does not take a head that waits for a word (417, RFC 9110, 15.5.18), and has not taken the request.
-    /// It goes whole on the same connection if that stays open, or else on a new one after a health request.
+    /// The peer rejected the expectation (417, RFC 9110, 15.5.18) and has not accepted the request. The
+    /// request is sent whole on the same connection if that stays open, or else on a new one after a health
+    /// request.
     pub fn without_continue(&mut self, lane: usize, open: bool) {
-        if self.over.is_some() || self.proving_since(lane).is_none() {
+        if self.outcome.is_some() || self.proving_since(lane).is_none() {
             return;
         }
         if open {
-            self.lanes[lane].state = State::Proven(Rest::Whole);
+            self.lanes[lane].state = LaneState::Proven(Rest::Whole);
         } else {
-            self.holder = None;
-            (self.lanes[lane].state, self.lanes[lane].proof) = (State::Idle, Proof::Health);
+            self.proving_lane = None;
+            (self.lanes[lane].state, self.lanes[lane].proof) = (LaneState::Untried, Proof::Health);
         }
     }
 
-    /// Addresses that failed or were late, with what beat them: none where nothing did.
-    pub fn beaten(&self, now: Time) -> Option<Beaten> {
-        let Some(End::Send(winner, _)) = self.over else { return None };
-        let lost = self.lanes.iter().filter(|lane| lane.lost).map(|lane| lane.choice.place.clone());
-        // Overtaken: another began later and was there first.
+    /// The winner and the addresses that failed or were late; `None` unless the race ended in a send.
+    pub fn summary(&self, now: Time) -> Option<RaceSummary> {
+        let Some(RaceEnd::Send(winner, _)) = self.outcome else { return None };
+        let lost = self.lanes.iter().filter(|lane| lane.has_lost).map(|lane| lane.candidate.place.clone());
+        // Overtaken: the dial is late, and another one won.
         let overtaken = self.lanes.iter().enumerate().filter_map(|(index, lane)| match lane.state {
-            State::Dialing(since) if index != winner && now >= lane.late => {
-                Some((lane.choice.place.clone(), since))
+            LaneState::Dialing(since) if index != winner && now >= lane.late_at => {
+                Some((lane.candidate.place.clone(), since))
             }
             _ => None,
         });
         let overtaken: Vec<(Place, Time)> = overtaken.collect();
         let lost = lost.chain(overtaken.iter().map(|(place, _)| place.clone())).collect();
-        Some(Beaten { winner: self.place(winner).clone(), lost, overtaken })
+        Some(RaceSummary { winner: self.place(winner).clone(), lost, overtaken })
     }
 
-    /// Connections that were made and not used: nothing was written on them.
+    /// Lanes with a connection on which nothing was written.
     pub fn unused(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.lanes.len()).filter(|lane| self.lanes[*lane].state == State::Ready)
+        (0..self.lanes.len()).filter(|lane| self.lanes[*lane].state == LaneState::Ready)
     }
 
-    /// Whether the head is with this lane now.
-    pub fn holds(&self, lane: usize) -> bool {
-        self.holder == Some(lane)
+    /// Whether this lane is the one being proven.
+    pub fn is_being_proven(&self, lane: usize) -> bool {
+        self.proving_lane == Some(lane)
     }
 }
 
--- a/crates/core/src/addresses/race_tests.rs
+++ b/crates/core/src/addresses/race_tests.rs
@@ -2,32 +2,32 @@
 
 const MS: Time = 1_000;
 
-/// A supply with idle connections by address, and a budget that may be shut.
+/// A connection source with scripted idle connections and a dial limit that may be exhausted.
 #[derive(Default)]
-struct Plain {
+struct ScriptedSource {
     idle: Vec<Place>,
-    shut: bool,
+    is_exhausted: bool,
     wait: Time,
     late: Vec<Place>,
-    unused: Vec<Place>,
+    cancelled: Vec<Place>,
 }
 
-impl Supply<()> for Plain {
-    fn idle(&mut self, _: Time, place: &Place) -> Option<()> {
+impl ConnectionSource<()> for ScriptedSource {
+    fn take_idle(&mut self, _: Time, place: &Place) -> Option<()> {
         let at = self.idle.iter().position(|idle| idle == place)?;
         self.idle.remove(at);
         Some(())
     }
 
-    fn dial(&mut self, now: Time, by: Time, _: &Place) -> Option<Time> {
-        Some(now + self.wait).filter(|at| !self.shut && *at <= by)
+    fn reserve_dial(&mut self, now: Time, by: Time, _: &Place) -> Option<Time> {
+        Some(now + self.wait).filter(|at| !self.is_exhausted && *at <= by)
     }
 
-    fn unused(&mut self, place: &Place) {
-        self.unused.push(place.clone());
+    fn cancel_dial(&mut self, place: &Place) {
+        self.cancelled.push(place.clone());
     }
 
-    fn late(&mut self, _: Time, _: Time, place: &Place) {
+    fn proof_late(&mut self, _: Time, _: Time, place: &Place) {
         self.late.push(place.clone());
     }
 }
@@ -36,173 +36,182 @@
     ["unix:/run/x", "[::1]:80", "127.0.0.1:80"][n].parse().unwrap()
 }
 
-fn race(lanes: usize, usual: f64, proof: Proof, time: Time) -> Race {
-    let choice =
-        |n| Choice { place: place(n), connect: usual, prove: usual, proven: false, no_continue: false };
-    Race::new(ServerId("s".into()), 0, time, (0..lanes).map(choice).collect(), |_| proof)
+fn race(lanes: usize, mean: f64, proof: Proof, time: Time) -> Race {
+    let candidate = |n| Candidate {
+        place: place(n),
+        mean_connect: mean,
+        mean_proof: mean,
+        is_proven: false,
+        rejects_continue: false,
+    };
+    Race::new(ServerId("s".into()), 0, time, (0..lanes).map(candidate).collect(), |_| proof)
 }
 
 const TIME: Time = 2_000 * MS;
 
 #[test]
-fn the_next_address_is_dialled_after_the_delay_or_at_once_after_a_refusal() {
-    let (mut race, mut supply) = (race(3, 0.0, Proof::None, TIME), Plain::default());
-    assert_eq!(race.poll(0, &mut supply), Step::Dial(0, TIME));
-    assert_eq!(race.poll(0, &mut supply), Step::Wait(250 * MS));
+fn the_next_address_is_dialed_after_the_delay_or_at_once_after_a_refusal() {
+    let (mut race, mut source) = (race(3, 0.0, Proof::None, TIME), ScriptedSource::default());
+    assert_eq!(race.poll(0, &mut source), Step::Dial(0, TIME));
+    assert_eq!(race.poll(0, &mut source), Step::Wait(250 * MS));
     assert!(race.failed(0));
-    assert_eq!(race.poll(3 * MS, &mut supply), Step::Dial(1, TIME));
-    assert_eq!(race.poll(253 * MS, &mut supply), Step::Dial(2, TIME));
+    assert_eq!(race.poll(3 * MS, &mut source), Step::Dial(1, TIME));
+    assert_eq!(race.poll(253 * MS, &mut source), Step::Dial(2, TIME));
     assert!(race.connected(2));
-    assert_eq!(race.poll(260 * MS, &mut supply), Step::Send(2, Rest::Whole));
-    assert!(!race.connected(1), "one winner");
-    let beaten = race.beaten(260 * MS).unwrap();
+    assert_eq!(race.poll(260 * MS, &mut source), Step::Send(2, Rest::Whole));
+    assert!(!race.connected(1), "there is one winner");
+    let summary = race.summary(260 * MS).unwrap();
     assert_eq!(
-        (beaten.winner, beaten.lost),
+        (summary.winner, summary.lost),
         (place(2), vec![place(0), place(1)]),
-        "one refused, one overtaken"
+        "one was refused, one overtaken"
     );
-    assert_eq!(beaten.overtaken, [(place(1), 3 * MS)]);
-    assert_eq!(race.beaten(200 * MS).unwrap().overtaken, [], "before its delay it is not late");
+    assert_eq!(summary.overtaken, [(place(1), 3 * MS)]);
+    assert_eq!(race.summary(200 * MS).unwrap().overtaken, [], "it is not late before its delay has passed");
 }
 
 #[test]
-fn learned_times_shorten_the_delay_and_little_time_shrinks_it() {
-    let mut supply = Plain::default();
+fn mean_times_and_a_short_time_limit_shorten_the_delay() {
+    let mut source = ScriptedSource::default();
     let mut quick = race(2, 5.0 * MS as f64, Proof::None, TIME);
-    quick.poll(0, &mut supply);
-    assert_eq!(quick.poll(0, &mut supply), Step::Wait(LEAST_DELAY));
+    quick.poll(0, &mut source);
+    assert_eq!(quick.poll(0, &mut source), Step::Wait(MIN_DIAL_DELAY));
     let mut short = race(3, 0.0, Proof::None, 90 * MS);
-    short.poll(0, &mut supply);
-    assert_eq!(short.poll(0, &mut supply), Step::Wait(22_500), "the last one still has its share");
+    short.poll(0, &mut source);
+    assert_eq!(short.poll(0, &mut source), Step::Wait(22_500), "the last address still gets its share");
 }
 
 #[test]
-fn all_dead_is_known_at_once() {
-    let mut supply = Plain::default();
+fn the_race_is_lost_at_once_when_all_addresses_refuse() {
+    let mut source = ScriptedSource::default();
     let mut dead = race(3, 0.0, Proof::Continue, TIME);
     for n in 0..3 {
-        assert_eq!(dead.poll(n as Time, &mut supply), Step::Dial(n, TIME));
+        assert_eq!(dead.poll(n as Time, &mut source), Step::Dial(n, TIME));
         assert!(dead.failed(n));
     }
-    assert_eq!(dead.poll(3, &mut supply), Step::Lost(Lost::NotConnected));
-    assert_eq!(race(0, 0.0, Proof::None, TIME).poll(0, &mut supply), Step::Lost(Lost::NotConnected));
+    assert_eq!(dead.poll(3, &mut source), Step::Lost(Lost::NotConnected));
+    assert_eq!(race(0, 0.0, Proof::None, TIME).poll(0, &mut source), Step::Lost(Lost::NotConnected));
 }
 
-/// IPv6 accepts and then stalls: the other is dialled while its word is waited for, and gets the head only after
-/// the first was closed.
+/// IPv6 accepts and then stalls: the other address is dialed during the proof, and gets the head only after
+/// the first connection was closed.
 #[test]
-fn a_connection_that_stalls_after_accept_is_given_up_for_one_that_is_there() {
-    let mut supply = Plain::default();
+fn a_connection_that_stalls_after_accept_is_replaced_by_a_ready_one() {
+    let mut source = ScriptedSource::default();
     let mut race = race(2, 0.0, Proof::Continue, TIME);
-    race.poll(0, &mut supply);
+    race.poll(0, &mut source);
     race.connected(0);
-    assert_eq!(race.poll(MS, &mut supply), Step::Prove(0, Proof::Continue));
-    assert_eq!(race.poll(MS, &mut supply), Step::Wait(251 * MS));
-    assert_eq!(race.poll(251 * MS, &mut supply), Step::Dial(1, TIME));
-    assert!(matches!(race.poll(251 * MS, &mut supply), Step::Wait(TIME)));
+    assert_eq!(race.poll(MS, &mut source), Step::Prove(0, Proof::Continue));
+    assert_eq!(race.poll(MS, &mut source), Step::Wait(251 * MS));
+    assert_eq!(race.poll(251 * MS, &mut source), Step::Dial(1, TIME));
+    assert!(matches!(race.poll(251 * MS, &mut source), Step::Wait(TIME)));
     race.connected(1);
-    assert_eq!(race.poll(252 * MS, &mut supply), Step::Drop(0));
-    assert!(!race.proven(0), "its word comes too late");
-    assert_eq!(race.poll(252 * MS, &mut supply), Step::Prove(1, Proof::Continue));
+    assert_eq!(race.poll(252 * MS, &mut source), Step::Drop(0));
+    assert!(!race.proven(0), "its proof comes too late");
+    assert_eq!(race.poll(252 * MS, &mut source), Step::Prove(1, Proof::Continue));
     assert!(race.proven(1));
-    assert_eq!(race.poll(253 * MS, &mut supply), Step::Send(1, Rest::Body));
-    assert_eq!(supply.late, [place(0)]);
-    assert_eq!(race.beaten(253 * MS).unwrap().lost, [place(0)]);
+    assert_eq!(race.poll(253 * MS, &mut source), Step::Send(1, Rest::Body));
+    assert_eq!(source.late, [place(0)]);
+    assert_eq!(race.summary(253 * MS).unwrap().lost, [place(0)]);
 }
 
 #[test]
-fn a_late_word_is_still_good_where_nothing_else_is_there() {
-    let mut supply = Plain::default();
+fn a_late_proof_counts_if_no_other_connection_is_ready() {
+    let mut source = ScriptedSource::default();
     let mut race = race(2, 0.0, Proof::Continue, TIME);
-    race.poll(0, &mut supply);
+    race.poll(0, &mut source);
     race.connected(0);
-    race.poll(MS, &mut supply);
-    assert_eq!(race.poll(300 * MS, &mut supply), Step::Dial(1, TIME));
+    race.poll(MS, &mut source);
+    assert_eq!(race.poll(300 * MS, &mut source), Step::Dial(1, TIME));
     race.failed(1);
-    assert_eq!(race.poll(301 * MS, &mut supply), Step::Wait(TIME));
+    assert_eq!(race.poll(301 * MS, &mut source), Step::Wait(TIME));
     race.proven(0);
-    assert_eq!(race.poll(1_000 * MS, &mut supply), Step::Send(0, Rest::Body));
+    assert_eq!(race.poll(1_000 * MS, &mut source), Step::Send(0, Rest::Body));
 }
 
-/// The word comes as the time fires: whichever is seen first, no body goes after the end.
+/// A proof that succeeds as the time runs out: in either order, no body is sent at or after the end.
 #[test]
 fn nothing_is_sent_at_or_after_the_end() {
     for proven_first in [true, false] {
-        let mut supply = Plain::default();
+        let mut source = ScriptedSource::default();
         let mut race = race(1, 0.0, Proof::Continue, TIME);
-        race.poll(0, &mut supply);
+        race.poll(0, &mut source);
         race.connected(0);
-        race.poll(MS, &mut supply);
+        race.poll(MS, &mut source);
         if proven_first {
             assert!(race.proven(0));
-            assert_eq!(race.poll(TIME, &mut supply), Step::Lost(Lost::NotProven));
+            assert_eq!(race.poll(TIME, &mut source), Step::Lost(Lost::NotProven));
         } else {
-            assert_eq!(race.poll(TIME, &mut supply), Step::Lost(Lost::NotProven));
+            assert_eq!(race.poll(TIME, &mut source), Step::Lost(Lost::NotProven));
             assert!(!race.proven(0));
-            assert_eq!(race.poll(TIME, &mut supply), Step::Lost(Lost::NotProven));
-            assert_eq!(supply.late, [place(0)]);
+            assert_eq!(race.poll(TIME, &mut source), Step::Lost(Lost::NotProven));
+            assert_eq!(source.late, [place(0)]);
         }
     }
 }
 
 #[test]
-fn a_pooled_connection_that_was_closed_is_replaced_and_blames_nobody() {
-    let mut supply = Plain { idle: vec![place(0); 4], ..Plain::default() };
+fn a_closed_pooled_connection_is_replaced_and_does_not_count_as_a_failure() {
+    let mut source = ScriptedSource { idle: vec![place(0); 4], ..ScriptedSource::default() };
     let mut race = race(2, 0.0, Proof::Continue, TIME);
-    // Found closed before anything was written, then closed on the head: the body has gone to neither.
-    assert_eq!(race.poll(0, &mut supply), Step::Reuse(0, ()));
+    // One was closed before anything was written, the other closes on the head: no body was sent on either.
+    assert_eq!(race.poll(0, &mut source), Step::Reuse(0, ()));
     race.stale(0);
-    assert_eq!(race.poll(0, &mut supply), Step::Reuse(0, ()));
-    assert_eq!(race.poll(0, &mut supply), Step::Prove(0, Proof::Continue));
-    assert!(!race.failed(0), "says nothing of the address");
-    assert_eq!(race.poll(0, &mut supply), Step::Dial(0, TIME), "enough of pooled ones");
+    assert_eq!(race.poll(0, &mut source), Step::Reuse(0, ()));
+    assert_eq!(race.poll(0, &mut source), Step::Prove(0, Proof::Continue));
+    assert!(!race.failed(0), "it does not count against the address");
+    assert_eq!(
+        race.poll(0, &mut source),
+        Step::Dial(0, TIME),
+        "after two stale connections it dials a new one"
+    );
     assert!(!race.reused(0));
     race.connected(0);
-    race.poll(MS, &mut supply);
-    assert!(race.failed(0), "a new one that is closed does");
-    assert_eq!(race.poll(MS, &mut supply), Step::Dial(1, TIME));
+    race.poll(MS, &mut source);
+    assert!(race.failed(0), "closing a new connection counts against the address");
+    assert_eq!(race.poll(MS, &mut source), Step::Dial(1, TIME));
 }
 
 #[test]
-fn a_peer_that_does_not_know_the_expectation_gets_the_request_whole() {
-    let mut supply = Plain::default();
+fn a_peer_that_rejects_the_expectation_gets_the_whole_request() {
+    let mut source = ScriptedSource::default();
     let mut race = race(1, 0.0, Proof::Continue, TIME);
-    race.poll(0, &mut supply);
+    race.poll(0, &mut source);
     race.connected(0);
-    race.poll(MS, &mut supply);
+    race.poll(MS, &mut source);
     let mut closed = race.clone();
     race.without_continue(0, true);
-    assert_eq!(race.poll(2 * MS, &mut supply), Step::Send(0, Rest::Whole));
+    assert_eq!(race.poll(2 * MS, &mut source), Step::Send(0, Rest::Whole));
     closed.without_continue(0, false);
-    assert_eq!(closed.poll(2 * MS, &mut supply), Step::Dial(0, TIME));
+    assert_eq!(closed.poll(2 * MS, &mut source), Step::Dial(0, TIME));
     closed.connected(0);
-    assert_eq!(closed.poll(3 * MS, &mut supply), Step::Prove(0, Proof::Health));
+    assert_eq!(closed.poll(3 * MS, &mut source), Step::Prove(0, Proof::Health));
 }
 
 #[test]
-fn a_health_request_proves_and_writes_nothing_of_the_order() {
-    let mut supply = Plain::default();
+fn a_health_request_proves_without_writing_any_of_the_request() {
+    let mut source = ScriptedSource::default();
     let mut race = race(1, 0.0, Proof::Health, TIME);
-    race.poll(0, &mut supply);
+    race.poll(0, &mut source);
     race.connected(0);
-    assert_eq!(race.poll(MS, &mut supply), Step::Prove(0, Proof::Health));
+    assert_eq!(race.poll(MS, &mut source), Step::Prove(0, Proof::Health));
     let mut silent = race.clone();
-    assert_eq!(silent.poll(TIME, &mut supply), Step::Lost(Lost::NotConnected));
+    assert_eq!(silent.poll(TIME, &mut source), Step::Lost(Lost::NotConnected));
     race.proven(0);
-    assert_eq!(race.poll(2 * MS, &mut supply), Step::Send(0, Rest::Whole));
+    assert_eq!(race.poll(2 * MS, &mut source), Step::Send(0, Rest::Whole));
 }
 
 #[test]
-fn a_dial_waits_for_the_budget_and_gives_it_back_when_the_race_is_over_before() {
-    let mut supply = Plain { wait: 40 * MS, ..Plain::default() };
+fn a_dial_waits_for_the_rate_limit_and_is_cancelled_if_the_race_ends_first() {
+    let mut source = ScriptedSource { wait: 40 * MS, ..ScriptedSource::default() };
     let mut race = race(2, 0.0, Proof::None, TIME);
-    assert_eq!(race.poll(0, &mut supply), Step::Wait(40 * MS));
-    assert_eq!(race.poll(40 * MS, &mut supply), Step::Dial(0, TIME));
-    assert!(matches!(race.poll(300 * MS, &mut supply), Step::Wait(at) if at == 340 * MS));
+    assert_eq!(race.poll(0, &mut source), Step::Wait(40 * MS));
+    assert_eq!(race.poll(40 * MS, &mut source), Step::Dial(0, TIME));
+    assert!(matches!(race.poll(300 * MS, &mut source), Step::Wait(at) if at == 340 * MS));
     race.connected(0);
-    assert_eq!(race.poll(301 * MS, &mut supply), Step::Send(0, Rest::Whole));
-    assert_eq!(supply.unused, [place(1)]);
-    let mut shut = Plain { shut: true, ..Plain::default() };
-    let mut crowded = self::race(2, 0.0, Proof::None, TIME);
-    assert_eq!(crowded.poll(0, &mut shut), Step::Lost(Lost::NoRoom));
+    assert_eq!(race.poll(301 * MS, &mut source), Step::Send(0, Rest::Whole));
+    assert_eq!(source.cancelled, [place(1)]);
+    let mut exhausted = ScriptedSource { is_exhausted: true, ..ScriptedSource::default() };
+    let mut denied = self::race(2, 0.0, Proof::None, TIME);
+    assert_eq!(denied.poll(0, &mut exhausted), Step::Lost(Lost::NoRoom));
 }
--- a/crates/core/src/addresses/tests.rs
+++ b/crates/core/src/addresses/tests.rs
@@ -21,7 +21,7 @@
     Ask { once, proof: Proof::Continue, connect: 250 * MS, time: 10 * S }
 }
 
-/// Goes from one step to the next with everything working.
+/// Carries out all steps of a race, with every dial and proof successful.
 fn connect(addresses: &mut Addresses<u32>, race: &mut Race, now: Time) -> Step<(u32, Life)> {
     loop {
         match addresses.poll(now, race) {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_must_not_run_twice_is_always_proven_and_the_rest_where_nothing_vouches() {
+fn unrepeatable_requests_are_always_proven_others_only_without_a_recent_proof() {
     let mut addresses = addresses();
     let proofs = |addresses: &mut Addresses<u32>, once| {
         let before = addresses.counts().proofs;
@@ -47,17 +47,17 @@
         addresses.free(S, &places()[0], 7, Life::new(S));
         addresses.counts().proofs - before
     };
-    assert_eq!(proofs(&mut addresses, false), 1, "nothing known yet");
-    assert_eq!(proofs(&mut addresses, false), 0, "proven just now");
+    assert_eq!(proofs(&mut addresses, false), 1, "nothing is known yet");
+    assert_eq!(proofs(&mut addresses, false), 0, "it was proven just now");
     assert_eq!(proofs(&mut addresses, true), 1);
-    // A server with one address has nowhere else to go with a request that may be repeated.
+    // A server with one address leaves no alternative, so a request that may be repeated needs no proof.
     addresses.list(S, [(server("s"), places()[..1].to_vec(), false)]);
     let mut race = addresses.begin(60 * S, &server("s"), ask(false));
     assert!(matches!(connect(&mut addresses, &mut race, 60 * S), Step::Send(0, Rest::Whole)));
 }
 
 #[test]
-fn an_address_that_refuses_the_expectation_is_proven_by_a_health_request_from_then_on() {
+fn an_address_that_rejects_the_expectation_is_proven_by_a_health_request_from_then_on() {
     let mut addresses = addresses();
     let mut race = addresses.begin(S, &server("s"), ask(true));
     assert!(matches!(addresses.poll(S, &mut race), Step::Dial(0, _)));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn idle_connections_make_room_and_too_many_in_use_are_told() {
+fn idle_connections_make_room_and_attempts_beyond_the_limit_are_denied() {
     let mut addresses = addresses();
     let begin = |addresses: &mut Addresses<u32>, now| {
         let mut race = addresses.begin(now, &server("s"), ask(false));
@@ -86,25 +86,25 @@
     assert_eq!(addresses.closing(), [9]);
     addresses.closed(&places()[1]);
     addresses.closed(&places()[0]);
-    assert_eq!(addresses.counts().no_room, 2, "both addresses of the one that found none");
+    assert_eq!(addresses.counts().no_room, 2, "one for each address of the attempt that was denied");
 }
 
 #[test]
-fn the_connections_of_a_server_that_left_are_closed_after_the_grace() {
+fn connections_of_a_leaving_server_are_closed_after_the_grace_period() {
     let mut addresses = addresses();
     addresses.free(S, &places()[0], 1, Life::new(S));
     addresses.list(2 * S, [(server("s"), places(), true)]);
     addresses.tend(3 * S, 250 * MS);
-    assert!(addresses.closing().is_empty(), "the grace");
+    assert!(addresses.closing().is_empty(), "the grace period is not over");
     addresses.tend(4 * S, 250 * MS);
     assert_eq!(addresses.closing(), [1]);
-    // One that comes free later is not kept.
+    // A connection that is returned later is not kept.
     addresses.free(5 * S, &places()[0], 2, Life::new(S));
     assert_eq!(addresses.closing(), [2]);
 }
 
 #[test]
-fn a_dead_network_is_told_once_and_its_return_too() {
+fn a_family_that_goes_down_or_comes_back_is_reported_once() {
     let mut addresses = Addresses::<u32>::new(Bounds::default(), 0.0);
     let place = |family: &str, n: usize| format!("{family}:{}", 80 + n).parse::<Place>().unwrap();
     let pair = |n| vec![place("[::1]", n), place("127.0.0.1", n)];
@@ -118,7 +118,7 @@
     }
     assert_eq!(addresses.tend(S, 250 * MS).families, [(Family::V6, true)]);
     assert_eq!(addresses.tend(S, 250 * MS).families, []);
-    // The others go by IPv4 at once.
+    // The other servers are dialed by IPv4 at once.
     let mut race = addresses.begin(S, &server("s4"), ask(false));
     assert!(matches!(addresses.poll(S, &mut race), Step::Dial(0, _)));
     assert_eq!(race.place(0).family(), Family::V4);
@@ -128,24 +128,31 @@
     assert_eq!(addresses.tend(3 * S, 250 * MS).families, [(Family::V6, false)]);
 }
 
-/// A path that dies under requests: what may be repeated is given up once another address is known to work; what
-/// must not run twice waits on.
+/// A path fails under requests: a request that may be repeated is given up once another address is known to
+/// work; a request that must not run twice keeps waiting.
 #[test]
-fn requests_on_a_dead_path_are_given_up_where_another_works() {
+fn requests_on_a_failed_path_are_given_up_when_another_address_works() {
     let mut addresses = addresses();
-    let (dead, good) = (places()[0].clone(), places()[1].clone());
-    let safe = addresses.sent(S, &server("s"), &dead, true);
-    let once = addresses.sent(S, &server("s"), &dead, false);
+    let (failed_place, working_place) = (places()[0].clone(), places()[1].clone());
+    let safe = addresses.sent(S, &server("s"), &failed_place, true);
+    let once = addresses.sent(S, &server("s"), &failed_place, false);
     assert_eq!(addresses.tend(S + 100 * MS, 250 * MS), Tended::default());
-    // Two long waits make it doubtful; nothing is known of the other yet.
+    // Two late waits make the address doubtful; nothing is known of the other one yet.
     let tended = addresses.tend(S + 250 * MS, 250 * MS);
-    assert_eq!((tended.trials.len(), tended.give_up.len()), (1, 0), "whether the other works is asked");
-    assert_eq!((&tended.trials[0].place, tended.trials[0].time), (&good, 100 * MS));
+    assert_eq!(
+        (tended.trials.len(), tended.give_up.len()),
+        (1, 0),
+        "a trial finds out whether the other address works"
+    );
+    assert_eq!((&tended.trials[0].place, tended.trials[0].time), (&working_place, 100 * MS));
     let next = addresses.begin(S + 250 * MS, &server("s"), ask(false));
-    assert_eq!(*next.place(0), good, "the next request goes there");
+    assert_eq!(*next.place(0), working_place, "the next request uses the other address");
     let trials = addresses.tend(S + 255 * MS, 250 * MS).trials;
-    assert!(trials.iter().all(|trial| trial.place != dead), "it is doubtful, and waits its pause");
-    let other = addresses.sent(S + 250 * MS, &server("s"), &good, true);
+    assert!(
+        trials.iter().all(|trial| trial.place != failed_place),
+        "it is doubtful, and its pause is not over"
+    );
+    let other = addresses.sent(S + 250 * MS, &server("s"), &working_place, true);
     addresses.answered(S + 260 * MS, other);
     assert_eq!(addresses.tend(S + 300 * MS, 250 * MS).give_up, [safe]);
     addresses.silent(S + 300 * MS, safe, false);
@@ -154,21 +161,22 @@
     assert_eq!((addresses.counts().late, addresses.counts().given_up), (2, 1));
 }
 
-/// One long wait asks for a trial, and its failure says more than a second long wait.
+/// A single late wait starts a trial; its failure marks the address without waiting for a second late
+/// request.
 #[test]
-fn a_long_wait_asks_for_a_trial() {
+fn one_late_wait_starts_trials() {
     let mut addresses = addresses();
-    let dead = places()[0].clone();
-    let safe = addresses.sent(S, &server("s"), &dead, true);
+    let failed_place = places()[0].clone();
+    let safe = addresses.sent(S, &server("s"), &failed_place, true);
     let tended = addresses.tend(S + 200 * MS, 250 * MS);
-    assert_eq!(tended.trials.len(), 2, "of it, and of the other");
+    assert_eq!(tended.trials.len(), 2, "one for each address");
     for trial in &tended.trials {
-        let good = trial.place != dead;
-        addresses.tried(S + if good { 201 } else { 300 } * MS, trial, S + 200 * MS, good);
+        let working_place = trial.place != failed_place;
+        addresses.tried(S + if working_place { 201 } else { 300 } * MS, trial, S + 200 * MS, working_place);
         addresses.closed(&trial.place);
     }
     assert_eq!(addresses.tend(S + 500 * MS, 250 * MS).give_up, [safe]);
-    // An engine that is only busy is tried and left alone.
+    // An engine that is merely busy passes its trial, and its requests keep waiting.
     let busy = addresses.sent(2 * S, &server("s"), &places()[1], true);
     let tended = addresses.tend(2 * S + 900 * MS, 250 * MS);
     let trial = tended.trials.iter().find(|trial| trial.place == places()[1]).unwrap();
@@ -177,9 +185,10 @@
     addresses.answered(3 * S, busy);
 }
 
-/// What took one server's socket may have taken them all: the next attempt, at another server, is proven.
+/// A fault on one server's connection may affect its whole family: the next attempt, at another server, is
+/// proven.
 #[test]
-fn a_connection_closed_under_a_request_asks_for_proofs_by_its_family() {
+fn a_connection_lost_under_a_request_invalidates_the_proofs_of_its_family() {
     let mut addresses = addresses();
     let other: Vec<Place> = ["[::1]:81", "127.0.0.1:81"].iter().map(|text| text.parse().unwrap()).collect();
     addresses.list(0, [(server("s"), places(), false), (server("t"), other.clone(), false)]);
--- a/crates/core/src/addresses/waits.rs
+++ b/crates/core/src/addresses/waits.rs
@@ -1,90 +1,102 @@
-//! Requests that wait for the first byte of their answer, and what a long wait says of their address.
+//! Requests that wait for the first byte of their answer.
 //!
-//! A path may die under a request: its connection stands, and nothing comes. Waiting for the attempt's whole time
-//! would spend what the client still waits. So a wait that is long for its address counts as a silence and asks for
-//! a trial; when the address turns out bad while another one of the server answers, requests that may be repeated
-//! are given up and go there. What must not run twice waits on: its answer may still come.
+//! A path may fail under a request: the connection stays open, but nothing arrives. Waiting for the attempt's
+//! time limit would use up the time that the client is still willing to wait. Therefore a wait that is long
+//! for its server counts against its address and asks for a trial. If the address turns out to be failing
+//! while another one of the server answers, requests that may be repeated are given up and sent there. A
+//! request that must not run twice is never given up here: its answer may still arrive.
 
 use std::collections::BTreeMap;
 
 use elderstage::{ServerId, Time};
 use elderstage_protocol::place::Place;
 
-/// A wait is long after so many times the usual one.
-const LATE: f64 = 4.0;
-/// And not before this time: a trial of each address that is merely busy would be a burden of its own.
-const LEAST: Time = 200_000;
+/// A wait is late after this multiple of the server's mean wait.
+const LATE_FACTOR: f64 = 4.0;
+/// A wait is not late before this time, in microseconds: trials of addresses that are merely busy would add
+/// load.
+const MIN_LATE_WAIT: Time = 200_000;
 
+/// One request that waits for the first byte of its answer.
 #[derive(Clone, Debug)]
 pub(super) struct Wait {
     pub server: ServerId,
     pub place: Place,
     pub since: Time,
-    /// It may be repeated.
-    pub safe: bool,
-    /// Its long wait was counted.
-    pub late: bool,
-    given_up: bool,
+    /// The request may be repeated.
+    pub is_repeatable: bool,
+    /// The wait has been reported as late.
+    pub is_late: bool,
+    is_given_up: bool,
 }
 
-/// All requests that wait, by a number of their own.
+/// All requests that wait, by number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Waits {
-    next: u64,
-    out: BTreeMap<u64, Wait>,
-    /// Mean time to the first byte, by server.
-    usual: BTreeMap<ServerId, f64>,
+    last_number: u64,
+    waiting: BTreeMap<u64, Wait>,
+    /// Mean time to the first byte for each server.
+    mean_wait: BTreeMap<ServerId, f64>,
 }
 
 impl Waits {
-    pub fn begin(&mut self, server: &ServerId, place: &Place, since: Time, safe: bool) -> u64 {
-        self.next += 1;
-        let wait =
-            Wait { server: server.clone(), place: place.clone(), since, safe, late: false, given_up: false };
-        self.out.insert(self.next, wait);
-        self.next
+    /// Adds a request and returns its number.
+    pub fn start(&mut self, server: &ServerId, place: &Place, since: Time, is_repeatable: bool) -> u64 {
+        self.last_number += 1;
+        let wait = Wait {
+            server: server.clone(),
+            place: place.clone(),
+            since,
+            is_repeatable,
+            is_late: false,
+            is_given_up: false,
+        };
+        self.waiting.insert(self.last_number, wait);
+        self.last_number
     }
 
-    /// The first byte has come.
-    pub fn answered(&mut self, number: u64, now: Time) -> Option<Wait> {
-        let wait = self.out.remove(&number)?;
-        let mean = self.usual.entry(wait.server.clone()).or_default();
-        super::book::learn(mean, now.saturating_sub(wait.since));
+    /// Removes a request that got its first byte, and learns from its wait.
+    pub fn record_answer(&mut self, number: u64, now: Time) -> Option<Wait> {
+        let wait = self.waiting.remove(&number)?;
+        let mean = self.mean_wait.entry(wait.server.clone()).or_default();
+        super::book::update_mean(mean, now.saturating_sub(wait.since));
         Some(wait)
     }
 
-    /// It has ended without.
-    pub fn ended(&mut self, number: u64) -> Option<Wait> {
-        self.out.remove(&number)
+    /// Removes a request that ended without a byte of answer.
+    pub fn remove(&mut self, number: u64) -> Option<Wait> {
+        self.waiting.remove(&number)
     }
 
-    /// Waits that have become long since the last look.
-    pub fn late(&mut self, now: Time) -> Vec<Wait> {
+    /// Marks and returns the waits that have become late since the last call.
+    pub fn take_late(&mut self, now: Time) -> Vec<Wait> {
         let mut late = Vec::new();
-        for wait in self.out.values_mut().filter(|wait| !wait.late) {
-            let usual = self.usual.get(&wait.server).copied().unwrap_or(0.0);
-            if now >= wait.since + LEAST.max((usual * LATE) as Time) {
-                wait.late = true;
+        for wait in self.waiting.values_mut().filter(|wait| !wait.is_late) {
+            let mean = self.mean_wait.get(&wait.server).copied().unwrap_or(0.0);
+            if now >= wait.since + MIN_LATE_WAIT.max((mean * LATE_FACTOR) as Time) {
+                wait.is_late = true;
                 late.push(wait.clone());
             }
         }
         late
     }
 
-    /// Long waits of requests that may be repeated, where `hopeless` says so of them.
-    pub fn give_up(&mut self, hopeless: impl Fn(&Wait) -> bool) -> Vec<u64> {
+    /// Marks and returns the numbers of late requests that may be repeated and for which `should_give_up`
+    /// holds.
+    pub fn take_given_up(&mut self, should_give_up: impl Fn(&Wait) -> bool) -> Vec<u64> {
         let mut lost = Vec::new();
-        for (number, wait) in &mut self.out {
-            if wait.late && wait.safe && !wait.given_up && hopeless(wait) {
-                wait.given_up = true;
+        for (number, wait) in &mut self.waiting {
+            if wait.is_late && wait.is_repeatable && !wait.is_given_up && should_give_up(wait) {
+                wait.is_given_up = true;
                 lost.push(*number);
             }
         }
         lost
     }
 
-    pub fn forget_servers(&mut self, known: impl Fn(&ServerId) -> bool) {
-        self.usual.retain(|server, _| known(server));
+    /// Drops what was learned of all servers but those that `known` accepts.
+    pub fn retain_servers(&mut self, known: impl Fn(&ServerId) -> bool) {
+        self.mean_wait.retain(|server, _| known(server));
     }
 }
 
--- a/crates/core/src/addresses/waits/tests.rs
+++ b/crates/core/src/addresses/waits/tests.rs
@@ -3,21 +3,24 @@
 const MS: Time = 1_000;
 
 #[test]
-fn a_wait_is_late_once_by_what_is_usual_at_its_server() {
+fn a_wait_is_reported_late_once_by_the_mean_of_its_server() {
     let mut waits = Waits::default();
     let (server, place) = (ServerId("s".into()), Place::Unix("/s".into()));
-    let one = waits.begin(&server, &place, 0, true);
-    assert!(waits.late(LEAST - 1).is_empty());
-    assert_eq!(waits.late(LEAST).len(), 1);
-    assert!(waits.late(LEAST).is_empty());
-    assert!(waits.give_up(|_| false).is_empty());
-    assert_eq!(waits.give_up(|_| true), [one]);
-    assert!(waits.give_up(|_| true).is_empty(), "said once");
-    assert!(waits.answered(one, 400 * MS).is_some_and(|wait| wait.late) && waits.ended(one).is_none());
-    // A server that usually takes 400 ms is late after 1.6 s, and what must not run twice is never given up.
-    let two = waits.begin(&server, &place, 1000 * MS, false);
-    assert!(waits.late(2599 * MS).is_empty());
-    assert_eq!(waits.late(2600 * MS).len(), 1);
-    assert!(waits.give_up(|_| true).is_empty());
-    assert!(waits.ended(two).is_some());
+    let repeatable = waits.start(&server, &place, 0, true);
+    assert!(waits.take_late(MIN_LATE_WAIT - 1).is_empty());
+    assert_eq!(waits.take_late(MIN_LATE_WAIT).len(), 1);
+    assert!(waits.take_late(MIN_LATE_WAIT).is_empty());
+    assert!(waits.take_given_up(|_| false).is_empty());
+    assert_eq!(waits.take_given_up(|_| true), [repeatable]);
+    assert!(waits.take_given_up(|_| true).is_empty(), "returned only once");
+    assert!(
+        waits.record_answer(repeatable, 400 * MS).is_some_and(|wait| wait.is_late)
+            && waits.remove(repeatable).is_none()
+    );
+    // With a mean of 400 ms a wait is late after 1.6 s. A request that must not run twice is never given up.
+    let not_repeatable = waits.start(&server, &place, 1000 * MS, false);
+    assert!(waits.take_late(2599 * MS).is_empty());
+    assert_eq!(waits.take_late(2600 * MS).len(), 1);
+    assert!(waits.take_given_up(|_| true).is_empty());
+    assert!(waits.remove(not_repeatable).is_some());
 }
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -1,41 +1,41 @@
-//! Every interleaving of accept, refusal, word to go on, close, answer and time-out over a server's
-//! addresses, by exhaustive search: no path writes a request's body twice, has its head on two open
-//! connections, or reports as proved never to have run what may have.
+//! Exhaustive search over all interleavings of accept, refusal, `100 Continue`, close, answer and timeout
+//! over a server's addresses. In none of them is a request's body written twice, or its head on two open
+//! connections, and no request that may have run is reported as proved never to have run.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use elderstage::{ServerId, Time};
 use elderstage_core::Stage;
-use elderstage_core::addresses::{Choice, Lost, Proof, Race, Rest, Step, Supply};
+use elderstage_core::addresses::{Candidate, ConnectionSource, Lost, Proof, Race, Rest, Step};
 use elderstage_core::evidence::{Evidence, classify};
 use elderstage_protocol::place::Place;
 
 const MS: Time = 1_000;
 const END: Time = 500 * MS;
 
-/// What stands on the wire of one connection.
+/// What was written on one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Wire {
+struct WireState {
     open: bool,
     head: bool,
     health: bool,
     body: bool,
 }
 
-/// What the world has still to say of a lane; it may come late, after nobody waits for it.
+/// The event that is still outstanding for a lane. It may arrive after the race stops waiting for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Owed {
+enum Outstanding {
     Nothing,
     Connect,
-    Word,
+    ProofAnswer,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Ended {
+enum RaceEnd {
     Sent(usize),
     Lost(Lost),
-    /// A final answer came to the head alone.
+    /// A final answer to the head arrived.
     Answered,
 }
 
@@ -43,37 +43,39 @@
 struct World {
     race: Race,
     now: Time,
-    wires: Vec<Wire>,
-    owed: Vec<Owed>,
+    wires: Vec<WireState>,
+    outstanding: Vec<Outstanding>,
     bodies: u32,
     /// The head was written on some connection.
-    touched: bool,
-    wait: Option<Time>,
-    ended: Option<Ended>,
-    /// Steps of time to the middle of a wait, of which one is enough: only its order with the events matters.
-    middles: u32,
-    stock: Stock,
+    is_head_written: bool,
+    wait_until: Option<Time>,
+    ended: Option<RaceEnd>,
+    /// Number of time steps to the middle of a wait. One is enough, since only its order with the events
+    /// matters.
+    middle_steps: u32,
+    source: ScriptedSource,
 }
 
-/// Idle connections by lane, whether each is closed already, and how long the budget makes a dial wait.
+/// Idle connections by lane, each with whether it is already closed, and the delay of a dial (`None`: no
+/// dial).
 #[derive(Clone, Debug)]
-struct Stock {
+struct ScriptedSource {
     idle: Vec<Vec<bool>>,
     budget: Option<Time>,
 }
 
-impl Supply<bool> for Stock {
-    fn idle(&mut self, _: Time, place: &Place) -> Option<bool> {
+impl ConnectionSource<bool> for ScriptedSource {
+    fn take_idle(&mut self, _: Time, place: &Place) -> Option<bool> {
         self.idle[lane(place)].pop()
     }
 
-    fn dial(&mut self, now: Time, by: Time, _: &Place) -> Option<Time> {
-        self.budget.map(|wait| now + wait).filter(|at| *at <= by)
+    fn reserve_dial(&mut self, now: Time, by: Time, _: &Place) -> Option<Time> {
+        self.budget.map(|delay| now + delay).filter(|at| *at <= by)
     }
 
-    fn unused(&mut self, _: &Place) {}
+    fn cancel_dial(&mut self, _: &Place) {}
 
-    fn late(&mut self, _: Time, _: Time, _: &Place) {}
+    fn proof_late(&mut self, _: Time, _: Time, _: &Place) {}
 }
 
 fn place(lane: usize) -> Place {
@@ -88,46 +90,51 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Happens {
+enum WorldEvent {
     Accept(usize),
     Refuse(usize),
-    GoOn(usize),
+    Continue(usize),
     Close(usize),
-    /// 417, and whether the connection stays open.
-    Unknown(usize, bool),
+    /// A 417 answer, and whether the connection stays open.
+    ExpectationFailed(usize, bool),
     Answer(usize),
     Time(Time),
 }
 
 impl World {
-    fn new(proofs: &[Proof], stock: Stock) -> World {
-        let choice =
-            |n| Choice { place: place(n), connect: 0.0, prove: 0.0, proven: false, no_continue: false };
-        let order = (0..proofs.len()).map(choice).collect();
-        let race = Race::new(ServerId("s".into()), 0, END, order, |choice| proofs[lane(&choice.place)]);
+    fn new(proofs: &[Proof], source: ScriptedSource) -> World {
+        let candidate = |n| Candidate {
+            place: place(n),
+            mean_connect: 0.0,
+            mean_proof: 0.0,
+            is_proven: false,
+            rejects_continue: false,
+        };
+        let order = (0..proofs.len()).map(candidate).collect();
+        let race = Race::new(ServerId("s".into()), 0, END, order, |candidate| proofs[lane(&candidate.place)]);
         let mut world = World {
             race,
             now: 0,
-            wires: vec![Wire::default(); proofs.len()],
-            owed: vec![Owed::Nothing; proofs.len()],
+            wires: vec![WireState::default(); proofs.len()],
+            outstanding: vec![Outstanding::Nothing; proofs.len()],
             bodies: 0,
-            touched: false,
-            wait: None,
+            is_head_written: false,
+            wait_until: None,
             ended: None,
-            middles: 0,
-            stock,
+            middle_steps: 0,
+            source,
         };
-        world.act();
+        world.run_race();
         world
     }
 
-    /// Does what the race says until it waits or is over.
-    fn act(&mut self) {
+    /// Carries out the steps of the race until it waits or is over.
+    fn run_race(&mut self) {
         for _ in 0..50 {
-            match self.race.poll(self.now, &mut self.stock) {
+            match self.race.poll(self.now, &mut self.source) {
                 Step::Reuse(lane, closed) => {
-                    self.wires[lane] = Wire { open: true, ..Wire::default() };
-                    // A close may be seen before anything is written, or only by what is written.
+                    self.wires[lane] = WireState { open: true, ..WireState::default() };
+                    // A close is noticed either before anything is written, or only by writing.
                     if closed {
                         self.wires[lane].open = false;
                         self.race.stale(lane);
@@ -135,62 +142,62 @@
                 }
                 Step::Dial(lane, until) => {
                     assert!(until <= END);
-                    self.owed[lane] = Owed::Connect;
+                    self.outstanding[lane] = Outstanding::Connect;
                 }
                 Step::Prove(lane, proof) => {
                     let wire = &mut self.wires[lane];
                     assert!(wire.open && !wire.head && !wire.body);
                     (wire.head, wire.health) = (proof == Proof::Continue, proof == Proof::Health);
-                    self.touched |= proof == Proof::Continue;
-                    self.owed[lane] = Owed::Word;
+                    self.is_head_written |= proof == Proof::Continue;
+                    self.outstanding[lane] = Outstanding::ProofAnswer;
                 }
                 Step::Drop(lane) => self.wires[lane].open = false,
                 Step::Send(lane, rest) => {
                     let wire = &mut self.wires[lane];
                     assert!(self.now < END, "sent at or after the end");
                     assert!(wire.open && !wire.body);
-                    assert!(rest == Rest::Whole || wire.head, "a body without its head");
+                    assert!(rest == Rest::Whole || wire.head, "body sent without its head");
                     wire.body = true;
                     self.bodies += 1;
-                    self.ended = Some(Ended::Sent(lane));
+                    self.ended = Some(RaceEnd::Sent(lane));
                 }
                 Step::Wait(at) => {
                     assert!(at > self.now && at <= END);
-                    self.wait = Some(at);
-                    return self.check();
+                    self.wait_until = Some(at);
+                    return self.check_invariants();
                 }
-                Step::Lost(lost) => self.ended = Some(Ended::Lost(lost)),
+                Step::Lost(lost) => self.ended = Some(RaceEnd::Lost(lost)),
             }
-            self.check();
+            self.check_invariants();
             if self.ended.is_some() {
                 return;
             }
         }
-        panic!("never waits: {self:?}");
+        panic!("the race neither waits nor ends: {self:?}");
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         assert!(self.bodies <= 1, "sent twice: {self:?}");
         let heads = self.wires.iter().filter(|wire| wire.open && wire.head).count();
         assert!(heads <= 1, "two connections have the head: {self:?}");
         match &self.ended {
-            Some(Ended::Lost(lost)) => {
-                assert_eq!(self.bodies, 0, "called unrun: {self:?}");
+            Some(RaceEnd::Lost(lost)) => {
+                assert_eq!(self.bodies, 0, "body sent, but reported as never run: {self:?}");
                 let evidence = match lost {
                     Lost::NotConnected => Evidence::NotConnected,
                     Lost::NotProven => Evidence::NotProven,
                     Lost::NoRoom => Evidence::NoRoom,
                 };
                 assert!(classify(Stage::Whole, &evidence).0.never_ran());
-                assert_eq!(self.touched, *lost == Lost::NotProven, "{self:?}");
+                assert_eq!(self.is_head_written, *lost == Lost::NotProven, "{self:?}");
             }
-            Some(Ended::Answered) => {
+            Some(RaceEnd::Answered) => {
                 assert_eq!(self.bodies, 0);
                 let evidence = Evidence::Unsent { status: 503 };
                 assert!(classify(Stage::Whole, &evidence).0.never_ran());
             }
-            Some(Ended::Sent(_)) => {
-                // Whatever comes now, nothing of the connection's end proves that it did not run.
+            Some(RaceEnd::Sent(_)) => {
+                // From now on, no end of the connection proves that the request did not run.
                 for evidence in [Evidence::Broke, Evidence::TimedOut, Evidence::Cancelled, Evidence::Garbled]
                 {
                     assert!(!classify(Stage::Whole, &evidence).0.never_ran());
@@ -202,155 +209,159 @@
         }
     }
 
-    fn options(&self) -> Vec<Happens> {
+    fn possible_events(&self) -> Vec<WorldEvent> {
         let mut out = Vec::new();
-        for (lane, owed) in self.owed.iter().enumerate() {
-            match owed {
-                Owed::Nothing => {}
-                Owed::Connect => out.extend([Happens::Accept(lane), Happens::Refuse(lane)]),
-                Owed::Word => {
-                    out.extend([Happens::GoOn(lane), Happens::Close(lane)]);
-                    // The rarer answers over two addresses only: over three there are too many ways.
+        for (lane, outstanding) in self.outstanding.iter().enumerate() {
+            match outstanding {
+                Outstanding::Nothing => {}
+                Outstanding::Connect => out.extend([WorldEvent::Accept(lane), WorldEvent::Refuse(lane)]),
+                Outstanding::ProofAnswer => {
+                    out.extend([WorldEvent::Continue(lane), WorldEvent::Close(lane)]);
+                    // The rarer answers only with two addresses: with three the search grows too large.
                     if self.wires[lane].head && self.wires.len() < 3 {
                         out.extend([
-                            Happens::Unknown(lane, true),
-                            Happens::Unknown(lane, false),
-                            Happens::Answer(lane),
+                            WorldEvent::ExpectationFailed(lane, true),
+                            WorldEvent::ExpectationFailed(lane, false),
+                            WorldEvent::Answer(lane),
                         ]);
                     }
                 }
             }
         }
         if self.ended.is_none() {
-            let wait = self.wait.unwrap_or(END);
-            // At the end of a wait, of the whole race, and in the middle of a wait.
-            out.extend([wait, END].map(Happens::Time));
-            if self.middles == 0 {
-                out.push(Happens::Time(wait - (wait - self.now) / 2));
+            let wait_until = self.wait_until.unwrap_or(END);
+            // To the end of the wait, to the end of the race, and to the middle of the wait.
+            out.extend([wait_until, END].map(WorldEvent::Time));
+            if self.middle_steps == 0 {
+                out.push(WorldEvent::Time(wait_until - (wait_until - self.now) / 2));
             }
         }
         out
     }
 
-    fn happens(&mut self, what: Happens) {
-        match what {
-            Happens::Accept(lane) => {
-                self.owed[lane] = Owed::Nothing;
-                // One that nobody waits for stays unused.
+    fn apply_event(&mut self, event: WorldEvent) {
+        match event {
+            WorldEvent::Accept(lane) => {
+                self.outstanding[lane] = Outstanding::Nothing;
+                // A connection that the race does not wait for stays unused.
                 if self.race.connected(lane) {
-                    self.wires[lane] = Wire { open: true, ..Wire::default() };
+                    self.wires[lane] = WireState { open: true, ..WireState::default() };
                 }
             }
-            Happens::Refuse(lane) => {
-                self.owed[lane] = Owed::Nothing;
+            WorldEvent::Refuse(lane) => {
+                self.outstanding[lane] = Outstanding::Nothing;
                 self.race.failed(lane);
             }
-            Happens::GoOn(lane) => {
-                self.owed[lane] = Owed::Nothing;
+            WorldEvent::Continue(lane) => {
+                self.outstanding[lane] = Outstanding::Nothing;
                 let wanted = self.race.proven(lane);
                 assert!(!wanted || self.wires[lane].open, "a closed connection was proven");
             }
-            Happens::Close(lane) => {
-                self.owed[lane] = Owed::Nothing;
+            WorldEvent::Close(lane) => {
+                self.outstanding[lane] = Outstanding::Nothing;
                 self.wires[lane].open = false;
                 self.race.failed(lane);
             }
-            Happens::Unknown(lane, open) => {
-                self.owed[lane] = Owed::Nothing;
-                // The answer has ended the head: what follows is a new request, here or on a new connection.
+            WorldEvent::ExpectationFailed(lane, open) => {
+                self.outstanding[lane] = Outstanding::Nothing;
+                // The answer ends the request with that head: a new request follows, on this or a new
+                // connection.
                 (self.wires[lane].head, self.wires[lane].open) = (false, open);
                 self.race.without_continue(lane, open);
             }
-            Happens::Answer(lane) => {
-                self.owed[lane] = Owed::Nothing;
-                if self.ended.is_none() && self.race.holds(lane) && self.race.proving_since(lane).is_some() {
-                    self.ended = Some(Ended::Answered);
-                    return self.check();
+            WorldEvent::Answer(lane) => {
+                self.outstanding[lane] = Outstanding::Nothing;
+                if self.ended.is_none()
+                    && self.race.is_being_proven(lane)
+                    && self.race.proving_since(lane).is_some()
+                {
+                    self.ended = Some(RaceEnd::Answered);
+                    return self.check_invariants();
                 }
             }
-            Happens::Time(to) => {
-                self.middles += u32::from(to != END && Some(to) != self.wait);
+            WorldEvent::Time(to) => {
+                self.middle_steps += u32::from(to != END && Some(to) != self.wait_until);
                 self.now = self.now.max(to);
             }
         }
         if self.ended.is_none() {
-            self.act();
+            self.run_race();
         } else {
-            // Late news after the end changes nothing: the race says the same again.
+            // A late event after the end changes nothing: the race returns the same step again.
             let before = self.bodies;
-            let step = self.race.poll(self.now, &mut self.stock);
-            assert!(matches!(step, Step::Send(..) | Step::Lost(_)) || self.ended == Some(Ended::Answered));
+            let step = self.race.poll(self.now, &mut self.source);
+            assert!(matches!(step, Step::Send(..) | Step::Lost(_)) || self.ended == Some(RaceEnd::Answered));
             assert_eq!(self.bodies, before);
-            self.check();
+            self.check_invariants();
         }
     }
 }
 
 #[derive(Default)]
-struct Seen {
+struct Coverage {
     states: HashSet<u64>,
     sent: u64,
     lost: u64,
     answered: u64,
 }
 
-fn explore(world: World, seen: &mut Seen) {
+fn explore(world: World, coverage: &mut Coverage) {
     let mut hasher = DefaultHasher::new();
     format!("{world:?}").hash(&mut hasher);
-    if !seen.states.insert(hasher.finish()) {
+    if !coverage.states.insert(hasher.finish()) {
         return;
     }
     match &world.ended {
-        Some(Ended::Sent(_)) => seen.sent += 1,
-        Some(Ended::Lost(_)) => seen.lost += 1,
-        Some(Ended::Answered) => seen.answered += 1,
-        None => assert!(world.now < END, "still waits after the end: {world:?}"),
+        Some(RaceEnd::Sent(_)) => coverage.sent += 1,
+        Some(RaceEnd::Lost(_)) => coverage.lost += 1,
+        Some(RaceEnd::Answered) => coverage.answered += 1,
+        None => assert!(world.now < END, "the race still waits after its end: {world:?}"),
     }
-    for what in world.options() {
+    for event in world.possible_events() {
         let mut next = world.clone();
-        next.happens(what);
-        explore(next, seen);
+        next.apply_event(event);
+        explore(next, coverage);
     }
 }
 
 const PROOFS: [Proof; 3] = [Proof::None, Proof::Continue, Proof::Health];
 
-fn all(proofs: &[Proof], seen: &mut Seen) {
+fn explore_all(proofs: &[Proof], coverage: &mut Coverage) {
     let lanes = proofs.len();
     for idle in [vec![], vec![false], vec![true], vec![false, true], vec![false, false, false]] {
         for budget in [Some(0), Some(30 * MS), None] {
-            let mut stock = Stock { idle: vec![Vec::new(); lanes], budget };
-            stock.idle[0].clone_from(&idle);
-            explore(World::new(proofs, stock), seen);
+            let mut source = ScriptedSource { idle: vec![Vec::new(); lanes], budget };
+            source.idle[0].clone_from(&idle);
+            explore(World::new(proofs, source), coverage);
         }
     }
 }
 
 #[test]
-fn no_interleaving_over_two_addresses_sends_twice_or_calls_a_possible_run_unrun() {
-    let mut seen = Seen::default();
+fn two_addresses_never_send_twice_or_report_a_possible_run_as_never_run() {
+    let mut coverage = Coverage::default();
     for first in PROOFS {
         for second in PROOFS {
-            all(&[first, second], &mut seen);
+            explore_all(&[first, second], &mut coverage);
         }
     }
-    // Guards against a search that sees nothing: all three ends are reached, on many ways.
-    assert!(seen.states.len() > 10_000, "{}", seen.states.len());
+    // Guards against a search that covers nothing: all three ends are reached in many ways.
+    assert!(coverage.states.len() > 10_000, "{}", coverage.states.len());
     assert!(
-        seen.sent > 500 && seen.lost > 500 && seen.answered > 500,
+        coverage.sent > 500 && coverage.lost > 500 && coverage.answered > 500,
         "{} {} {}",
-        seen.sent,
-        seen.lost,
-        seen.answered
+        coverage.sent,
+        coverage.lost,
+        coverage.answered
     );
 }
 
 #[test]
-fn nor_over_three() {
-    let mut seen = Seen::default();
+fn three_addresses_never_send_twice_or_report_a_possible_run_as_never_run() {
+    let mut coverage = Coverage::default();
     for idle in [vec![], vec![false]] {
-        let stock = Stock { idle: vec![idle, vec![], vec![]], budget: Some(0) };
-        explore(World::new(&[Proof::Continue; 3], stock), &mut seen);
+        let source = ScriptedSource { idle: vec![idle, vec![], vec![]], budget: Some(0) };
+        explore(World::new(&[Proof::Continue; 3], source), &mut coverage);
     }
-    assert!(seen.states.len() > 10_000, "{}", seen.states.len());
+    assert!(coverage.states.len() > 10_000, "{}", coverage.states.len());
 }
