--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -1,14 +1,17 @@
-//! Expectations beside a configuration, tried without traffic: the core and the module that serve are driven in
-//! simulated time by synthetic arrivals and scripted outcomes. There is no second model of routing.
+//! Tests the expectations of a configuration without traffic, for `elderstage config test`.
+//!
+//! Each expectation is simulated with several seeds. The front's core and router, the same code that serves,
+//! run in simulated time against synthetic arrivals and scripted outcomes, so there is no second model of
+//! routing. A run with the same seed gives the same result.
 
 mod scene;
 
 use elderstage_config::{Config, ExpectConfig, ServerConfig, Want};
 use elderstage_core::Final;
 
-pub use scene::{Request, play};
+pub use scene::{Request, simulate};
 
-/// What became of one expectation.
+/// The result of one expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     pub name: String,
@@ -16,33 +19,37 @@
     pub checks: Vec<Check>,
 }
 
-/// One line of it, over all seeds: the worst figure, and where it was seen.
+/// The result of one line of an expectation over all seeds: the worst figure and where it occurred.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Check {
+    /// The expected condition, as it stands in the configuration.
     pub what: String,
     pub held: bool,
+    /// The worst figure.
     pub seen: String,
     /// The seed of the worst figure.
     pub seed: u64,
-    /// The first request that broke it, with its sends.
+    /// The first request that violates the condition, with its sends.
     pub witness: Option<String>,
 }
 
 impl Verdict {
+    /// Whether all checks held.
     pub fn held(&self) -> bool {
         self.checks.iter().all(|check| check.held)
     }
 }
 
-struct Found {
+/// How one condition fared in one run.
+struct Measurement {
     /// Larger is worse.
-    badness: f64,
+    severity: f64,
     held: bool,
     seen: String,
     witness: Option<String>,
 }
 
-fn said(request: &Request) -> String {
+fn describe_request(request: &Request) -> String {
     let sends: Vec<String> = request
         .sends
         .iter()
@@ -54,68 +61,76 @@
     format!("request {}: {}; {end}", request.number, sends.join(", "))
 }
 
-fn look(want: &Want, requests: &[Request]) -> Found {
-    let first = |broken: &dyn Fn(&Request) -> bool| requests.iter().find(|r| broken(r)).map(said);
-    let most = |figure: &dyn Fn(&Request) -> f64| requests.iter().map(figure).fold(0.0, f64::max);
-    // Guards against one that holds because nothing happened.
+fn measure(want: &Want, requests: &[Request]) -> Measurement {
+    let first =
+        |violates: &dyn Fn(&Request) -> bool| requests.iter().find(|r| violates(r)).map(describe_request);
+    let maximum = |figure: &dyn Fn(&Request) -> f64| requests.iter().map(figure).fold(0.0, f64::max);
+    // A condition must not hold merely because nothing was sent.
     let sends: usize = requests.iter().map(|r| r.sends.len()).sum();
     if sends == 0 && matches!(want, Want::Never(_) | Want::Attempts(_) | Want::Share { .. }) {
-        let witness = requests.first().map(said);
-        return Found { badness: f64::INFINITY, held: false, seen: "nothing was sent".into(), witness };
+        let witness = requests.first().map(describe_request);
+        return Measurement {
+            severity: f64::INFINITY,
+            held: false,
+            seen: "nothing was sent".into(),
+            witness,
+        };
     }
     match want {
         Want::Never(servers) => {
             let to = |r: &Request| r.sends.iter().filter(|(_, s, _)| servers.contains(s)).count();
             let count: usize = requests.iter().map(to).sum();
-            Found {
-                badness: count as f64,
+            Measurement {
+                severity: count as f64,
                 held: count == 0,
                 seen: format!("{count} sends"),
                 witness: first(&|r| to(r) > 0),
             }
         }
         Want::Attempts(most_sends) => {
-            let worst = most(&|r| r.sends.len() as f64);
+            let worst = maximum(&|r| r.sends.len() as f64);
             let held = worst <= f64::from(*most_sends);
             let witness = first(&|r| r.sends.len() as f64 > f64::from(*most_sends));
-            Found { badness: worst, held, seen: format!("{worst} sends"), witness }
+            Measurement { severity: worst, held, seen: format!("{worst} sends"), witness }
         }
         Want::Served(share) => {
-            let good = |r: &Request| matches!(r.end, Some((_, Final::Served)));
-            let part = requests.iter().filter(|r| good(r)).count() as f64 / requests.len().max(1) as f64;
-            Found {
-                badness: 1.0 - part,
-                held: part >= *share,
-                seen: format!("{part:.3} served"),
-                witness: first(&|r| !good(r)),
+            let is_served = |r: &Request| matches!(r.end, Some((_, Final::Served)));
+            let share_seen =
+                requests.iter().filter(|r| is_served(r)).count() as f64 / requests.len().max(1) as f64;
+            Measurement {
+                severity: 1.0 - share_seen,
+                held: share_seen >= *share,
+                seen: format!("{share_seen:.3} served"),
+                witness: first(&|r| !is_served(r)),
             }
         }
         Want::AnsweredWithin(time) => {
-            // A request without an answer never ends in time.
-            let took = |r: &Request| r.end.map_or(f64::INFINITY, |(at, _)| at as f64);
-            let worst = most(&took);
-            Found {
-                badness: worst,
+            // A request without an answer counts as infinitely late.
+            let answer_time = |r: &Request| r.end.map_or(f64::INFINITY, |(at, _)| at as f64);
+            let worst = maximum(&answer_time);
+            Measurement {
+                severity: worst,
                 held: worst <= *time as f64,
                 seen: format!("{:.1} ms", worst / 1e3),
-                witness: first(&|r| took(r) > *time as f64),
+                witness: first(&|r| answer_time(r) > *time as f64),
             }
         }
         Want::Share { server, low, high } => {
             let of = |r: &Request| r.sends.iter().filter(|(_, s, _)| s == server).count();
-            let part = requests.iter().map(of).sum::<usize>() as f64 / sends as f64;
-            Found {
-                badness: (low - part).max(part - high),
-                held: part >= *low && part <= *high,
-                seen: format!("{part:.3} of {sends} sends"),
+            let share_seen = requests.iter().map(of).sum::<usize>() as f64 / sends as f64;
+            Measurement {
+                severity: (low - share_seen).max(share_seen - high),
+                held: share_seen >= *low && share_seen <= *high,
+                seen: format!("{share_seen:.3} of {sends} sends"),
                 witness: None,
             }
         }
     }
 }
 
-/// Servers that an expectation names and the list has not: a followed list is known only here.
-fn unknown(servers: &[ServerConfig], expect: &ExpectConfig) -> Vec<String> {
+/// Servers that an expectation names but the list does not have. This cannot be checked when the
+/// configuration is parsed, since the list may be in a file of its own.
+fn unknown_servers(servers: &[ServerConfig], expect: &ExpectConfig) -> Vec<String> {
     let mut named: Vec<&String> = expect.down.iter().chain(&expect.draining).chain(&expect.full).collect();
     for want in &expect.wants {
         match want {
@@ -128,36 +143,36 @@
     named.into_iter().filter(|name| !known(name)).cloned().collect()
 }
 
-/// Tries one expectation on so many seeds.
+/// Tests one expectation with the seeds from 1 to `seeds`.
 pub fn test(config: &Config, servers: &[ServerConfig], expect: &ExpectConfig, seeds: u64) -> Verdict {
-    let unknown = unknown(servers, expect);
-    if !unknown.is_empty() {
+    let unknown_servers = unknown_servers(servers, expect);
+    if !unknown_servers.is_empty() {
         let check = Check {
-            what: "the servers that it names are there".into(),
+            what: "all named servers exist".into(),
             held: false,
-            seen: format!("no server is called {}", unknown.join(", ")),
+            seen: format!("no server is called {}", unknown_servers.join(", ")),
             seed: 0,
             witness: None,
         };
         return Verdict { name: expect.name.clone(), line: expect.at.line, checks: vec![check] };
     }
-    let mut worst: Vec<Option<(Found, u64)>> = expect.wants.iter().map(|_| None).collect();
+    let mut worst: Vec<Option<(Measurement, u64)>> = expect.wants.iter().map(|_| None).collect();
     for seed in 1..=seeds.max(1) {
-        let requests = play(config, servers, expect, seed);
+        let requests = simulate(config, servers, expect, seed);
         for (want, worst) in expect.wants.iter().zip(&mut worst) {
-            let found = look(want, &requests);
-            if worst.as_ref().is_none_or(|(old, _)| found.badness > old.badness) {
-                *worst = Some((found, seed));
+            let measurement = measure(want, &requests);
+            if worst.as_ref().is_none_or(|(worst_so_far, _)| measurement.severity > worst_so_far.severity) {
+                *worst = Some((measurement, seed));
             }
         }
     }
-    let check = |(want, found): (&Want, Option<(Found, u64)>)| {
-        found.map(|(found, seed)| Check {
+    let check = |(want, measurement): (&Want, Option<(Measurement, u64)>)| {
+        measurement.map(|(measurement, seed)| Check {
             what: want.to_string(),
-            held: found.held,
-            seen: found.seen,
+            held: measurement.held,
+            seen: measurement.seen,
             seed,
-            witness: found.witness.filter(|_| !found.held),
+            witness: measurement.witness.filter(|_| !measurement.held),
         })
     };
     let checks = expect.wants.iter().zip(worst).filter_map(check).collect();
--- a/crates/expect/tests/expectations.rs
+++ b/crates/expect/tests/expectations.rs
@@ -1,5 +1,5 @@
-//! Expectations on a small deployment: they hold where they should, break where the configuration breaks them, and
-//! the verdict is the same on every run.
+//! Expectations on a small deployment: they hold where the configuration meets them, fail where it does not,
+//! and give the same result on every run.
 
 use elderstage_config::{Config, parse};
 use elderstage_expect::{Verdict, test};
@@ -17,7 +17,7 @@
     parse("f.conf", &format!("{SITE}{expects}")).unwrap_or_else(|errors| panic!("{errors}"))
 }
 
-fn tried(expect: &str) -> Verdict {
+fn test_twice(expect: &str) -> Verdict {
     let config = config(&format!("expect it {{\n{expect}\n}}\n"));
     let verdict = test(&config, &config.servers, &config.expects[0], 3);
     assert_eq!(verdict, test(&config, &config.servers, &config.expects[0], 3), "the same on every run");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_should_hold_holds() {
+fn expectations_that_the_configuration_meets_hold() {
     for expect in [
         "route ask\nserved 1\nattempts 2\nanswered-within 1s",
         "route order\nserved 1\nshare w2 0 1",
@@ -33,31 +33,32 @@
         "route order\nfull w1\nserved 0.99",
         "route order\ndown w1 w2 r1 r2\nanswered-within 6s",
     ] {
-        let verdict = tried(expect);
+        let verdict = test_twice(expect);
         assert!(verdict.held(), "{expect}: {verdict:#?}");
     }
 }
 
 #[test]
-fn what_should_break_breaks_with_a_witness() {
-    for (expect, broken) in [
+fn violated_expectations_fail_with_a_witness() {
+    for (expect, failing_line) in [
         ("route ask\nnever w1 w2", "never"),
         ("route ask\nattempts 1", "attempts"),
         ("route order\ndown w1 w2 r1 r2\nserved 0.5", "served"),
         ("route ask\nanswered-within 1ms", "answered-within"),
     ] {
-        let verdict = tried(expect);
+        let verdict = test_twice(expect);
         assert!(!verdict.held(), "{expect}");
         let check = verdict.checks.iter().find(|check| !check.held).unwrap();
-        assert!(check.what.starts_with(broken) && check.witness.is_some(), "{check:?}");
+        assert!(check.what.starts_with(failing_line) && check.witness.is_some(), "{check:?}");
     }
-    assert!(!tried("route ask\nshare w1 0.9 1").held());
+    assert!(!test_twice("route ask\nshare w1 0.9 1").held());
 }
 
-/// One that holds because nothing was sent, or that is about a server of no list, proves nothing.
+/// Guards against an expectation that holds only because nothing was sent or because it names an unknown
+/// server.
 #[test]
-fn empty_expectations_fail() {
-    let verdict = tried("route ask\ndraining r1 r2 w1 w2\nnever w1");
+fn expectations_without_evidence_fail() {
+    let verdict = test_twice("route ask\ndraining r1 r2 w1 w2\nnever w1");
     assert!(!verdict.held() && verdict.checks[0].seen == "nothing was sent", "{verdict:?}");
     let config = config("expect it {\nroute ask\ndown w1\nserved 1\n}\n");
     let verdict = test(&config, &config.servers[..2], &config.expects[0], 1);
@@ -65,8 +66,8 @@
 }
 
 #[test]
-fn expectations_about_nothing_are_mistakes() {
-    for (expect, said) in [
+fn invalid_expectations_are_rejected() {
+    for (expect, message) in [
         ("route ask\ndown w9\nserved 1", "no server is called w9; did you mean w1?"),
         ("route asks\nserved 1", "no route is called asks; did you mean ask?"),
         ("route ask", "this expects nothing"),
@@ -75,6 +76,6 @@
         ("route ask\nattempts none", "attempts: expected a number from 1"),
     ] {
         let errors = parse("f.conf", &format!("{SITE}expect it {{\n{expect}\n}}\n")).unwrap_err().to_string();
-        assert!(errors.contains(said), "{expect}: {errors}");
+        assert!(errors.contains(message), "{expect}: {errors}");
     }
 }
