--- a/crates/core/src/addresses/book.rs
+++ b/crates/core/src/addresses/book.rs
@@ -12,18 +12,19 @@
 
 /// Weight of one sample in the mean times.
 const SAMPLE_WEIGHT: f64 = 0.3;
-/// Pause before the first trial of an address that failed, in microseconds. It doubles with each failure, up
-/// to `LONGEST_PAUSE`.
+/// Pause before the first trial of an address that failed, in microseconds. It doubles with each failure.
 const FIRST_PAUSE: Time = 500_000;
+/// Limit of the pauses before jitter, in microseconds.
 const LONGEST_PAUSE: Time = 10_000_000;
 /// Pauses are extended by up to this share. Each front has a share of its own, so that fronts do not retry at
 /// the same moment.
 const MAX_JITTER: f64 = 0.5;
 /// An address that has worked for this long starts from the first pause again; one that flaps does not.
 const PAUSE_RESET_AFTER: Time = 60_000_000;
-/// A family counts as down once this many servers failed by it while another family reached them, and none
-/// was reached by it meanwhile; and how long such a failure counts.
+/// A family counts as down once this many servers failed by it while another family reached them, and no
+/// address of it answered meanwhile.
 const FAMILY_DOWN_SERVERS: usize = 3;
+/// How long the failure of one server counts against a family.
 const FAMILY_FAILURE_LIFETIME: Time = 30_000_000;
 /// An address is doubtful, and comes after the others, after this many requests in a row without a byte of
 /// answer.
@@ -38,10 +39,11 @@
 /// Time limit of a trial of an address that is only suspected: the shortest delay between two dials, which
 /// serves the same purpose.
 const SUSPICION_TRIAL_TIME: Time = 100_000;
-/// An address is slow if it takes longer than `SLOW_FACTOR` times the best of its server plus
-/// `SLOW_MARGIN_US` microseconds; and how long until a slow address is tried again.
+/// An address is slow if it takes longer than this factor times the best of its server, plus the margin.
 const SLOW_FACTOR: f64 = 4.0;
+/// See [`SLOW_FACTOR`]; in microseconds.
 const SLOW_MARGIN_US: f64 = 20_000.0;
+/// A slow address is tried again after this time.
 const SLOW_RECHECK_INTERVAL: Time = 5_000_000;
 /// An address that has answered within this time is not suspected.
 const RECENT_ANSWER: Time = 200_000;
@@ -52,8 +54,9 @@
 /// What is known of one address.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AddressState {
-    /// Mean time to connect, and to prove a connection, in microseconds; 0 before the first sample.
+    /// Mean time to connect, in microseconds; 0 before the first sample.
     pub mean_connect: f64,
+    /// Mean time to prove a connection, in microseconds; 0 before the first sample.
     pub mean_proof: f64,
     /// Failures since it last answered. While there are any, it comes after the other addresses and is used
     /// only by trials, or where a server has no other address.
@@ -72,9 +75,12 @@
     pub rejects_continue: bool,
     /// Number of pauses, which sets the length of the next one. An address that flaps keeps it.
     pause_count: u32,
+    /// Since when it has worked without a failure.
     good_since: Option<Time>,
+    /// When the last failure was recorded.
     failed_at: Time,
     has_trial: bool,
+    /// When its last trial started.
     last_trial_at: Time,
     /// Since when no listed server has it; `None` while one does.
     leaving_since: Option<Time>,
@@ -91,6 +97,7 @@
     pub rejects_continue: bool,
 }
 
+/// What is known of one address family.
 #[derive(Clone, Debug, Default)]
 struct FamilyState {
     /// Servers that failed by this family while another one reached them, with the time of the failure.
@@ -103,6 +110,7 @@
     has_trial: bool,
 }
 
+/// One server's addresses, as listed.
 #[derive(Clone, Debug)]
 struct ListedServer {
     places: Vec<Place>,
@@ -168,6 +176,7 @@
     pub time: Time,
 }
 
+/// Length of the pause with this number, counted from 1, with the front's jitter.
 fn pause_length(number: u32, jitter: f64) -> Time {
     let base = (FIRST_PAUSE << number.saturating_sub(1).min(6)).min(LONGEST_PAUSE);
     (base as f64 * (1.0 + MAX_JITTER * jitter)) as Time
@@ -216,7 +225,7 @@
         let listed: BTreeSet<Family> = self
             .addresses
             .iter()
-            .filter(|(_, known)| known.leaving_since.is_none())
+            .filter(|(_, address)| address.leaving_since.is_none())
             .map(|(p, _)| p.family())
             .collect();
         self.families.retain(|family, _| listed.contains(family));
@@ -232,7 +241,7 @@
     pub fn should_close(&self, place: &Place, now: Time, grace: Time) -> bool {
         match self.addresses.get(place) {
             None => true,
-            Some(known) => known.leaving_since.is_some_and(|left| now >= left + grace),
+            Some(address) => address.leaving_since.is_some_and(|left| now >= left + grace),
         }
     }
 
@@ -251,37 +260,37 @@
     /// tried, by a few dials at a time.
     pub fn candidates(&self, server: &ServerId, now: Time) -> Vec<Candidate> {
         let Some(listed) = self.servers.get(server) else { return Vec::new() };
-        let known: Vec<(usize, &AddressState)> = listed
+        let usable: Vec<(usize, &AddressState)> = listed
             .places
             .iter()
             .enumerate()
             .filter_map(|(index, place)| Some((index, self.addresses.get(place)?)))
-            .filter(|(_, known)| known.failures == 0 || known.dials_in_progress < HALF_OPEN_DIALS)
+            .filter(|(_, address)| address.failures == 0 || address.dials_in_progress < HALF_OPEN_DIALS)
             .collect();
-        let best = best_time(known.iter().map(|(_, known)| *known));
-        let key = |&(index, known): &(usize, &AddressState)| {
+        let best = best_time(usable.iter().map(|(_, address)| *address));
+        let key = |&(index, address): &(usize, &AddressState)| {
             let down = !self.families.is_empty() && self.family_down(listed.places[index].family());
             (
-                known.is_failing(),
+                address.is_failing(),
                 down,
-                known.is_slow(best),
-                if known.is_failing() { known.next_trial_at } else { 0 },
+                address.is_slow(best),
+                if address.is_failing() { address.next_trial_at } else { 0 },
                 index,
             )
         };
-        let mut order = known;
+        let mut order = usable;
         order.sort_by_cached_key(key);
-        let candidate = |(index, known): (usize, &AddressState)| {
+        let candidate = |(index, address): (usize, &AddressState)| {
             let place = &listed.places[index];
             let is_invalidated =
                 self.proofs_invalid_until.get(&place.family()).is_some_and(|until| now < *until);
-            let is_fresh = !is_invalidated && known.last_proven.is_some_and(|at| now < at + PROOF_LIFETIME);
+            let is_fresh = !is_invalidated && address.last_proven.is_some_and(|at| now < at + PROOF_LIFETIME);
             Candidate {
                 place: place.clone(),
-                mean_connect: known.mean_connect,
-                mean_proof: known.mean_proof,
-                is_proven: is_fresh && known.unanswered == 0 && known.failures == 0,
-                rejects_continue: known.rejects_continue,
+                mean_connect: address.mean_connect,
+                mean_proof: address.mean_proof,
+                is_proven: is_fresh && address.unanswered == 0 && address.failures == 0,
+                rejects_continue: address.rejects_continue,
             }
         };
         order.into_iter().map(candidate).collect()
@@ -296,10 +305,10 @@
         let mut slow = Vec::new();
         for listed in self.servers.values().filter(|listed| listed.places.len() > 1) {
             let best = best_time(listed.places.iter().filter_map(|place| self.addresses.get(place)));
-            let due = |known: &AddressState| {
-                known.is_slow(best)
-                    && !known.is_failing()
-                    && now >= known.last_trial_at + SLOW_RECHECK_INTERVAL
+            let due = |address: &AddressState| {
+                address.is_slow(best)
+                    && !address.is_failing()
+                    && now >= address.last_trial_at + SLOW_RECHECK_INTERVAL
             };
             slow.extend(
                 listed.places.iter().filter(|place| self.addresses.get(place).is_some_and(due)).cloned(),
@@ -318,45 +327,45 @@
 
     /// Counts a dial that starts.
     pub fn dial_started(&mut self, place: &Place) {
-        if let Some(known) = self.addresses.get_mut(place) {
-            known.dials_in_progress += 1;
+        if let Some(address) = self.addresses.get_mut(place) {
+            address.dials_in_progress += 1;
         }
     }
 
     /// Counts a dial that ended, with or without a connection.
     pub fn dial_ended(&mut self, place: &Place) {
-        if let Some(known) = self.addresses.get_mut(place) {
-            known.dials_in_progress = known.dials_in_progress.saturating_sub(1);
+        if let Some(address) = self.addresses.get_mut(place) {
+            address.dials_in_progress = address.dials_in_progress.saturating_sub(1);
         }
     }
 
     /// Records the time of a successful connect.
     pub fn record_connect(&mut self, place: &Place, took: Time) {
-        if let Some(known) = self.addresses.get_mut(place) {
-            update_mean(&mut known.mean_connect, took);
+        if let Some(address) = self.addresses.get_mut(place) {
+            update_mean(&mut address.mean_connect, took);
         }
     }
 
     /// Records that the address answered: it works, and so does its family. `took` is the duration of a
     /// proof; `None` stands for the answer to a request.
     pub fn record_answer(&mut self, place: &Place, now: Time, took: Option<Time>) {
-        let Some(known) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(place) else { return };
         if let Some(took) = took {
-            update_mean(&mut known.mean_proof, took);
+            update_mean(&mut address.mean_proof, took);
         }
-        let is_back = known.failures > 0;
-        if is_back || known.good_since.is_none() {
-            known.good_since = Some(now);
+        let is_back = address.failures > 0;
+        if is_back || address.good_since.is_none() {
+            address.good_since = Some(now);
         }
-        (known.last_proven, known.failures) = (Some(now), 0);
+        (address.last_proven, address.failures) = (Some(now), 0);
         // Only an answer to a request clears the unanswered ones: a proof is a small message and says nothing
         // of a path on which long bodies are lost.
         if took.is_none() {
-            known.last_request_answered = Some(now);
-            known.unanswered = 0;
+            address.last_request_answered = Some(now);
+            address.unanswered = 0;
         }
-        if !known.is_failing() {
-            known.next_trial_at = 0;
+        if !address.is_failing() {
+            address.next_trial_at = 0;
             self.failing.remove(place);
         }
         if is_back {
@@ -364,9 +373,9 @@
             let jitter = self.jitter;
             for listed in self.servers.values().filter(|listed| listed.places.contains(place)) {
                 for place in &listed.places {
-                    if let Some(known) = self.addresses.get_mut(place) {
-                        known.next_trial_at =
-                            known.next_trial_at.min(now + (FIRST_PAUSE as f64 * jitter) as Time);
+                    if let Some(address) = self.addresses.get_mut(place) {
+                        address.next_trial_at =
+                            address.next_trial_at.min(now + (FIRST_PAUSE as f64 * jitter) as Time);
                     }
                 }
             }
@@ -378,8 +387,9 @@
                 self.failing.iter().filter(|p| p.family() == place.family()).cloned().collect();
             let count = of_family.len().max(1) as Time;
             for (number, place) in of_family.iter().enumerate() {
-                if let Some(known) = self.addresses.get_mut(place) {
-                    known.next_trial_at = known.next_trial_at.min(now + FIRST_PAUSE * number as Time / count);
+                if let Some(address) = self.addresses.get_mut(place) {
+                    address.next_trial_at =
+                        address.next_trial_at.min(now + FIRST_PAUSE * number as Time / count);
                 }
             }
         }
@@ -389,19 +399,19 @@
     /// that dial or proof started.
     pub fn record_failure(&mut self, place: &Place, now: Time, since: Time) {
         let jitter = self.jitter;
-        let Some(known) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(place) else { return };
         // A dial that started before the last failure was recorded says nothing new. Otherwise 100 concurrent
         // requests would each double the pause.
-        if known.failures > 0 && since <= known.failed_at {
+        if address.failures > 0 && since <= address.failed_at {
             return;
         }
         // Nor does it if the address has answered since.
-        if known.last_proven.is_some_and(|at| at > since) {
+        if address.last_proven.is_some_and(|at| at > since) {
             return;
         }
-        known.postpone_trial(now, jitter);
-        known.failures += 1;
-        known.failed_at = now;
+        address.postpone_trial(now, jitter);
+        address.failures += 1;
+        address.failed_at = now;
         self.failing.insert(place.clone());
     }
 
@@ -413,14 +423,14 @@
     /// Records a request that got no byte of answer over an open connection.
     pub fn record_no_answer(&mut self, place: &Place, now: Time, since: Time) {
         let jitter = self.jitter;
-        let Some(known) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(place) else { return };
         // Answers to proofs do not count here: a path may pass those and lose the requests that follow.
-        if known.last_request_answered.is_some_and(|at| at > since) {
+        if address.last_request_answered.is_some_and(|at| at > since) {
             return;
         }
-        known.unanswered += 1;
-        if known.unanswered == DOUBTFUL_AFTER_UNANSWERED {
-            known.postpone_trial(now, jitter);
+        address.unanswered += 1;
+        if address.unanswered == DOUBTFUL_AFTER_UNANSWERED {
+            address.postpone_trial(now, jitter);
             self.failing.insert(place.clone());
         }
     }
@@ -431,9 +441,9 @@
     pub fn suspect_addresses(&mut self, server: &ServerId, place: &Place, now: Time) {
         let Some(listed) = self.servers.get(server) else { return };
         for place in listed.places.iter().chain([place].into_iter().filter(|p| !listed.places.contains(p))) {
-            if let Some(known) = self.addresses.get(place)
-                && !known.is_failing()
-                && known.last_proven.is_none_or(|at| now >= at + RECENT_ANSWER)
+            if let Some(address) = self.addresses.get(place)
+                && !address.is_failing()
+                && address.last_proven.is_none_or(|at| now >= at + RECENT_ANSWER)
             {
                 self.suspects.insert(place.clone());
             }
@@ -448,8 +458,8 @@
         }
         let works = |other: &Place| {
             other != place
-                && self.addresses.get(other).is_some_and(|known| {
-                    !known.is_failing() && known.last_proven.is_some_and(|at| at > since)
+                && self.addresses.get(other).is_some_and(|address| {
+                    !address.is_failing() && address.last_proven.is_some_and(|at| at > since)
                 })
         };
         self.places(server).iter().any(works)
@@ -457,8 +467,8 @@
 
     /// Records that the address rejects `Expect: 100-continue`.
     pub fn record_rejected_continue(&mut self, place: &Place) {
-        if let Some(known) = self.addresses.get_mut(place) {
-            known.rejects_continue = true;
+        if let Some(address) = self.addresses.get_mut(place) {
+            address.rejects_continue = true;
         }
     }
 
@@ -511,24 +521,24 @@
             if !may() {
                 return out;
             }
-            let Some(known) = self.addresses.get_mut(&place) else { continue };
-            known.has_trial = true;
-            known.last_trial_at = now;
+            let Some(address) = self.addresses.get_mut(&place) else { continue };
+            address.has_trial = true;
+            address.last_trial_at = now;
             self.suspects.remove(&place);
             // A request waits for the outcome of a suspicion, so that trial is short.
-            let time = if known.is_failing() || slow.contains(&place) {
+            let time = if address.is_failing() || slow.contains(&place) {
                 connect
             } else {
                 connect.min(SUSPICION_TRIAL_TIME)
             };
-            out.push(Trial { server, heavy: known.is_doubtful(), place, family: false, time });
+            out.push(Trial { server, heavy: address.is_doubtful(), place, family: false, time });
         }
         out
     }
 
     fn is_trial_due(&self, place: &Place, now: Time) -> bool {
-        let known = self.addresses.get(place);
-        let due = known.is_some_and(|k| {
+        let address = self.addresses.get(place);
+        let due = address.is_some_and(|k| {
             now >= k.next_trial_at && !k.has_trial && k.dials_in_progress == 0 && k.leaving_since.is_none()
         });
         due && !self.family_down(place.family())
@@ -540,8 +550,8 @@
         if state.has_trial || state.next_trial_at.is_none_or(|until| now < until) {
             return None;
         }
-        let of_family = |(place, known): &(&Place, &AddressState)| {
-            place.family() == family && known.leaving_since.is_none()
+        let of_family = |(place, address): &(&Place, &AddressState)| {
+            place.family() == family && address.leaving_since.is_none()
         };
         let after = self.addresses.iter().filter(of_family).map(|(place, _)| place);
         let next =
@@ -555,19 +565,19 @@
         self.servers.iter().find(|(_, listed)| has(listed)).map(|(server, _)| server.clone())
     }
 
-    /// Records the end of a trial; `good` if the address answered.
-    pub fn record_trial(&mut self, trial: &Trial, now: Time, since: Time, good: bool) {
+    /// Records the end of a trial.
+    pub fn record_trial(&mut self, trial: &Trial, now: Time, since: Time, has_answered: bool) {
         let jitter = self.jitter;
-        if let Some(known) = self.addresses.get_mut(&trial.place) {
-            known.has_trial = false;
-            known.unanswered = if good && trial.heavy { 0 } else { known.unanswered };
-            if good {
+        if let Some(address) = self.addresses.get_mut(&trial.place) {
+            address.has_trial = false;
+            address.unanswered = if has_answered && trial.heavy { 0 } else { address.unanswered };
+            if has_answered {
                 // The time of this trial, connect and answer together, replaces the means: old means would
                 // keep a recovered address last for long.
-                (known.mean_connect, known.mean_proof) = (0.0, now.saturating_sub(since) as f64);
+                (address.mean_connect, address.mean_proof) = (0.0, now.saturating_sub(since) as f64);
             }
         }
-        if good {
+        if has_answered {
             // The duration is already recorded above.
             return self.record_answer(&trial.place, now, Some(now.saturating_sub(since)));
         }
@@ -581,8 +591,8 @@
 }
 
 /// The shortest known time to connect and prove among the working addresses; infinite if there is none.
-fn best_time<'a>(known: impl Iterator<Item = &'a AddressState>) -> f64 {
-    let fit = known.filter(|known| !known.is_failing()).map(AddressState::total_time);
+fn best_time<'a>(addresses: impl Iterator<Item = &'a AddressState>) -> f64 {
+    let fit = addresses.filter(|address| !address.is_failing()).map(AddressState::total_time);
     fit.filter(|total_time| *total_time > 0.0).fold(f64::INFINITY, f64::min)
 }
 
--- a/crates/core/src/addresses/gate.rs
+++ b/crates/core/src/addresses/gate.rs
@@ -11,16 +11,21 @@
 /// One front's limits on dials and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Dials per second, and the largest burst after a quiet period.
+    /// Sustained dials per second.
     pub dials_per_s: f64,
+    /// Largest burst of dials after a quiet period.
     pub dials_at_once: f64,
-    /// Connections that are open or being dialed: to one server, and in total.
+    /// Most connections to one server that are open or being dialed.
     pub per_server: usize,
+    /// Most connections to all servers that are open or being dialed.
     pub in_all: usize,
-    /// Idle connections kept for each address, for how long, and up to which age and number of requests.
+    /// Most idle connections kept for each address.
     pub idle_each: usize,
+    /// An idle connection is closed after this time.
     pub idle_for: Time,
+    /// A connection is not reused beyond this age.
     pub age: Time,
+    /// A connection is not reused after this many requests.
     pub uses: u32,
     /// A server's connections are closed this long after it started to leave.
     pub grace: Time,
@@ -73,6 +78,7 @@
         ConnectionLimiter { bounds, burst_available_at: 0, open_by_place: HashMap::new(), total: 0 }
     }
 
+    /// Mean time between two dials at the sustained rate.
     fn dial_interval_us(&self) -> f64 {
         1e6 / self.bounds.dials_per_s.max(0.001)
     }
--- a/crates/core/src/addresses/mod.rs
+++ b/crates/core/src/addresses/mod.rs
@@ -42,27 +42,39 @@
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Dials started.
     pub dials: u64,
+    /// Dials that ended without a connection.
     pub dials_failed: u64,
     /// Dials that were late when another address won the race.
     pub overtaken: u64,
+    /// Connections taken from the pool.
     pub reused: u64,
     /// Pooled connections that turned out to be closed.
     pub stale: u64,
+    /// Proofs started.
     pub proofs: u64,
+    /// Proofs that failed or were given up as late.
     pub proofs_failed: u64,
+    /// Dials denied by the limits.
     pub no_room: u64,
+    /// Trials started.
     pub trials: u64,
+    /// Trials without an answer.
     pub trials_failed: u64,
+    /// How often a family went down.
     pub families_down: u64,
+    /// How often a family came back.
     pub families_back: u64,
-    /// Requests that waited long for the first byte of their answer, and those that were given up for it.
+    /// Requests that waited long for the first byte of their answer.
     pub late: u64,
+    /// Requests that were given up because their address delivered nothing.
     pub given_up: u64,
 }
 
 /// The addresses and connections of one front. `C` is a connection, which is opaque here.
 pub struct Addresses<C> {
+    /// The state of the addresses.
     pub book: AddressBook,
     limiter: ConnectionLimiter,
     pool: Pool<C>,
@@ -75,6 +87,7 @@
 /// What [`Addresses::tend`] asks of the front.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tended {
+    /// Trials to carry out.
     pub trials: Vec<Trial>,
     /// Families that went down (`true`) or came back since the last call.
     pub families: Vec<(Family, bool)>,
@@ -82,8 +95,10 @@
     pub give_up: Vec<u64>,
 }
 
+/// The families, in the order of `Addresses::known_down`.
 const FAMILIES: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
 
+/// The connections and dials of one front, for the race to one server.
 struct RaceSupply<'a, C> {
     book: &'a mut AddressBook,
     limiter: &'a mut ConnectionLimiter,
@@ -213,6 +228,7 @@
         step
     }
 
+    /// Records what a race that ended in a send showed of the other addresses.
     fn record_race_outcome(&mut self, now: Time, race: &Race) {
         let Some(summary) = race.summary(now) else { return };
         for (place, since) in &summary.overtaken {
@@ -225,9 +241,9 @@
     }
 
     /// Records the end of a dial, with or without a connection. The caller also notifies the race.
-    pub fn dialed(&mut self, now: Time, place: &Place, since: Time, connected: bool) {
+    pub fn dialed(&mut self, now: Time, place: &Place, since: Time, is_connected: bool) {
         self.book.dial_ended(place);
-        if connected {
+        if is_connected {
             self.book.record_connect(place, now.saturating_sub(since));
         } else {
             self.counts.dials_failed += 1;
@@ -261,20 +277,20 @@
         race.proven(lane)
     }
 
-    /// Records that the peer answered the head with 417, which rejects the expectation. `open`: the
+    /// Records that the peer answered the head with 417, which rejects the expectation. `stays_open`: the
     /// connection stays open.
-    pub fn without_continue(&mut self, now: Time, race: &mut Race, lane: usize, open: bool) {
+    pub fn without_continue(&mut self, now: Time, race: &mut Race, lane: usize, stays_open: bool) {
         let place = race.place(lane).clone();
         self.book.record_answer(&place, now, None);
         self.book.record_rejected_continue(&place);
-        race.without_continue(lane, open);
+        race.without_continue(lane, stays_open);
     }
 
     // ---- After the request was sent ----
 
     /// Records that the request was written. The number identifies it in the calls that follow.
-    pub fn sent(&mut self, now: Time, server: &ServerId, place: &Place, safe: bool) -> u64 {
-        self.waits.start(server, place, now, safe)
+    pub fn sent(&mut self, now: Time, server: &ServerId, place: &Place, is_repeatable: bool) -> u64 {
+        self.waits.start(server, place, now, is_repeatable)
     }
 
     /// Records the first byte of the answer.
@@ -284,12 +300,12 @@
         }
     }
 
-    /// Records that the request ended without a byte of answer. `reused`: it went over a pooled connection,
+    /// Records that the request ended without a byte of answer. `is_reused`: it went over a pooled connection,
     /// which the peer may have closed; that says nothing about the address.
-    pub fn silent(&mut self, now: Time, number: u64, reused: bool) {
+    pub fn silent(&mut self, now: Time, number: u64, is_reused: bool) {
         let Some(wait) = self.waits.remove(number) else { return };
         self.book.invalidate_proofs(&wait.place, now);
-        if !wait.is_late && !reused {
+        if !wait.is_late && !is_reused {
             self.book.record_no_answer(&wait.place, now, wait.since);
         }
     }
@@ -341,10 +357,10 @@
         Tended { trials, families: self.take_family_changes(), give_up }
     }
 
-    /// Records the end of a trial; `good` if the address answered. Its connection is reported like any other.
-    pub fn tried(&mut self, now: Time, trial: &Trial, since: Time, good: bool) {
-        self.counts.trials_failed += u64::from(!good);
-        self.book.record_trial(trial, now, since, good);
+    /// Records the end of a trial. Its connection is reported like any other.
+    pub fn tried(&mut self, now: Time, trial: &Trial, since: Time, has_answered: bool) {
+        self.counts.trials_failed += u64::from(!has_answered);
+        self.book.record_trial(trial, now, since, has_answered);
     }
 
     /// Removes and returns the connections to close.
--- a/crates/core/src/addresses/race.rs
+++ b/crates/core/src/addresses/race.rs
@@ -12,9 +12,11 @@
 
 use super::book::Candidate;
 
-/// Longest and shortest delay between two dials, in microseconds (RFC 8305, section 5: 250 ms, and 100 ms as
-/// the recommended minimum). The longest also applies before any time is known.
+/// Longest delay between two dials, in microseconds (RFC 8305, section 5: 250 ms). It also applies while no
+/// time is known.
 const MAX_DIAL_DELAY: Time = 250_000;
+/// Shortest delay between two dials, in microseconds (RFC 8305, section 5: 100 ms is the recommended
+/// minimum). The delay gets shorter only if the race has little time left.
 const MIN_DIAL_DELAY: Time = 100_000;
 /// A connect or a proof is late after this multiple of its mean time.
 const LATE_FACTOR: f64 = 4.0;
@@ -71,19 +73,26 @@
     NoRoom,
 }
 
+/// How far a lane has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LaneState {
+    /// Neither a pooled connection nor a dial is in use.
     Untried,
     /// The dial may start at this time.
     Scheduled(Time),
+    /// The dial is in progress since this time.
     Dialing(Time),
+    /// The connection is open, and nothing was written on it.
     Ready,
     /// Start of the proof, and the time from which it is late.
     Proving(Time, Time),
+    /// The proof succeeded, and this remains to be written.
     Proven(Rest),
+    /// The lane is not used any more.
     Ended,
 }
 
+/// One address of a race.
 #[derive(Clone, Debug)]
 struct Lane {
     candidate: Candidate,
@@ -107,6 +116,7 @@
     pub overtaken: Vec<(Place, Time)>,
 }
 
+/// How a race ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RaceEnd {
     Send(usize, Rest),
@@ -187,6 +197,8 @@
         self.end
     }
 
+    /// The delay until the next dial, or until a proof is late: a multiple of the mean time, within the
+    /// limits.
     fn dial_delay(&self, now: Time, mean: f64) -> Time {
         let learned = if mean > 0.0 { (mean * LATE_FACTOR) as Time } else { MAX_DIAL_DELAY };
         let left = self.lanes.iter().filter(|lane| lane.state == LaneState::Untried).count() as Time;
@@ -208,6 +220,7 @@
         }
     }
 
+    /// The end of a race that got no connection, by what happened in it.
     fn lost_end(&self) -> RaceEnd {
         RaceEnd::Lost(match (self.is_head_written, self.is_dial_denied) {
             (true, _) => Lost::NotProven,
@@ -293,6 +306,7 @@
         Some(Step::Wait(self.wait_until(now)))
     }
 
+    /// Starts an untried lane: with an idle connection, or else with a dial as the limits allow.
     fn start_lane<C>(
         &mut self,
         now: Time,
@@ -324,6 +338,7 @@
         }
     }
 
+    /// The time at which to poll again if no event comes first.
     fn wait_until(&self, now: Time) -> Time {
         let mut until = self.end;
         let (mut has_untried, mut ready, mut late) = (false, false, None);
@@ -403,6 +418,7 @@
         }
     }
 
+    /// Returns a lane to untried after a stale pooled connection.
     fn retry_lane(&mut self, lane: usize) {
         self.lanes[lane].state = LaneState::Untried;
         self.lanes[lane].stale_count += 1;
@@ -422,11 +438,11 @@
     /// The peer rejected the expectation (417, RFC 9110, 15.5.18) and has not accepted the request. The
     /// request is sent whole on the same connection if that stays open, or else on a new one after a health
     /// request.
-    pub fn without_continue(&mut self, lane: usize, open: bool) {
+    pub fn without_continue(&mut self, lane: usize, stays_open: bool) {
         if self.outcome.is_some() || self.proving_since(lane).is_none() {
             return;
         }
-        if open {
+        if stays_open {
             self.lanes[lane].state = LaneState::Proven(Rest::Whole);
         } else {
             self.proving_lane = None;
--- a/crates/core/src/addresses/tests.rs
+++ b/crates/core/src/addresses/tests.rs
@@ -171,8 +171,8 @@
     let tended = addresses.tend(S + 200 * MS, 250 * MS);
     assert_eq!(tended.trials.len(), 2, "one for each address");
     for trial in &tended.trials {
-        let working_place = trial.place != failed_place;
-        addresses.tried(S + if working_place { 201 } else { 300 } * MS, trial, S + 200 * MS, working_place);
+        let has_answered = trial.place != failed_place;
+        addresses.tried(S + if has_answered { 201 } else { 300 } * MS, trial, S + 200 * MS, has_answered);
         addresses.closed(&trial.place);
     }
     assert_eq!(addresses.tend(S + 500 * MS, 250 * MS).give_up, [safe]);
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -16,8 +16,8 @@
 }
 
 /// Whether one more request is admitted while `held` requests are in progress.
-pub fn admit(draining: bool, held: usize, limits: &Limits) -> Result<(), Rejection> {
-    if draining {
+pub fn admit(is_draining: bool, held: usize, limits: &Limits) -> Result<(), Rejection> {
+    if is_draining {
         Err(Rejection::Draining)
     } else if held >= limits.requests {
         Err(Rejection::Full)
--- a/crates/core/src/chain.rs
+++ b/crates/core/src/chain.rs
@@ -67,7 +67,9 @@
 /// One turn of the model: a request of its own to the router.
 #[derive(Clone, Debug)]
 pub struct Leg {
+    /// Number of the leg, as the router knows it.
     pub id: ReqId,
+    /// Attempts started; the next attempt gets this number.
     pub attempts: u32,
     /// Server and stage of the attempt in flight.
     pub in_flight: Option<(ServerId, crate::driver::Stage)>,
@@ -109,14 +111,19 @@
 /// The state of one client request.
 #[derive(Clone, Debug)]
 pub struct Chain {
+    /// Index into the plan's routes.
     pub route: usize,
+    /// Index into the plan's classes.
     pub class: usize,
+    /// When the request was submitted.
     pub arrived: Time,
+    /// When the time limit of the whole request ends.
     pub deadline: Time,
     /// How long the client waits for the first token of a turn.
     pub first_token_limit: Time,
     /// Bytes of the conversation so far, with answers and tool results.
     pub bytes: usize,
+    /// Length of the shared prefix of the prompt, in bytes; 0 without one.
     pub shared_bytes: usize,
     /// Legs started.
     pub legs: u32,
@@ -126,6 +133,7 @@
     pub next_call: usize,
     /// A tool with an effect may have run.
     pub may_have_had_effect: bool,
+    /// What the chain waits for.
     pub phase: Phase,
     /// The final answer has been given; the end of an attempt in flight may still be outstanding.
     pub is_answered: bool,
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -35,7 +35,9 @@
     pub chain: ChainId,
     /// Index into [`Plan::routes`].
     pub route: usize,
+    /// Index into the tenants of the router's settings.
     pub tenant: usize,
+    /// Key of the client's session, if the client named one.
     pub session: Option<String>,
     /// Name and length in bytes of the text that the prompt begins with, if other requests share it.
     pub prefix: Option<(String, usize)>,
@@ -131,21 +133,37 @@
 /// Counters since the start of the core.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Requests admitted.
     pub taken: u64,
+    /// Requests rejected at admission.
     pub turned_away: u64,
+    /// Requests that ended with [`Final::Served`].
     pub served: u64,
+    /// Admitted requests that ended with [`Final::Refused`].
     pub refused: u64,
+    /// Requests that ended with [`Final::Failed`].
     pub failed: u64,
+    /// Requests whose client left or cancelled.
     pub gone: u64,
+    /// Admitted requests that were refused or failed, by reason.
     pub ended_for: BTreeMap<Reason, u64>,
+    /// Legs started.
     pub legs: u64,
+    /// Attempts sent to engines.
     pub attempts: u64,
+    /// Ended attempts, by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
+    /// Releases of KV states requested from readers.
     pub releases: u64,
+    /// Probes requested by the router.
     pub probes: u64,
+    /// Tool calls made, retries included.
     pub tool_calls: u64,
+    /// Tool calls that repeat an earlier try.
     pub tool_retries: u64,
+    /// Tool calls that ended without a result after the last try.
     pub tool_lost: u64,
+    /// Server restarts noticed from the servers' own reports.
     pub restarts_seen: u64,
 }
 
@@ -162,7 +180,7 @@
     estimates: Vec<Estimate>,
     timers: Timers,
     last_leg_number: u32,
-    draining: bool,
+    is_draining: bool,
     counters: Counters,
 }
 
@@ -178,7 +196,7 @@
             estimates: vec![Estimate::default(); plan.routes.len()],
             timers: Timers::default(),
             last_leg_number: 0,
-            draining: false,
+            is_draining: false,
             counters: Counters::default(),
             plan,
         }
@@ -196,7 +214,7 @@
 
     /// Whether new requests are rejected.
     pub fn draining(&self) -> bool {
-        self.draining
+        self.is_draining
     }
 
     /// When [`Core::wake`] is due next.
@@ -248,9 +266,9 @@
                     );
                 }
             }
-            Event::Drain => self.draining = true,
+            Event::Drain => self.is_draining = true,
             Event::Stop => {
-                self.draining = true;
+                self.is_draining = true;
                 let mut remaining: Vec<ChainId> = self.chains.keys().copied().collect();
                 remaining.sort_unstable();
                 for chain in remaining {
@@ -264,7 +282,7 @@
 
     fn submit(&mut self, now: Time, submit: Submit, effects: &mut Vec<Effect>) {
         let chain = submit.chain;
-        if let Err(rejection) = admission::admit(self.draining, self.chains.len(), &self.plan.limits) {
+        if let Err(rejection) = admission::admit(self.is_draining, self.chains.len(), &self.plan.limits) {
             self.counters.turned_away += 1;
             let reason = match rejection {
                 Rejection::Draining => Reason::Draining,
@@ -290,7 +308,7 @@
         let tools = !self.plan.routes[submit.route].tools.is_empty();
         let session = submit.session.or_else(|| tools.then(|| format!("request {}", chain.0)));
         self.routing_keys.insert(chain, (session.map(key), prefix, submit.tenant));
-        let state = Chain {
+        let new_chain = Chain {
             route: submit.route,
             class,
             arrived: now,
@@ -305,7 +323,7 @@
             phase: Phase::Leg(Leg::new(ReqId(0))),
             is_answered: false,
         };
-        self.chains.insert(chain, state);
+        self.chains.insert(chain, new_chain);
         self.start_leg(now, chain, submit.repeat, effects);
     }
 
@@ -357,12 +375,12 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
-        let Phase::Leg(state) = &mut chain.phase else { return };
-        let Some((server, _)) = state.in_flight.clone().filter(|_| state.id == leg) else { return };
-        state.is_streaming = true;
-        state.may_have_run = true;
+        let Phase::Leg(current) = &mut chain.phase else { return };
+        let Some((server, _)) = current.in_flight.clone().filter(|_| current.id == leg) else { return };
+        current.is_streaming = true;
+        current.may_have_run = true;
         // The writer has fetched the state and the reader has released it.
-        state.kept_state = None;
+        current.kept_state = None;
         if !chain.is_answered {
             self.notify_router(now, RouterEvent::Streaming { id: leg, attempt, server, took }, effects);
         }
@@ -374,16 +392,16 @@
             return;
         };
         let Some(chain) = self.chains.get_mut(&id) else { return };
-        let Phase::Leg(state) = &mut chain.phase else { return };
-        let Some((server, stage)) = state.in_flight.take().filter(|_| state.id == leg) else { return };
+        let Phase::Leg(current) = &mut chain.phase else { return };
+        let Some((server, stage)) = current.in_flight.take().filter(|_| current.id == leg) else { return };
         let (outcome, note) = evidence::classify(stage, &evidence);
         *self.counters.outcomes.entry(outcome_name(outcome)).or_default() += 1;
-        let (streamed, turn) = (state.is_streaming, chain.legs);
+        let (streamed, turn) = (current.is_streaming, chain.legs);
         if stage != Stage::Read && !outcome.never_ran() {
-            state.may_have_run = true;
+            current.may_have_run = true;
         }
         if outcome == Outcome::Read {
-            state.kept_state = Some((server.clone(), attempt));
+            current.kept_state = Some((server.clone(), attempt));
         } else if stage == Stage::Read && !outcome.never_ran() {
             // It is not known whether the reader keeps a state. The release prevents one from staying pinned.
             effects.push(Effect::Release { chain: id, turn, attempt, server: server.clone() });
@@ -425,8 +443,9 @@
             return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         let route = &self.plan.routes[chain.route];
-        let find = |call: &Call| route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool);
-        chain.calls = calls.iter().map(find).collect();
+        let find_tool =
+            |call: &Call| route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool);
+        chain.calls = calls.iter().map(find_tool).collect();
         chain.next_call = 0;
         chain.bytes += text + calls.iter().map(|call| call.bytes).sum::<usize>();
         self.start_next_call(now, id, effects);
@@ -484,18 +503,18 @@
 
     fn tool_ended(&mut self, now: Time, id: ChainId, call: usize, end: ToolEnd, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
-        let Phase::Tool(mut state) = chain.phase.clone() else { return };
-        if state.call != call {
+        let Phase::Tool(mut pending) = chain.phase.clone() else { return };
+        if pending.call != call {
             return;
         }
         if chain.is_answered {
             return self.remove_if_finished(id, effects);
         }
-        let tool = &self.plan.tools[state.tool];
+        let tool = &self.plan.tools[pending.tool];
         if end == ToolEnd::NotRun {
-            chain.may_have_had_effect = state.had_effect_before;
+            chain.may_have_had_effect = pending.had_effect_before;
         }
-        match decide_tool_step(tool, &end, state.tries) {
+        match decide_tool_step(tool, &end, pending.tries) {
             ToolStep::Continue => {
                 if let ToolEnd::Result { bytes } = end {
                     chain.bytes += bytes;
@@ -505,8 +524,8 @@
                 self.start_next_call(now, id, effects);
             }
             ToolStep::Retry => {
-                state.had_effect_before = chain.may_have_had_effect;
-                self.start_tool_call(now, id, state, effects);
+                pending.had_effect_before = chain.may_have_had_effect;
+                self.start_tool_call(now, id, pending, effects);
             }
             ToolStep::EndRequest => {
                 self.counters.tool_lost += 1;
@@ -595,8 +614,8 @@
             }
             Action::Send { id, server, timeout } => self.send_attempt(id, server, timeout, effects),
             Action::Cancel { id, attempt } => {
-                if let Some((chain, state)) = self.chain_of_leg(id) {
-                    effects.push(Effect::Cancel { chain, turn: state.legs, attempt });
+                if let Some((chain, chain_state)) = self.chain_of_leg(id) {
+                    effects.push(Effect::Cancel { chain, turn: chain_state.legs, attempt });
                 }
             }
             Action::Release { id } => {
@@ -638,15 +657,15 @@
         let repeat = self.plan.classes[chain.class].repeat;
         let keyed = matches!(repeat, Repeat::Keyed { .. });
         let turn = chain.legs;
-        let Phase::Leg(state) = &mut chain.phase else { return };
-        let stage = match (role, &state.kept_state) {
+        let Phase::Leg(current) = &mut chain.phase else { return };
+        let stage = match (role, &current.kept_state) {
             (Role::Prefill, _) => Stage::Read,
             (_, Some(_)) => Stage::Write,
             (_, None) => Stage::Whole,
         };
-        let attempt = state.attempts;
-        state.attempts += 1;
-        state.in_flight = Some((server.clone(), stage));
+        let attempt = current.attempts;
+        current.attempts += 1;
+        current.in_flight = Some((server.clone(), stage));
         self.counters.attempts += 1;
         // Reading a prompt has no side effect, so it may be repeated.
         let once = repeat != Repeat::Safe && stage != Stage::Read;
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -20,6 +20,7 @@
     pub name: String,
     /// A call may change something, so it must never run twice.
     pub effect: bool,
+    /// Time limit of one call.
     pub timeout: Time,
     /// Most tries of one call. With an effect, a value above 1 applies only to calls that are proved not to
     /// have run.
@@ -61,6 +62,7 @@
 /// The whole plan of one front.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Settings of the router.
     pub settings: Settings,
     pub classes: Vec<ClassPlan>,
     pub tools: Vec<ToolPlan>,
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -17,10 +17,10 @@
 /// What was written on one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct WireState {
-    open: bool,
-    head: bool,
-    health: bool,
-    body: bool,
+    is_open: bool,
+    has_head: bool,
+    has_health_request: bool,
+    has_body: bool,
 }
 
 /// The event that is still outstanding for a lane. It may arrive after the race stops waiting for it.
@@ -133,10 +133,10 @@
         for _ in 0..50 {
             match self.race.poll(self.now, &mut self.source) {
                 Step::Reuse(lane, closed) => {
-                    self.wires[lane] = WireState { open: true, ..WireState::default() };
+                    self.wires[lane] = WireState { is_open: true, ..WireState::default() };
                     // A close is noticed either before anything is written, or only by writing.
                     if closed {
-                        self.wires[lane].open = false;
+                        self.wires[lane].is_open = false;
                         self.race.stale(lane);
                     }
                 }
@@ -146,18 +146,19 @@
                 }
                 Step::Prove(lane, proof) => {
                     let wire = &mut self.wires[lane];
-                    assert!(wire.open && !wire.head && !wire.body);
-                    (wire.head, wire.health) = (proof == Proof::Continue, proof == Proof::Health);
+                    assert!(wire.is_open && !wire.has_head && !wire.has_body);
+                    (wire.has_head, wire.has_health_request) =
+                        (proof == Proof::Continue, proof == Proof::Health);
                     self.is_head_written |= proof == Proof::Continue;
                     self.outstanding[lane] = Outstanding::ProofAnswer;
                 }
-                Step::Drop(lane) => self.wires[lane].open = false,
+                Step::Drop(lane) => self.wires[lane].is_open = false,
                 Step::Send(lane, rest) => {
                     let wire = &mut self.wires[lane];
                     assert!(self.now < END, "sent at or after the end");
-                    assert!(wire.open && !wire.body);
-                    assert!(rest == Rest::Whole || wire.head, "body sent without its head");
-                    wire.body = true;
+                    assert!(wire.is_open && !wire.has_body);
+                    assert!(rest == Rest::Whole || wire.has_head, "body sent without its head");
+                    wire.has_body = true;
                     self.bodies += 1;
                     self.ended = Some(RaceEnd::Sent(lane));
                 }
@@ -178,7 +179,7 @@
 
     fn check_invariants(&self) {
         assert!(self.bodies <= 1, "sent twice: {self:?}");
-        let heads = self.wires.iter().filter(|wire| wire.open && wire.head).count();
+        let heads = self.wires.iter().filter(|wire| wire.is_open && wire.has_head).count();
         assert!(heads <= 1, "two connections have the head: {self:?}");
         match &self.ended {
             Some(RaceEnd::Lost(lost)) => {
@@ -202,7 +203,7 @@
                 {
                     assert!(!classify(Stage::Whole, &evidence).0.never_ran());
                 }
-                let body = self.wires.iter().filter(|wire| wire.body).count();
+                let body = self.wires.iter().filter(|wire| wire.has_body).count();
                 assert_eq!((body, self.bodies), (1, 1));
             }
             None => {}
@@ -218,7 +219,7 @@
                 Outstanding::ProofAnswer => {
                     out.extend([WorldEvent::Continue(lane), WorldEvent::Close(lane)]);
                     // The rarer answers only with two addresses: with three the search grows too large.
-                    if self.wires[lane].head && self.wires.len() < 3 {
+                    if self.wires[lane].has_head && self.wires.len() < 3 {
                         out.extend([
                             WorldEvent::ExpectationFailed(lane, true),
                             WorldEvent::ExpectationFailed(lane, false),
@@ -245,7 +246,7 @@
                 self.outstanding[lane] = Outstanding::Nothing;
                 // A connection that the race does not wait for stays unused.
                 if self.race.connected(lane) {
-                    self.wires[lane] = WireState { open: true, ..WireState::default() };
+                    self.wires[lane] = WireState { is_open: true, ..WireState::default() };
                 }
             }
             WorldEvent::Refuse(lane) => {
@@ -255,19 +256,19 @@
             WorldEvent::Continue(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
                 let wanted = self.race.proven(lane);
-                assert!(!wanted || self.wires[lane].open, "a closed connection was proven");
+                assert!(!wanted || self.wires[lane].is_open, "a closed connection was proven");
             }
             WorldEvent::Close(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
-                self.wires[lane].open = false;
+                self.wires[lane].is_open = false;
                 self.race.failed(lane);
             }
-            WorldEvent::ExpectationFailed(lane, open) => {
+            WorldEvent::ExpectationFailed(lane, stays_open) => {
                 self.outstanding[lane] = Outstanding::Nothing;
                 // The answer ends the request with that head: a new request follows, on this or a new
                 // connection.
-                (self.wires[lane].head, self.wires[lane].open) = (false, open);
-                self.race.without_continue(lane, open);
+                (self.wires[lane].has_head, self.wires[lane].is_open) = (false, stays_open);
+                self.race.without_continue(lane, stays_open);
             }
             WorldEvent::Answer(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -22,7 +22,7 @@
 /// The result of one line of an expectation over all seeds: the worst figure and where it occurred.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Check {
-    /// The expected condition, as it stands in the configuration.
+    /// The expected condition, in the syntax of the configuration.
     pub what: String,
     pub held: bool,
     /// The worst figure.
@@ -49,6 +49,7 @@
     witness: Option<String>,
 }
 
+/// The sends and the end of a request, for the report.
 fn describe_request(request: &Request) -> String {
     let sends: Vec<String> = request
         .sends
@@ -61,6 +62,7 @@
     format!("request {}: {}; {end}", request.number, sends.join(", "))
 }
 
+/// Evaluates one condition on the requests of one run.
 fn measure(want: &Want, requests: &[Request]) -> Measurement {
     let first =
         |violates: &dyn Fn(&Request) -> bool| requests.iter().find(|r| violates(r)).map(describe_request);
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -12,11 +12,13 @@
 /// Simulated time at the start. It is well above 0, so that processes that started long ago have a start
 /// time.
 const START_TIME: Time = 1_000_000_000;
-/// Scripted engines: prompt tokens read per second, time to the first token, tokens of an answer, and time
-/// for each of them.
+/// Prompt tokens that a scripted engine reads per second.
 const READ_TOKENS_PER_S: f64 = 50_000.0;
+/// Time of a scripted engine to the first token of an answer.
 const FIRST_TOKEN_TIME: Time = 20 * MS;
+/// Tokens of a scripted answer.
 const ANSWER_TOKENS: u64 = 20;
+/// Time of a scripted engine for each token of an answer.
 const TOKEN_TIME: Time = 10 * MS;
 /// Average bytes of a token, as in the stand-in engines.
 const BYTES_PER_TOKEN: f64 = 4.0;
@@ -33,6 +35,7 @@
     pub end: Option<(Time, Final)>,
 }
 
+/// The state of one simulation.
 struct Simulation<'a> {
     core: Core,
     expect: &'a ExpectConfig,
