--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -1,4 +1,8 @@
-//! The answering side: one coroutine for each client's connection.
+//! The server side towards clients: one coroutine for each client connection.
+//!
+//! It parses requests, passes them to the event loop and writes the responses that come back over the
+//! response channel. It chooses no engine and talks to none. A connection is closed so that a response on its
+//! way is not lost, and a client that disconnects is noticed while it waits.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,135 +16,145 @@
 use elderstage_protocol::http::{self, Framing, HttpError, Limits, Request};
 
 use crate::Shared;
-use crate::connections::{ConnectionPermit, GRACE};
+use crate::connections::{ConnectionPermit, FIRST_REQUEST_GRACE};
 use crate::event_loop::Event;
 use crate::hold_at;
 use crate::memory::MemoryPermit;
-use crate::response::{Parts, ResponseChannel, ResponseEvent};
+use crate::response::{ForwardedRequest, ResponseChannel, ResponseEvent};
 
-/// A request is read whole within this time of its connection, or for later ones of its first byte: who sends what
-/// can't be read is owed an answer within three seconds of connecting.
-const READ: Duration = Duration::from_millis(2_100);
-/// A connection without a request is kept for so long while there is room.
-const IDLE: Duration = Duration::from_secs(6);
-/// A client that takes nothing for so long has gone.
-const WRITE: Duration = Duration::from_secs(5);
-/// What a client still sends after our end is read and dropped for so long and so much: a close over unread bytes would
-/// destroy an answer on its way.
-const LINGER: Duration = Duration::from_millis(400);
-const LINGER_BYTES: usize = 4 << 20;
-/// While the node ends, a connection that was accepted last has so long to bring the request that its client made it for.
-const ARRIVES: Duration = Duration::from_millis(300);
-/// Bytes read ahead of an answer without asking for memory; beyond, memory for a whole request is reserved.
-const AHEAD: usize = 16 << 10;
-/// Most bytes dropped in one look at a client that floods; the rest waits for others' turn.
-const FLOOD: usize = 256 << 10;
-/// Pause before the next look at such a client.
-const FLOOD_PAUSE: Duration = Duration::from_millis(5);
+/// Time limit for receiving a whole request, from the connection for the first request and from the first
+/// byte for later ones. A client that sends an invalid request must get a response within three seconds of
+/// connecting.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_100);
+/// Time that a connection without a request is kept open while there is room.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// A client that accepts no bytes for this time counts as disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Limits on receiving and discarding what a client still sends after the node has ended its side. Closing a
+/// socket with unreceived bytes resets the connection, which would destroy a response on its way.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_LINGER_BYTES: usize = 4 << 20;
+/// Time for the first request of a new connection while the node shuts down: its client connected to send
+/// one.
+const SHUTDOWN_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+/// Bytes received ahead of a response without a memory reservation. Beyond this, memory for a whole request
+/// is reserved.
+const MAX_UNRESERVED_BYTES: usize = 16 << 10;
+/// Maximum number of bytes discarded in one poll of a client that floods. The rest waits, so that other
+/// coroutines run.
+const MAX_DISCARD_PER_POLL: usize = 256 << 10;
+/// Pause before the next poll of such a client.
+const DISCARD_PAUSE: Duration = Duration::from_millis(5);
 /// Pause between two attempts to reserve memory for a body.
-const ROOM: Duration = Duration::from_millis(5);
-/// Most bytes of a head, and of a body.
-const LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
+const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum sizes of a request's head and body, in bytes.
+const REQUEST_LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
 /// Microseconds in a second.
-const SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why a client's connection is closed.
+/// Why a client's connection is closed. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Close {
-    /// The client has ended or reset it.
+    /// The client has closed or reset it.
     Client,
-    /// No request came in time.
+    /// No request arrived in time.
     Idle,
-    /// Another client needs its place, or the node ends.
+    /// Another client needs its place, or the node shuts down.
     Evicted,
-    /// What came can't be read, or not in time: it was told so.
+    /// The request was invalid or did not arrive in time. The client got an error response.
     BadRequest,
-    /// The client asked for it, or the answer has no end that could be told otherwise.
+    /// The response is written and the connection is not kept open: at the client's wish, or because only the
+    /// close marks the end of the response.
     Answered,
-    /// The stream broke: the client is told by the end of its connection.
+    /// The stream broke. The client learns of it by the end of its connection.
     StreamBroke,
-    /// The node ends.
+    /// The node shuts down.
     Shutdown,
 }
 
-/// Serves a connection to its end, and closes it so that nothing that was written is destroyed by the close.
+/// Serves a connection until it ends. Closes it in such a way that the client still gets all that was
+/// written.
 pub fn serve(shared: &Arc<Shared>, mut conn: Conn, permit: &ConnectionPermit) {
-    let reason = requests(shared, &mut conn, permit);
+    let reason = serve_requests(shared, &mut conn, permit);
     tracing::debug!(target: "closed", ?reason, unread = conn.pending().len());
-    // Others wait for the permit of an evicted one: it stays only for as long as its last answer may be on its way.
-    // It may have been evicted in the same instant in which its last request came.
-    let evicted = permit.connection.is_evicted() && !shared.closing();
-    let answered = conn.since_last_write().map_or(Duration::ZERO, |since| LINGER.saturating_sub(since));
-    conn.finish(if evicted { answered } else { LINGER }, LINGER_BYTES);
+    // New clients wait for the permit of an evicted connection, so it lingers only while its last response
+    // may be on its way. It may have been evicted in the instant in which its last request arrived.
+    let is_evicted = permit.connection.is_evicted() && !shared.is_closing();
+    let time_for_response =
+        conn.since_last_write().map_or(Duration::ZERO, |since| LINGER_TIMEOUT.saturating_sub(since));
+    conn.finish(if is_evicted { time_for_response } else { LINGER_TIMEOUT }, MAX_LINGER_BYTES);
 }
 
-fn requests(shared: &Arc<Shared>, conn: &mut Conn, permit: &ConnectionPermit) -> Close {
-    conn.limits = LIMITS;
-    conn.set_write_timeout(Some(WRITE));
+/// Serves one request after the other until the connection is to be closed.
+fn serve_requests(shared: &Arc<Shared>, conn: &mut Conn, permit: &ConnectionPermit) -> Close {
+    conn.limits = REQUEST_LIMITS;
+    conn.set_write_timeout(Some(WRITE_TIMEOUT));
     let accepted = Instant::now();
-    let mut first = true;
+    let mut is_first = true;
     loop {
-        if let Err(reason) = begins(shared, conn, permit, first, accepted) {
+        if let Err(reason) = wait_for_request(shared, conn, permit, is_first, accepted) {
             return reason;
         }
-        permit.busy();
-        let until = if first { accepted + READ } else { Instant::now() + READ };
-        first = false;
+        permit.mark_busy();
+        let until = if is_first { accepted + REQUEST_TIMEOUT } else { Instant::now() + REQUEST_TIMEOUT };
+        is_first = false;
         conn.set_deadline(Some(until));
         let head = match conn.request() {
             Ok(head) => head,
-            Err(NetError::Http(error)) => return refuse(conn, error.status(), &error.to_string()),
-            Err(NetError::TimedOut) => return refuse(conn, 408, "no whole request in time"),
+            Err(NetError::Http(error)) => return reject(conn, error.status(), &error.to_string()),
+            Err(NetError::TimedOut) => return reject(conn, 408, "the request did not arrive in time"),
             Err(_) => return Close::Client,
         };
         match ask::wanted(&head) {
             Ok(Wanted::Ready) => {
-                let status = if shared.ready.load(Ordering::SeqCst) { 200 } else { 503 };
-                let read = body(shared, conn, &head, until).is_ok();
-                let keep = head.keep_alive && stays(shared, conn);
-                if !(read && reply(conn, status, None, "", keep) && keep) {
+                let status = if shared.is_ready.load(Ordering::SeqCst) { 200 } else { 503 };
+                let is_received = receive_body(shared, conn, &head, until).is_ok();
+                let keep = head.keep_alive && may_keep_open(shared, conn);
+                if !(is_received && write_response(conn, status, None, "", keep) && keep) {
                     return Close::Answered;
                 }
             }
             Ok(Wanted::Chat) => {
-                if let Err(reason) = chat(shared, conn, head, until) {
+                if let Err(reason) = serve_chat(shared, conn, head, until) {
                     return reason;
                 }
             }
             Err(error) => {
-                // What is wrong with a head alone leaves the connection good, if no body follows.
-                let keep = head.framing == Framing::Length(0) && head.keep_alive && stays(shared, conn);
+                // The connection remains usable after an invalid head if no body follows.
+                let keep =
+                    head.framing == Framing::Length(0) && head.keep_alive && may_keep_open(shared, conn);
                 if !keep {
-                    return refuse(conn, error.status(), &error.to_string());
+                    return reject(conn, error.status(), &error.to_string());
                 }
-                if !reply(conn, error.status(), None, &error.to_string(), true) {
+                if !write_response(conn, error.status(), None, &error.to_string(), true) {
                     return Close::Client;
                 }
             }
         }
         conn.shrink();
-        permit.idle();
-        if shared.closing() && !conn.has_pending() {
+        permit.mark_idle();
+        if shared.is_closing() && !conn.has_pending() {
             return Close::Shutdown;
         }
     }
 }
 
-/// Whether a connection is kept after an answer, as far as the node is concerned. While the node ends, one is kept on
-/// which the next request has begun to come: what was read is answered, and the rest sees a close between requests.
-fn stays(shared: &Shared, conn: &Conn) -> bool {
-    !shared.closing() || conn.has_pending()
+/// Whether the node lets a connection stay open after a response. While the node shuts down, a connection
+/// stays open only if the next request has begun to arrive. That request is answered. All other clients see
+/// their connection closed between two requests.
+fn may_keep_open(shared: &Shared, conn: &Conn) -> bool {
+    !shared.is_closing() || conn.has_pending()
 }
 
-/// Waits for the first byte of a request. An error: the connection is to be closed.
-fn begins(
+/// Waits for the first byte of a request. `Err`: the connection is to be closed for this reason.
+fn wait_for_request(
     shared: &Shared,
     conn: &mut Conn,
     permit: &ConnectionPermit,
-    first: bool,
+    is_first: bool,
     accepted: Instant,
 ) -> Result<(), Close> {
-    let idle = Instant::now();
+    let idle_since = Instant::now();
     loop {
         if conn.has_pending() {
             return Ok(());
@@ -151,9 +165,13 @@
             Err(_) => return Err(Close::Client),
         }
         let now = Instant::now();
-        let mut until = if first { accepted + GRACE } else { idle + IDLE };
+        let mut until = if is_first { accepted + FIRST_REQUEST_GRACE } else { idle_since + IDLE_TIMEOUT };
         if permit.connection.is_evicted() {
-            until = if first && shared.closing() { until.min(accepted + ARRIVES) } else { now };
+            until = if is_first && shared.is_closing() {
+                until.min(accepted + SHUTDOWN_FIRST_REQUEST_TIMEOUT)
+            } else {
+                now
+            };
         }
         if now >= until {
             return Err(if permit.connection.is_evicted() { Close::Evicted } else { Close::Idle });
@@ -162,19 +180,23 @@
     }
 }
 
-/// Answers what can't be taken; its connection is to be closed.
-fn refuse(conn: &mut Conn, status: u16, why: &str) -> Close {
+/// Writes an error response to a request that cannot be served, and returns the reason to close the
+/// connection.
+fn reject(conn: &mut Conn, status: u16, why: &str) -> Close {
     tracing::debug!(target: "refused", status, why);
-    // Whether the client is still there to read it is not ours to know.
-    let _ = reply(conn, status, None, why, false);
+    // The connection is closed anyway, so it does not matter whether the client receives the response.
+    let _ = write_response(conn, status, None, why, false);
     Close::BadRequest
 }
 
-/// A short answer. `false`: the client has gone.
-fn reply(conn: &mut Conn, status: u16, retry_after: Option<&str>, why: &str, keep: bool) -> bool {
+/// Writes a response that is not a stream. `false`: the client has disconnected.
+fn write_response(conn: &mut Conn, status: u16, retry_after: Option<&str>, why: &str, keep: bool) -> bool {
     let mut out = Vec::with_capacity(256);
-    let body =
-        if why.is_empty() { String::new() } else { format!("{{\"error\":{{\"message\":{}}}}}", json(why)) };
+    let body = if why.is_empty() {
+        String::new()
+    } else {
+        format!("{{\"error\":{{\"message\":{}}}}}", json_string(why))
+    };
     let mut headers = vec![("content-type", "application/json")];
     if let Some(seconds) = retry_after {
         headers.push(("retry-after", seconds));
@@ -183,106 +205,125 @@
     conn.write(&out).is_ok()
 }
 
-fn json(text: &str) -> String {
+/// Encodes a text as a JSON string.
+fn json_string(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
 
-/// A body that was read whole.
-struct Whole {
+/// A body that was received completely.
+struct ReceivedBody {
     bytes: Vec<u8>,
-    memory: MemoryPermit,
-    /// When its last byte may have come at the latest: what waited for memory had come before.
-    came: Instant,
+    memory_permit: MemoryPermit,
+    /// The latest time at which the last byte may have arrived. A body that waited for memory may have
+    /// arrived before the wait, so the time of the wait is subtracted.
+    received_at: Instant,
 }
 
-/// Reads a body within its bound and the memory that is left for bodies.
-fn body(shared: &Shared, conn: &mut Conn, head: &Request, until: Instant) -> Result<Whole, (u16, String)> {
-    let asked = Instant::now();
-    let most = match head.framing {
+/// Receives a body within the size limit and the memory budget. `Err`: the status and message of the error
+/// response.
+fn receive_body(
+    shared: &Shared,
+    conn: &mut Conn,
+    head: &Request,
+    until: Instant,
+) -> Result<ReceivedBody, (u16, String)> {
+    let started = Instant::now();
+    let max_bytes = match head.framing {
         Framing::Length(n) => usize::try_from(n).unwrap_or(usize::MAX),
-        _ => LIMITS.body,
+        _ => REQUEST_LIMITS.body,
     };
-    let memory = loop {
-        if let Some(memory) = shared.bodies.reserve(most.min(LIMITS.body)) {
-            break memory;
+    let memory_permit = loop {
+        if let Some(permit) = shared.body_memory.reserve(max_bytes.min(REQUEST_LIMITS.body)) {
+            break permit;
         }
-        if Instant::now() + ROOM >= until || conn.is_closed() {
-            return Err((503, "no memory left for a body".into()));
+        if Instant::now() + MEMORY_RETRY_INTERVAL >= until || conn.is_closed() {
+            return Err((503, "no memory is left for the request body".into()));
         }
-        conn.pause(Some(Instant::now() + ROOM));
+        conn.pause(Some(Instant::now() + MEMORY_RETRY_INTERVAL));
     };
-    let waited = asked.elapsed();
-    let read = conn.take_body(head).and_then(|()| conn.body(head.framing));
-    match read {
-        Ok(bytes) => Ok(Whole { bytes, memory, came: Instant::now() - waited }),
+    let memory_wait = started.elapsed();
+    let received = conn.take_body(head).and_then(|()| conn.body(head.framing));
+    match received {
+        Ok(bytes) => Ok(ReceivedBody { bytes, memory_permit, received_at: Instant::now() - memory_wait }),
         Err(NetError::Http(error)) => {
             let status = if matches!(error, HttpError::BodyTooLarge(_)) { 413 } else { error.status() };
             Err((status, error.to_string()))
         }
-        Err(NetError::TimedOut) => Err((408, "no whole body in time".into())),
-        // Nobody is left to read it.
+        Err(NetError::TimedOut) => Err((408, "the request body did not arrive in time".into())),
+        // The connection has failed, so the client does not receive this response.
         Err(error) => Err((400, error.to_string())),
     }
 }
 
-/// One request and its answer. An error: the connection is to be closed.
-fn chat(shared: &Arc<Shared>, conn: &mut Conn, head: Request, until: Instant) -> Result<(), Close> {
-    let Whole { bytes: body, memory, came } = match body(shared, conn, &head, until) {
-        Ok(read) => read,
-        Err((status, why)) => return Err(refuse(conn, status, &why)),
-    };
+/// Serves one chat request. `Err`: the connection is to be closed for this reason.
+fn serve_chat(shared: &Arc<Shared>, conn: &mut Conn, head: Request, until: Instant) -> Result<(), Close> {
+    let ReceivedBody { bytes: body, memory_permit, received_at } =
+        match receive_body(shared, conn, &head, until) {
+            Ok(received) => received,
+            Err((status, why)) => return Err(reject(conn, status, &why)),
+        };
     let keep = head.keep_alive;
     let longest_wait = shared.longest_wait.load(Ordering::SeqCst);
-    let read = Ask::read(&head, body.len(), &shared.names, longest_wait);
-    let ask = match read {
+    let parsed = Ask::read(&head, body.len(), &shared.names, longest_wait);
+    let ask = match parsed {
         Ok(ask) if ask::is_object(&body) => ask,
         other => {
             let error = other.err().unwrap_or(ask::Refusal::Body);
-            let keep = keep && stays(shared, conn);
-            let kept = reply(conn, error.status(), None, &error.to_string(), keep) && keep;
+            let keep = keep && may_keep_open(shared, conn);
+            let kept = write_response(conn, error.status(), None, &error.to_string(), keep) && keep;
             return if kept { Ok(()) } else { Err(Close::BadRequest) };
         }
     };
-    let fields = forward::fields(&head);
+    let header_lines = forward::fields(&head);
     let Request { method, target, .. } = head;
-    let parts = Parts { trace: ask.trace.clone(), method, target, fields, body, _memory: memory };
-    let channel = ResponseChannel::new(parts, conn.waker());
+    let request = ForwardedRequest {
+        trace: ask.trace.clone(),
+        method,
+        target,
+        header_lines,
+        body,
+        _memory_permit: memory_permit,
+    };
+    let channel = ResponseChannel::new(request, conn.waker());
     let id = ReqId(shared.next_id.fetch_add(1, Ordering::Relaxed));
-    shared.submit(Event::Open { id, ask, channel: channel.clone(), came });
-    let answered = answer(shared, conn, &channel, id, keep);
+    shared.submit(Event::RequestReceived { id, ask, channel: channel.clone(), received_at });
+    let result = relay_response(shared, conn, &channel, id, keep);
     channel.close();
-    answered
+    result
 }
 
-/// Whether a client that waits for its answer is still there. Its end stands behind whatever it has sent meanwhile, so
-/// that is read ahead: for the next request where there is memory for one, else to be dropped, and then its connection
-/// ends with this answer.
+/// Detects whether a client that waits for its response has disconnected. The end of a connection comes after
+/// all bytes that the client has sent meanwhile, so these are received ahead. They are kept for the next
+/// request if there is memory for one. Otherwise they are discarded, and the connection is closed after the
+/// response.
 #[derive(Default)]
-struct Ahead {
-    memory: Option<MemoryPermit>,
-    dropped: bool,
-    /// There is more to be read than one look takes.
-    more: bool,
+struct ReadAhead {
+    /// Memory for the next request, once more than `MAX_UNRESERVED_BYTES` have arrived.
+    memory_permit: Option<MemoryPermit>,
+    /// Bytes were discarded, so the connection cannot carry another request.
+    has_discarded: bool,
+    /// The last poll stopped before it had received all available bytes.
+    has_more: bool,
 }
 
-impl Ahead {
-    /// `true`: the client has gone.
-    fn look(&mut self, shared: &Shared, conn: &mut Conn) -> bool {
-        let mut flood = 0;
-        self.more = false;
+impl ReadAhead {
+    /// Receives available bytes. `true`: the client has disconnected.
+    fn poll_disconnected(&mut self, shared: &Shared, conn: &mut Conn) -> bool {
+        let mut discarded = 0;
+        self.has_more = false;
         loop {
-            let held = conn.pending().len();
-            if held > AHEAD && self.memory.is_none() && !self.dropped {
-                self.memory = shared.bodies.reserve(LIMITS.body);
-                self.dropped = self.memory.is_none();
+            let pending = conn.pending().len();
+            if pending > MAX_UNRESERVED_BYTES && self.memory_permit.is_none() && !self.has_discarded {
+                self.memory_permit = shared.body_memory.reserve(REQUEST_LIMITS.body);
+                self.has_discarded = self.memory_permit.is_none();
             }
-            if held > LIMITS.head + LIMITS.body || self.dropped {
-                self.dropped = true;
-                flood += held;
+            if pending > REQUEST_LIMITS.head + REQUEST_LIMITS.body || self.has_discarded {
+                self.has_discarded = true;
+                discarded += pending;
                 conn.used(usize::MAX);
             }
-            if flood > FLOOD {
-                self.more = true;
+            if discarded > MAX_DISCARD_PER_POLL {
+                self.has_more = true;
                 return false;
             }
             match conn.fill_now() {
@@ -294,61 +335,68 @@
     }
 }
 
-fn answer(
+/// Writes the events of the response channel to the client until the response is complete. `Err`: the
+/// connection is to be closed for this reason.
+fn relay_response(
     shared: &Arc<Shared>,
     conn: &mut Conn,
     channel: &ResponseChannel,
     id: ReqId,
     keep: bool,
 ) -> Result<(), Close> {
-    let stays_open = |kept: bool| if kept { Ok(()) } else { Err(Close::Answered) };
-    let (mut begun, mut out, mut ahead) = (false, Vec::new(), Ahead::default());
+    let ok_if_kept = |kept: bool| if kept { Ok(()) } else { Err(Close::Answered) };
+    let (mut has_begun, mut out, mut read_ahead) = (false, Vec::new(), ReadAhead::default());
     loop {
-        let mut whole = false;
+        let mut is_complete = false;
         out.clear();
-        while let Some(event) = channel.take() {
+        while let Some(event) = channel.pop() {
             match event {
                 ResponseEvent::Events(events) => {
-                    if !begun {
-                        begun = true;
+                    if !has_begun {
+                        has_begun = true;
                         http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
                     }
                     http::write_chunk(&events, &mut out);
                 }
-                ResponseEvent::Whole => {
+                ResponseEvent::Complete => {
                     out.extend_from_slice(http::LAST_CHUNK);
-                    whole = true;
+                    is_complete = true;
                 }
-                ResponseEvent::Cut => {
-                    // Its connection ends without the last chunk.
+                ResponseEvent::Broken => {
+                    // The missing last chunk tells the client that the stream is incomplete.
                     let _ = conn.write(&out);
                     return Err(Close::StreamBroke);
                 }
-                ResponseEvent::Last(last) => {
-                    let keep = keep && stays(shared, conn) && !ahead.dropped;
+                ResponseEvent::Final(last) => {
+                    let keep = keep && may_keep_open(shared, conn) && !read_ahead.has_discarded;
                     let kept = match last {
-                        Last::Refused { retry_after: 0 } => reply(conn, 503, None, "turned away", keep),
+                        Last::Refused { retry_after: 0 } => {
+                            write_response(conn, 503, None, "turned away", keep)
+                        }
                         Last::Refused { retry_after } => {
-                            let seconds = format!("{:.3}", retry_after as f64 / SECOND);
-                            reply(conn, 503, Some(&seconds), "turned away", keep)
+                            let seconds = format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND);
+                            write_response(conn, 503, Some(&seconds), "turned away", keep)
                         }
-                        Last::Failed => reply(conn, 502, None, "failed; it may have run", keep),
-                        Last::Open => reply(conn, 409, None, &ask::Refusal::Open.to_string(), keep),
+                        Last::Failed => write_response(conn, 502, None, "failed; it may have run", keep),
+                        Last::Open => write_response(conn, 409, None, &ask::Refusal::Open.to_string(), keep),
                     };
-                    return stays_open(kept && keep);
+                    return ok_if_kept(kept && keep);
                 }
             }
         }
-        if (!out.is_empty() && conn.write(&out).is_err()) || (!whole && ahead.look(shared, conn)) {
-            // Closed first: nothing is begun for it from here on, however long the event waits for the event loop.
+        if (!out.is_empty() && conn.write(&out).is_err())
+            || (!is_complete && read_ahead.poll_disconnected(shared, conn))
+        {
+            // The channel is closed first, so no attempt begins for this request even if the event waits in
+            // the queue.
             channel.close();
-            shared.submit(Event::Hub(Input::Gone { id }));
-            hold_at!("client-gone-{}", channel.parts.trace);
+            shared.submit(Event::HubInput(Input::Gone { id }));
+            hold_at!("client-gone-{}", channel.request.trace);
             return Err(Close::Client);
         }
-        if whole {
-            return stays_open(keep && stays(shared, conn) && !ahead.dropped);
+        if is_complete {
+            return ok_if_kept(keep && may_keep_open(shared, conn) && !read_ahead.has_discarded);
         }
-        conn.pause(ahead.more.then(|| Instant::now() + FLOOD_PAUSE));
+        conn.pause(read_ahead.has_more.then(|| Instant::now() + DISCARD_PAUSE));
     }
 }
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,7 +1,9 @@
-//! Clients' connections: how many there are, and which may be closed to make room.
+//! Admission of clients' connections: how many are open, and which may be closed to make room.
 //!
-//! A connection with no open request may be closed once it has been so for two seconds; a younger one is closed only
-//! when there is no other room.
+//! A connection without an open request may be closed once it has been idle for two seconds. One that has
+//! been idle for less is closed only when there is no other way to make room. A connection with an open
+//! request is never evicted. This module does no I/O: it marks a connection as evicted and wakes the
+//! coroutine that serves it.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -10,28 +12,28 @@
 
 use elderstage_net::Waker;
 
-/// A connection without a request is anybody's to close after this time; the platform's figure and a little.
-pub const GRACE: Duration = Duration::from_millis(2_100);
+/// Time that a new connection is kept open without a request: the platform's two seconds and a margin.
+pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(2_100);
 
-/// Connections over the bound: those that come in before the evicted ones have closed. The node's own descriptors hold
-/// room for them.
-pub const EVICTING: usize = 16;
+/// Maximum number of connections over the bound: those admitted before the evicted ones have closed. The
+/// node's reserved descriptors include them.
+pub const MAX_EVICTING: usize = 16;
 
-/// Stands for "has a request" where a connection's idle time is kept.
+/// Value of `idle_since` of a connection that has a request.
 const BUSY: u64 = u64::MAX;
 
-/// What is known of one connection.
+/// The state of one client connection.
 pub struct ConnectionState {
     /// Microseconds since the start at which it last became idle; [`BUSY`] while it has a request.
     idle_since: AtomicU64,
-    evicted: AtomicBool,
+    is_evicted: AtomicBool,
     waker: Waker,
 }
 
 impl ConnectionState {
-    /// Whether it is to close as soon as it has no request.
+    /// Whether the connection is to be closed as soon as it has no request.
     pub fn is_evicted(&self) -> bool {
-        self.evicted.load(Ordering::SeqCst)
+        self.is_evicted.load(Ordering::SeqCst)
     }
 
     fn is_idle(&self) -> bool {
@@ -43,12 +45,12 @@
     }
 
     fn evict(&self) {
-        self.evicted.store(true, Ordering::SeqCst);
+        self.is_evicted.store(true, Ordering::SeqCst);
         self.waker.wake();
     }
 }
 
-/// All open connections of clients, and the bound on them.
+/// All open client connections, and the bound on their number.
 pub struct ClientConnections {
     start: Instant,
     max: usize,
@@ -56,89 +58,95 @@
     open: Mutex<HashMap<usize, Arc<ConnectionState>>>,
 }
 
-/// What becomes of a connection that comes in.
+/// The decision on a new connection.
 pub enum Admission {
+    /// The connection may be served.
     Granted(ConnectionPermit),
-    /// There will be room when those that were evicted have closed.
+    /// There will be room when the evicted connections have closed.
     WaitForEviction,
-    /// All connections have requests.
+    /// All connections have open requests.
     Full,
 }
 
-/// The right to one open connection, given back when dropped.
+/// The permission for one open connection. Dropping it makes room for another.
 pub struct ConnectionPermit {
-    of: Arc<ClientConnections>,
+    all: Arc<ClientConnections>,
     key: usize,
     pub connection: Arc<ConnectionState>,
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.of.open().remove(&self.key);
+        self.all.lock().remove(&self.key);
     }
 }
 
 impl ConnectionPermit {
-    /// A request has begun: the connection is not evicted for another.
-    pub fn busy(&self) {
+    /// Records that a request has begun. The connection is not evicted until [`Self::mark_idle`].
+    pub fn mark_busy(&self) {
         self.connection.idle_since.store(BUSY, Ordering::SeqCst);
     }
 
-    /// The request is answered.
-    pub fn idle(&self) {
-        self.connection.idle_since.store(self.of.micros(), Ordering::SeqCst);
+    /// Records that the request has been answered.
+    pub fn mark_idle(&self) {
+        self.connection.idle_since.store(self.all.micros_since_start(), Ordering::SeqCst);
     }
 }
 
 impl ClientConnections {
+    /// Creates an empty set that admits `max` connections.
     pub fn new(max: usize) -> Arc<ClientConnections> {
         let (next_key, open) = (AtomicUsize::new(0), Mutex::default());
         Arc::new(ClientConnections { start: Instant::now(), max, next_key, open })
     }
 
-    fn open(&self) -> MutexGuard<'_, HashMap<usize, Arc<ConnectionState>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<usize, Arc<ConnectionState>>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn micros(&self) -> u64 {
+    fn micros_since_start(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(BUSY - 1)
     }
 
+    /// The number of open connections.
     pub fn len(&self) -> usize {
-        self.open().len()
+        self.lock().len()
     }
 
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
-        self.open().is_empty()
+        self.lock().is_empty()
     }
 
-    /// Admits a connection. When the bound is reached, the one that has been idle longest is evicted for it.
+    /// Admits a connection. When the bound is reached, the connection that has been idle longest is evicted
+    /// for it.
     pub fn admit(self: &Arc<ClientConnections>, waker: Waker) -> Admission {
-        let mut open = self.open();
+        let mut open = self.lock();
         if open.len() >= self.max {
-            let evicting = open.values().any(|connection| connection.is_evicted() && connection.is_idle());
-            let refused = if evicting { Admission::WaitForEviction } else { Admission::Full };
+            let has_evicting =
+                open.values().any(|connection| connection.is_evicted() && connection.is_idle());
+            let denied = if has_evicting { Admission::WaitForEviction } else { Admission::Full };
             let evictable =
                 open.values().filter(|connection| !connection.is_evicted() && connection.is_idle());
             let Some(oldest) = evictable.min_by_key(|connection| connection.idle_since()) else {
-                return refused;
+                return denied;
             };
-            if open.len() >= self.max + EVICTING {
-                return refused;
+            if open.len() >= self.max + MAX_EVICTING {
+                return denied;
             }
             oldest.evict();
         }
-        let idle_since = AtomicU64::new(self.micros());
-        let connection = Arc::new(ConnectionState { idle_since, evicted: AtomicBool::new(false), waker });
+        let idle_since = AtomicU64::new(self.micros_since_start());
+        let connection = Arc::new(ConnectionState { idle_since, is_evicted: AtomicBool::new(false), waker });
         let key = self.next_key.fetch_add(1, Ordering::Relaxed);
         open.insert(key, connection.clone());
         drop(open);
-        Admission::Granted(ConnectionPermit { of: self.clone(), key, connection })
+        Admission::Granted(ConnectionPermit { all: self.clone(), key, connection })
     }
 
-    /// Evicts all that have no request.
-    pub fn close_idle(&self) {
-        self.open()
+    /// Evicts all connections without a request.
+    pub fn evict_idle(&self) {
+        self.lock()
             .values()
             .filter(|connection| connection.is_idle())
             .for_each(|connection| connection.evict());
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,5 +1,7 @@
-//! The sockets of the watch on discovery: opened, read, and opened anew when `elderstage_platform::watch` says so or
-//! discovery moves to another address.
+//! The connection to discovery over which the node watches the server list.
+//!
+//! It is opened again when it fails, and when discovery moves to another address. The protocol of the watch,
+//! its deadlines and its retry times belong to `elderstage_platform::watch`. This module does the socket I/O.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,18 +19,19 @@
 use crate::event_loop::Event;
 use crate::hold_at;
 
-/// Wait for a connection: it is on the same machine.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Pause between two comparison for another address.
+/// Time limit for connecting and for writing the request. Discovery runs on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Poll interval for a change of discovery's address.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum sizes of the head of discovery's response and of a server list, in bytes.
 const LIMITS: Limits = Limits { head: 16 << 10, body: MOST };
 
-/// Watches until the process ends.
-pub fn watch(shared: &Arc<Shared>, clock: Clock, seq: u64) {
+/// Watches discovery until the process ends.
+pub fn run_watch(shared: &Arc<Shared>, clock: Clock, seq: u64) {
     let mut watch = Watch::new(seq);
     loop {
         let (at, generation) = shared.discovery();
-        match session(shared, clock, at, generation, &mut watch) {
+        match watch_session(shared, clock, at, generation, &mut watch) {
             Ok(()) => tracing::info!(target: "node", %at, "discovery has another address"),
             Err(error) => tracing::warn!(target: "node", %at, %error, "watch on discovery ended"),
         }
@@ -37,19 +40,20 @@
     }
 }
 
-/// What the wall clock is ahead of the node's clock, in microseconds: nothing, until it is stepped.
-fn wall_ahead(clock: Clock) -> i64 {
+/// How far the wall clock is ahead of the node's clock, in microseconds. It is about zero until the wall
+/// clock is stepped.
+fn wall_clock_offset_us(clock: Clock) -> i64 {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let wall = i64::try_from(wall.as_micros()).unwrap_or(i64::MAX);
     wall.saturating_sub_unsigned(clock.now())
 }
 
-fn other(error: impl std::fmt::Display) -> NetError {
+fn io_error(error: impl std::fmt::Display) -> NetError {
     NetError::Io(std::io::Error::other(error.to_string()))
 }
 
-/// One watch; ends well where discovery has moved.
-fn session(
+/// Watches over one connection. Returns `Ok` when discovery's address has changed.
+fn watch_session(
     shared: &Arc<Shared>,
     clock: Clock,
     at: SocketAddr,
@@ -57,12 +61,12 @@
     watch: &mut Watch,
 ) -> Result<(), NetError> {
     let index = watch.begin(clock.now());
-    let mut conn = open(Place::Tcp(at), CONNECT)?;
+    let mut conn = open(Place::Tcp(at), CONNECT_TIMEOUT)?;
     conn.limits = LIMITS;
-    conn.set_write_timeout(Some(CONNECT));
-    let text = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: {at}\r\n\r\n");
-    conn.write(text.as_bytes())?;
-    let (mut body, mut held) = (None, Vec::new());
+    conn.set_write_timeout(Some(CONNECT_TIMEOUT));
+    let request = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: {at}\r\n\r\n");
+    conn.write(request.as_bytes())?;
+    let (mut body, mut received) = (None, Vec::new());
     loop {
         if shared.discovery().1 != generation {
             return Ok(());
@@ -71,7 +75,10 @@
             None => {
                 if let Some(head) = conn.response_now()? {
                     if head.status != 200 {
-                        return Err(other(format_args!("status {}", head.status)));
+                        return Err(io_error(format_args!(
+                            "discovery answered with status {}, expected 200",
+                            head.status
+                        )));
                     }
                     watch.answered(clock.now());
                     body = Some(Body::new(head.framing));
@@ -79,28 +86,28 @@
                 }
             }
             Some(body) => {
-                let n = body.push(conn.pending(), &mut held)?;
+                let n = body.push(conn.pending(), &mut received)?;
                 conn.used(n);
-                for list in watch.take(clock.now(), &held, &shared.names).map_err(other)? {
+                for list in watch.take(clock.now(), &received, &shared.names).map_err(io_error)? {
                     let (seq, whole, hosts) = (list.seq, list.whole, list.hosts.len());
                     tracing::debug!(target: "discovery", seq, whole, hosts);
-                    shared.submit(Event::Hub(Input::WallClock { ahead: wall_ahead(clock) }));
-                    shared.submit(Event::Hub(Input::Listed { list, restored: false }));
-                    shared.listed.store(true, Ordering::SeqCst);
+                    shared.submit(Event::HubInput(Input::WallClock { ahead: wall_clock_offset_us(clock) }));
+                    shared.submit(Event::HubInput(Input::Listed { list, restored: false }));
+                    shared.has_server_list.store(true, Ordering::SeqCst);
                     hold_at!("listed-{seq}");
                 }
-                held.clear();
+                received.clear();
                 if body.done() && body.framing() != Framing::UntilClose {
                     return Err(NetError::Closed);
                 }
             }
         }
         if !conn.fill_now()? {
-            let left = Duration::from_micros(watch.deadline().saturating_sub(clock.now()));
-            if left.is_zero() {
+            let time_left = Duration::from_micros(watch.deadline().saturating_sub(clock.now()));
+            if time_left.is_zero() {
                 return Err(NetError::TimedOut);
             }
-            conn.pause(Some(Instant::now() + left.min(POLL_INTERVAL)));
+            conn.pause(Some(Instant::now() + time_left.min(POLL_INTERVAL)));
         }
     }
 }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,6 +1,9 @@
-//! The asking side: attempts, probes and releases, each in a coroutine of its own, on one connection at a time.
+//! The client side towards engines: attempts, probes and releases. Each runs in a coroutine of its own and
+//! uses one connection at a time.
 //!
-//! What an attempt came to is told only after its connection is closed or free: an attempt is its connection.
+//! Nothing is decided here: outcomes go to the event loop. The outcome of an attempt is submitted only after
+//! its connection is closed or back in the pool, so that an open attempt always stands for one connection in
+//! use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,165 +21,182 @@
 use crate::Shared;
 use crate::event_loop::Event;
 use crate::hold_at;
-use crate::pool::Link;
+use crate::pool::PooledConnection;
 use crate::response::{AttemptStart, ResponseChannel, ResponseEvent};
 
-/// An engine whose stream brings nothing for so long is gone without a word (TCP tells nothing of a machine that is
-/// cut off): its client must hear of it within five seconds of the last event.
-const SILENT: Duration = Duration::from_millis(4_300);
-/// Poll interval for a client that does not keep up.
-const CLIENT_WAIT: Duration = Duration::from_millis(5);
-/// Most bytes of the body of an answer that is no stream.
-const MOST_BODY: usize = 64 << 10;
-/// Wait for the rest of a body that decides nothing, so that its connection can be used again.
-const REST: Duration = Duration::from_millis(50);
-/// A probe or a release is answered at once, or not at all.
-const SMALL: Duration = Duration::from_millis(250);
-/// Others are told meanwhile, so a call may wait as long as a connection that comes up late needs.
-const RELEASE: Duration = Duration::from_millis(240);
-/// What an engine's head may take: 16 KiB, as common proxies allow.
-const HEAD: Limits = Limits { head: 16 << 10, body: MOST_BODY };
+/// Longest gap between events of a stream. TCP does not report a machine that is cut off from the network, so
+/// an engine that sends nothing for this time counts as gone. The client must learn of it within five seconds
+/// of the last event.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_300);
+/// Poll interval while a client reads its stream too slowly.
+const SLOW_CLIENT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum body size of a response that is not a stream, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// Time to receive a body whose content is not used. It is received only so that its connection can be
+/// reused.
+const UNUSED_BODY_TIMEOUT: Duration = Duration::from_millis(50);
+/// Time limit for a probe, and for the body of a prefill response. Engines answer these at once or not at
+/// all.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time limit for one release call. Calls to other engines run at the same time, so each may wait for a
+/// connection that is slow to open.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(240);
+/// Limits on a response. The head may take 16 KiB, as common proxies allow.
+const RESPONSE_LIMITS: Limits = Limits { head: 16 << 10, body: MAX_BODY_BYTES };
 
-/// One attempt.
+/// One attempt to have a request served by one engine.
 pub struct Attempt {
     pub id: ReqId,
-    pub attempt: u32,
+    /// Number of this attempt within its request, from 0.
+    pub number: u32,
     pub server: ServerId,
     pub dial: SocketAddr,
     pub timeout: Duration,
-    /// It may be sent again, whatever comes of it.
-    pub harmless: bool,
+    /// The request may be sent again whatever the outcome.
+    pub is_harmless: bool,
     pub channel: Arc<ResponseChannel>,
 }
 
-/// One call that lets go of what is held for a request.
-pub struct Release {
+/// One call that asks an engine to release the state held for a request.
+pub struct ReleaseCall {
     pub id: ReqId,
     pub trace: Box<str>,
+    /// The engine that holds the state.
     pub holder: ServerId,
-    /// Which release of the request it belongs to.
+    /// Number of the request's release that the call belongs to.
     pub round: u32,
-    /// Who is told, and where.
+    /// The engine that is called, and its address.
     pub engine: ServerId,
     pub dial: SocketAddr,
 }
 
 /// How an attempt ended.
-struct End {
+struct AttemptEnd {
     outcome: Outcome,
+    /// Detail of the outcome for the routing module, such as the number of cached prompt tokens.
     note: u64,
+    /// The engine's load report.
     report: Option<String>,
-    /// The client's stream has begun.
-    begun: bool,
-    /// Events of it that were passed on.
+    /// Whether the client's stream has begun.
+    has_begun: bool,
+    /// Number of stream events that were passed on.
     events: u64,
 }
 
-impl End {
-    fn of(outcome: Outcome, note: u64, report: Option<String>) -> End {
-        End { outcome, note, report, begun: false, events: 0 }
+impl AttemptEnd {
+    fn without_stream(outcome: Outcome, note: u64, report: Option<String>) -> AttemptEnd {
+        AttemptEnd { outcome, note, report, has_begun: false, events: 0 }
     }
 }
 
-pub fn attempt(shared: &Arc<Shared>, job: Attempt) {
+/// Runs an attempt in a coroutine of its own and submits its outcome.
+pub fn start_attempt(shared: &Arc<Shared>, attempt: Attempt) {
     let shared = shared.clone();
     go(move || {
-        let begun = Instant::now();
-        let end = run(&shared, &job, begun + job.timeout);
-        job.channel.finish(job.attempt);
-        if end.begun {
-            job.channel.send(if end.outcome == Outcome::Served {
-                ResponseEvent::Whole
+        let started = Instant::now();
+        let end = run_attempt(&shared, &attempt, started + attempt.timeout);
+        attempt.channel.finish_attempt(attempt.number);
+        if end.has_begun {
+            attempt.channel.send(if end.outcome == Outcome::Served {
+                ResponseEvent::Complete
             } else {
-                ResponseEvent::Cut
+                ResponseEvent::Broken
             });
         }
         tracing::debug!(
-            target: "attempt", trace = %job.channel.parts.trace, attempt = job.attempt, server = %job.server.0,
-            outcome = ?end.outcome, note = end.note, took_ms = begun.elapsed().as_millis() as u64,
+            target: "attempt", trace = %attempt.channel.request.trace, attempt = attempt.number, server = %attempt.server.0,
+            outcome = ?end.outcome, note = end.note, took_ms = started.elapsed().as_millis() as u64,
         );
-        let End { outcome, note, report, events, .. } = end;
-        let (id, attempt) = (job.id, job.attempt);
-        shared.submit(Event::Hub(Input::Ended { id, attempt, outcome, note, report, events }));
+        let AttemptEnd { outcome, note, report, events, .. } = end;
+        let (id, number) = (attempt.id, attempt.number);
+        shared.submit(Event::HubInput(Input::Ended { id, attempt: number, outcome, note, report, events }));
     });
 }
 
-fn run(shared: &Arc<Shared>, job: &Attempt, until: Instant) -> End {
-    let ended = |reached, cut| End::of(reply::without_answer(reached, cut), 0, None);
-    let left = || until.saturating_duration_since(Instant::now());
-    if left().is_zero() {
+/// Runs an attempt until it has ended, at the latest at `deadline`.
+fn run_attempt(shared: &Arc<Shared>, attempt: &Attempt, deadline: Instant) -> AttemptEnd {
+    let ended = |reached, cut| AttemptEnd::without_stream(reply::without_answer(reached, cut), 0, None);
+    let time_left = || deadline.saturating_duration_since(Instant::now());
+    if time_left().is_zero() {
         return ended(Reached::NotWhole, Cut::TimedOut);
     }
-    let mut link = match shared.pool.take(job.dial, shared.connect.min(left()), job.harmless) {
-        Ok(link) => link,
-        Err(error) => {
-            tracing::debug!(target: "link", what = "connect", %error, server = %job.server.0, "cut");
-            return ended(Reached::NotWhole, Cut::Broken);
-        }
-    };
-    hold_at!("attempt-connected-{}", job.channel.parts.trace);
-    let _in_flight = shared.in_flight.begin(job.dial);
-    let waker = link.conn().waker();
-    match job.channel.begin(job.attempt, waker) {
+    let mut connection =
+        match shared.pool.acquire(attempt.dial, shared.connect_timeout.min(time_left()), attempt.is_harmless)
+        {
+            Ok(connection) => connection,
+            Err(error) => {
+                tracing::debug!(target: "link", what = "connect", %error, server = %attempt.server.0, "cut");
+                return ended(Reached::NotWhole, Cut::Broken);
+            }
+        };
+    hold_at!("attempt-connected-{}", attempt.channel.request.trace);
+    let _in_flight = shared.in_flight.begin(attempt.dial);
+    let waker = connection.conn().waker();
+    match attempt.channel.begin_attempt(attempt.number, waker) {
         AttemptStart::Proceed => {}
         AttemptStart::Cancelled => {
-            link.keep();
+            connection.return_to_pool();
             return ended(Reached::NotWhole, Cut::Cancelled);
         }
         AttemptStart::Withdrawn => {
-            link.keep();
+            connection.return_to_pool();
             return ended(Reached::NotWhole, Cut::Broken);
         }
     }
-    let idle = link.idle;
-    let trace = |what: &str, cut: Cut| {
-        tracing::debug!(target: "link", what, ?cut, ?idle, server = %job.server.0, "cut");
+    let idle = connection.idle_time;
+    let log_cut = |what: &str, cut: Cut| {
+        tracing::debug!(target: "link", what, ?cut, ?idle, server = %attempt.server.0, "cut");
     };
-    if let Err(cut) = write(&mut link, job, left()) {
-        trace("write", cut);
-        link.told(cut == Cut::Broken);
-        drop(link);
+    if let Err(cut) = write_request(&mut connection, attempt, time_left()) {
+        log_cut("write", cut);
+        connection.record_outcome(cut == Cut::Broken);
+        drop(connection);
         return ended(Reached::NotWhole, cut);
     }
-    let end = answer(shared, &mut link, job, until);
+    let end = receive_response(shared, &mut connection, attempt, deadline);
     match &end {
-        Ok(_) => link.told(false),
+        Ok(_) => connection.record_outcome(false),
         Err(cut) => {
-            let silent = !link.conn().has_pending();
-            link.told(*cut == Cut::Broken && silent);
+            let is_silent = !connection.conn().has_pending();
+            connection.record_outcome(*cut == Cut::Broken && is_silent);
         }
     }
     match end {
         Ok((end, true)) => {
-            link.keep();
+            connection.return_to_pool();
             end
         }
         Ok((end, false)) => end,
         Err(cut) => {
-            trace(if link.conn().has_pending() { "half a head" } else { "answer" }, cut);
+            log_cut(if connection.conn().has_pending() { "half a head" } else { "answer" }, cut);
             ended(Reached::Whole, cut)
         }
     }
 }
 
-fn write(link: &mut Link, job: &Attempt, left: Duration) -> Result<(), Cut> {
-    let parts = &job.channel.parts;
+/// Writes the whole request. Fails with the reason why the last byte was not written.
+fn write_request(
+    connection: &mut PooledConnection,
+    attempt: &Attempt,
+    time_left: Duration,
+) -> Result<(), Cut> {
+    let request = &attempt.channel.request;
     let mut head = Vec::with_capacity(512);
     head.extend_from_slice(
-        format!("{} {} HTTP/1.1\r\nHost: {}\r\n", parts.method, parts.target, job.dial).as_bytes(),
+        format!("{} {} HTTP/1.1\r\nHost: {}\r\n", request.method, request.target, attempt.dial).as_bytes(),
     );
     head.extend_from_slice(
-        format!("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", parts.trace, left.as_millis()).as_bytes(),
+        format!("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", request.trace, time_left.as_millis()).as_bytes(),
     );
-    head.extend_from_slice(&parts.fields);
-    head.extend_from_slice(format!("Content-Length: {}\r\n\r\n", parts.body.len()).as_bytes());
-    let conn = link.conn();
-    conn.limits = HEAD;
-    conn.set_write_timeout(Some(left));
-    // An engine may take nothing more for a while, and the client leave meanwhile.
-    let wanted = || !job.channel.is_cancelled(job.attempt) && !job.channel.is_closed();
-    for bytes in [&head, &parts.body] {
-        match conn.write_while(bytes, wanted) {
+    head.extend_from_slice(&request.header_lines);
+    head.extend_from_slice(format!("Content-Length: {}\r\n\r\n", request.body.len()).as_bytes());
+    let conn = connection.conn();
+    conn.limits = RESPONSE_LIMITS;
+    conn.set_write_timeout(Some(time_left));
+    // The engine may stop reading for a while, and the client may leave meanwhile.
+    let is_wanted = || !attempt.channel.is_cancelled(attempt.number) && !attempt.channel.is_closed();
+    for bytes in [&head, &request.body] {
+        match conn.write_while(bytes, is_wanted) {
             Ok(true) => {}
             Ok(false) => return Err(Cut::Cancelled),
             Err(NetError::TimedOut) => return Err(Cut::TimedOut),
@@ -186,172 +206,211 @@
     Ok(())
 }
 
-/// Waits for more of an answer.
-fn more(link: &mut Link, job: Option<&Attempt>, until: Instant) -> Result<(), Cut> {
+/// Waits for more bytes of a response. Returns early, without new bytes, when the attempt's stream is to be
+/// cut.
+fn receive_more(
+    connection: &mut PooledConnection,
+    attempt: Option<&Attempt>,
+    deadline: Instant,
+) -> Result<(), Cut> {
     loop {
-        if job.is_some_and(|job| job.channel.is_cancelled(job.attempt)) {
+        if attempt.is_some_and(|attempt| attempt.channel.is_cancelled(attempt.number)) {
             return Err(Cut::Cancelled);
         }
-        match link.conn().fill_now() {
+        match connection.conn().fill_now() {
             Ok(true) => return Ok(()),
             Ok(false) => {}
             Err(_) => return Err(Cut::Broken),
         }
-        if job.is_some_and(|job| job.channel.is_cut()) {
+        if attempt.is_some_and(|attempt| attempt.channel.is_stream_cut()) {
             return Ok(());
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(Cut::TimedOut);
         }
-        link.conn().pause(Some(until));
+        connection.conn().pause(Some(deadline));
     }
 }
 
-fn head(link: &mut Link, job: Option<&Attempt>, until: Instant) -> Result<Response, Cut> {
+/// Receives the head of a response.
+fn receive_head(
+    connection: &mut PooledConnection,
+    attempt: Option<&Attempt>,
+    deadline: Instant,
+) -> Result<Response, Cut> {
     loop {
-        if let Some(head) = link.conn().response_now().map_err(|_| Cut::Broken)? {
+        if let Some(head) = connection.conn().response_now().map_err(|_| Cut::Broken)? {
             return Ok(head);
         }
-        more(link, job, until)?;
+        receive_more(connection, attempt, deadline)?;
     }
 }
 
-/// A body that is no stream, and whether its connection can be used again.
-fn body(link: &mut Link, head: &Response, until: Instant) -> (Vec<u8>, bool) {
-    let (mut body, mut out) = (Body::new(head.framing).with_most_chunk(MOST_BODY as u64), Vec::new());
-    if matches!(head.framing, Framing::Length(n) if n > MOST_BODY as u64)
+/// Receives a body that is not a stream, and tells whether its connection can be reused.
+fn receive_body(connection: &mut PooledConnection, head: &Response, deadline: Instant) -> (Vec<u8>, bool) {
+    let (mut body, mut out) = (Body::new(head.framing).with_most_chunk(MAX_BODY_BYTES as u64), Vec::new());
+    if matches!(head.framing, Framing::Length(n) if n > MAX_BODY_BYTES as u64)
         || head.framing == Framing::UntilClose
     {
         return (out, false);
     }
     while !body.done() {
-        if link.conn().has_pending() {
-            let Ok(n) = body.push(link.conn().pending(), &mut out) else { return (out, false) };
-            link.conn().used(n);
-        } else if more(link, None, until).is_err() {
+        if connection.conn().has_pending() {
+            let Ok(n) = body.push(connection.conn().pending(), &mut out) else { return (out, false) };
+            connection.conn().used(n);
+        } else if receive_more(connection, None, deadline).is_err() {
             return (out, false);
         }
-        if out.len() > MOST_BODY {
+        if out.len() > MAX_BODY_BYTES {
             return (out, false);
         }
     }
-    let good = head.keep_alive && !link.conn().has_pending();
-    (out, good)
+    let is_reusable = head.keep_alive && !connection.conn().has_pending();
+    (out, is_reusable)
 }
 
-/// Reads the answer to a request that was written whole; tells whether the connection can be used again.
-fn answer(shared: &Arc<Shared>, link: &mut Link, job: &Attempt, until: Instant) -> Result<(End, bool), Cut> {
-    let head = head(link, Some(job), until)?;
-    let told = head.headers.get(report::HEADER).map(str::to_owned);
+/// Receives the response to a request that was written whole, and tells whether the connection can be reused.
+fn receive_response(
+    shared: &Arc<Shared>,
+    connection: &mut PooledConnection,
+    attempt: &Attempt,
+    deadline: Instant,
+) -> Result<(AttemptEnd, bool), Cut> {
+    let head = receive_head(connection, Some(attempt), deadline)?;
+    let report = head.headers.get(report::HEADER).map(str::to_owned);
     match reply::verdict(&head) {
-        Verdict::Stream => stream(shared, link, job, &head, told, until),
+        Verdict::Stream => relay_stream(shared, connection, attempt, &head, report, deadline),
         Verdict::Read => {
-            let (body, good) = body(link, &head, until.min(Instant::now() + SMALL));
-            Ok((End::of(Outcome::Read, reply::cached(&body), told), good))
+            let (body, is_reusable) =
+                receive_body(connection, &head, deadline.min(Instant::now() + PROBE_TIMEOUT));
+            Ok((AttemptEnd::without_stream(Outcome::Read, reply::cached(&body), report), is_reusable))
         }
         Verdict::Ended(outcome, note) => {
-            tracing::debug!(target: "answer", status = head.status, server = %job.server.0);
-            let (_, good) = body(link, &head, until.min(Instant::now() + REST));
-            Ok((End::of(outcome, note, told), good))
+            tracing::debug!(target: "answer", status = head.status, server = %attempt.server.0);
+            let (_, is_reusable) =
+                receive_body(connection, &head, deadline.min(Instant::now() + UNUSED_BODY_TIMEOUT));
+            Ok((AttemptEnd::without_stream(outcome, note, report), is_reusable))
         }
     }
 }
 
-fn stream(
+/// Passes the events of a stream on to the client until the stream ends. Tells whether the connection can be
+/// reused.
+fn relay_stream(
     shared: &Arc<Shared>,
-    link: &mut Link,
-    job: &Attempt,
+    connection: &mut PooledConnection,
+    attempt: &Attempt,
     head: &Response,
-    told: Option<String>,
-    mut until: Instant,
-) -> Result<(End, bool), Cut> {
-    let (mut stream, mut begun, opened) = (Stream::new(), false, Instant::now());
-    let broken = |begun| End { outcome: Outcome::Broken, note: 0, report: None, begun, events: 0 };
+    header_report: Option<String>,
+    mut deadline: Instant,
+) -> Result<(AttemptEnd, bool), Cut> {
+    let (mut stream, mut has_begun, opened) = (Stream::new(), false, Instant::now());
+    let broken =
+        |has_begun| AttemptEnd { outcome: Outcome::Broken, note: 0, report: None, has_begun, events: 0 };
     loop {
         let mut events = Vec::new();
-        let pushed = stream.push(link.conn().pending(), &mut events);
+        let pushed = stream.push(connection.conn().pending(), &mut events);
         if !events.is_empty() {
-            if !begun {
-                begun = true;
+            if !has_begun {
+                has_begun = true;
                 tracing::debug!(
                     target: "answer", after_head_us = opened.elapsed().as_micros() as u64,
-                    trace = %job.channel.parts.trace, "streams",
+                    trace = %attempt.channel.request.trace, "streams",
                 );
-                shared.submit(Event::Hub(Input::First { id: job.id, attempt: job.attempt }));
+                shared.submit(Event::HubInput(Input::First { id: attempt.id, attempt: attempt.number }));
             }
-            until = Instant::now() + SILENT;
-            if !job.channel.send(ResponseEvent::Events(events)) {
-                return Ok((End { outcome: Outcome::Cancelled, begun, ..broken(begun) }, false));
+            deadline = Instant::now() + STREAM_SILENCE_TIMEOUT;
+            if !attempt.channel.send(ResponseEvent::Events(events)) {
+                return Ok((
+                    AttemptEnd { outcome: Outcome::Cancelled, has_begun, ..broken(has_begun) },
+                    false,
+                ));
             }
         }
         match pushed {
-            Ok(n) => link.conn().used(n),
+            Ok(n) => connection.conn().used(n),
             Err(error) => {
-                tracing::debug!(target: "answer", %error, server = %job.server.0, begun, "spoilt");
-                return Ok((broken(begun), false));
+                tracing::debug!(target: "answer", %error, server = %attempt.server.0, begun = has_begun, "invalid stream");
+                return Ok((broken(has_begun), false));
             }
         }
         if stream.done() {
-            if !(begun && stream.whole()) {
-                return Ok((broken(begun), false));
+            if !(has_begun && stream.whole()) {
+                return Ok((broken(has_begun), false));
             }
-            let good = head.keep_alive && !link.conn().has_pending();
-            let said = stream.told();
-            let report = said.report.or(told);
-            let (outcome, note, events) = (Outcome::Served, said.cached, said.events);
-            return Ok((End { outcome, note, report, begun, events }, good));
+            let is_reusable = head.keep_alive && !connection.conn().has_pending();
+            let summary = stream.told();
+            let report = summary.report.or(header_report);
+            let (outcome, note, events) = (Outcome::Served, summary.cached, summary.events);
+            return Ok((AttemptEnd { outcome, note, report, has_begun, events }, is_reusable));
         }
-        if job.channel.is_cut() {
-            // What the engine has written by now still goes on: a stream that it has finished is whole.
-            match link.conn().fill_now() {
+        if attempt.channel.is_stream_cut() {
+            // Bytes that have already arrived are still passed on, so a stream that the engine has finished
+            // is complete.
+            match connection.conn().fill_now() {
                 Ok(true) => continue,
-                _ => return Ok((End { outcome: Outcome::Cancelled, ..broken(begun) }, false)),
+                _ => return Ok((AttemptEnd { outcome: Outcome::Cancelled, ..broken(has_begun) }, false)),
             }
         }
-        while !job.channel.has_room() && !job.channel.is_closed() && !job.channel.is_cancelled(job.attempt) {
-            link.conn().pause(Some(Instant::now() + CLIENT_WAIT));
-            until = Instant::now() + SILENT;
+        while !attempt.channel.has_room()
+            && !attempt.channel.is_closed()
+            && !attempt.channel.is_cancelled(attempt.number)
+        {
+            connection.conn().pause(Some(Instant::now() + SLOW_CLIENT_POLL_INTERVAL));
+            deadline = Instant::now() + STREAM_SILENCE_TIMEOUT;
         }
-        match more(link, Some(job), until) {
+        match receive_more(connection, Some(attempt), deadline) {
             Ok(()) => {}
             Err(Cut::Cancelled) => {
-                return Ok((End { outcome: Outcome::Cancelled, begun, ..broken(begun) }, false));
+                return Ok((
+                    AttemptEnd { outcome: Outcome::Cancelled, has_begun, ..broken(has_begun) },
+                    false,
+                ));
             }
-            Err(cut) if begun => {
-                tracing::debug!(target: "answer", ?cut, server = %job.server.0, "stream broke");
-                return Ok((broken(begun), false));
+            Err(cut) if has_begun => {
+                tracing::debug!(target: "answer", ?cut, server = %attempt.server.0, "stream broke");
+                return Ok((broken(has_begun), false));
             }
             Err(cut) => return Err(cut),
         }
     }
 }
 
-/// One small exchange without a body.
-fn small(shared: &Shared, dial: SocketAddr, text: &str, time: Duration) -> Result<(Response, Vec<u8>), Cut> {
-    let until = Instant::now() + time;
-    let mut link = shared.pool.take(dial, time.min(shared.connect), true).map_err(|error| match error {
-        NetError::TimedOut => Cut::TimedOut,
-        _ => Cut::Broken,
-    })?;
-    hold_at!("small-connected-{}", text.split(' ').nth(1).unwrap_or_default().replace('/', "-"));
-    let conn = link.conn();
-    conn.limits = HEAD;
-    conn.set_write_timeout(Some(time));
-    let written = conn.write(format!("{text}Host: {dial}\r\n\r\n").as_bytes()).map_err(|_| Cut::Broken);
-    let head = written.and_then(|()| head(&mut link, None, until));
-    link.told(head.as_ref().is_err_and(|cut| *cut == Cut::Broken));
+/// Sends a request without a body and receives the whole response. `head_lines` is the request's head without
+/// the `Host` line.
+fn exchange(
+    shared: &Shared,
+    dial: SocketAddr,
+    head_lines: &str,
+    timeout: Duration,
+) -> Result<(Response, Vec<u8>), Cut> {
+    let deadline = Instant::now() + timeout;
+    let mut connection = shared.pool.acquire(dial, timeout.min(shared.connect_timeout), true).map_err(
+        |error| match error {
+            NetError::TimedOut => Cut::TimedOut,
+            _ => Cut::Broken,
+        },
+    )?;
+    hold_at!("small-connected-{}", head_lines.split(' ').nth(1).unwrap_or_default().replace('/', "-"));
+    let conn = connection.conn();
+    conn.limits = RESPONSE_LIMITS;
+    conn.set_write_timeout(Some(timeout));
+    let written = conn.write(format!("{head_lines}Host: {dial}\r\n\r\n").as_bytes()).map_err(|_| Cut::Broken);
+    let head = written.and_then(|()| receive_head(&mut connection, None, deadline));
+    connection.record_outcome(head.as_ref().is_err_and(|cut| *cut == Cut::Broken));
     let head = head?;
-    let (body, good) = body(&mut link, &head, until);
-    if good {
-        link.keep();
+    let (body, is_reusable) = receive_body(&mut connection, &head, deadline);
+    if is_reusable {
+        connection.return_to_pool();
     }
     Ok((head, body))
 }
 
-pub fn probe(shared: &Arc<Shared>, server: ServerId, dial: SocketAddr) {
+/// Asks an engine for its load in a coroutine of its own and submits the result.
+pub fn start_probe(shared: &Arc<Shared>, server: ServerId, dial: SocketAddr) {
     let shared = shared.clone();
     go(move || {
-        let (outcome, told) = match small(&shared, dial, "GET /-/load HTTP/1.1\r\n", SMALL) {
+        let (outcome, report) = match exchange(&shared, dial, "GET /-/load HTTP/1.1\r\n", PROBE_TIMEOUT) {
             Ok((head, body)) if head.status == 200 => {
                 let header = head.headers.get(report::HEADER).map(str::to_owned);
                 (Outcome::Served, header.or_else(|| String::from_utf8(body).ok()))
@@ -361,30 +420,31 @@
             Err(Cut::TimedOut) => (Outcome::TimedOut, None),
             Err(_) => (Outcome::NoConnection, None),
         };
-        tracing::debug!(target: "probe", server = %server.0, ?outcome, ?told);
-        shared.submit(Event::Hub(Input::Probed { server, outcome, report: told }));
+        tracing::debug!(target: "probe", server = %server.0, ?outcome, told = ?report);
+        shared.submit(Event::HubInput(Input::Probed { server, outcome, report }));
     });
 }
 
-/// Tells an engine to let go of what is held for a request. It was heard when an answer came: what is written to a
-/// machine that is cut off reaches nobody.
-pub fn release(shared: &Arc<Shared>, job: Release) {
+/// Asks an engine to release the state held for a request, in a coroutine of its own. Only a response proves
+/// that the engine received the call, since writing to a machine that is cut off from the network succeeds
+/// too.
+pub fn start_release(shared: &Arc<Shared>, call: ReleaseCall) {
     let shared = shared.clone();
     go(move || {
-        let Release { id, trace, holder, round, engine, dial } = job;
-        let begun = Instant::now();
-        let text = format!("DELETE /kv/leases/{trace} HTTP/1.1\r\n");
-        let heard = small(&shared, dial, &text, RELEASE).is_ok();
-        let took_ms = begun.elapsed().as_millis() as u64;
+        let ReleaseCall { id, trace, holder, round, engine, dial } = call;
+        let started = Instant::now();
+        let head_lines = format!("DELETE /kv/leases/{trace} HTTP/1.1\r\n");
+        let heard = exchange(&shared, dial, &head_lines, RELEASE_TIMEOUT).is_ok();
+        let took_ms = started.elapsed().as_millis() as u64;
         tracing::debug!(target: "release", %trace, holder = %holder.0, engine = %engine.0, heard, took_ms);
         if !heard {
-            // Guards against a storm of tries at what refuses at once.
-            let left = RELEASE.saturating_sub(begun.elapsed());
-            elderstage_net::sleep(left.min(AGAIN));
+            // An engine that refuses connections at once would otherwise be called in a tight loop.
+            let time_left = RELEASE_TIMEOUT.saturating_sub(started.elapsed());
+            elderstage_net::sleep(time_left.min(RELEASE_RETRY_PAUSE));
         }
-        shared.submit(Event::Hub(Input::Said { id, holder, round, engine, heard }));
+        shared.submit(Event::HubInput(Input::Said { id, holder, round, engine, heard }));
     });
 }
 
-/// Least time between two tries of one release.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Pause after a failed release call, before the next call can follow.
+const RELEASE_RETRY_PAUSE: Duration = Duration::from_millis(20);
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,9 @@
-//! The event loop, the one owner of the hub and with it of the module: events in from all coroutines, commands out to them.
+//! The event loop. It is the only owner of the [`Hub`], and with it of the routing module, so neither needs a
+//! lock.
+//!
+//! It takes events from all coroutines and threads, passes them to the hub and executes the hub's commands.
+//! It reads and writes no sockets and never waits for one: attempts, probes and releases run in coroutines of
+//! their own ([`crate::engine`]).
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,63 +20,68 @@
 use crate::engine::{self, Attempt};
 use crate::response::{ResponseChannel, ResponseEvent};
 
-/// What coroutines and threads submit.
+/// An event that a coroutine or thread submits to the event loop.
 pub enum Event {
-    /// A request was read whole.
-    Open {
+    /// A client's request was received completely.
+    RequestReceived {
         id: ReqId,
         ask: Ask,
         channel: Arc<ResponseChannel>,
-        /// When its last byte had come: its client's time runs since then.
-        came: Instant,
+        /// When its last byte had arrived. The request's time limit runs from then.
+        received_at: Instant,
     },
-    Hub(Input),
-    /// Write what is held and counted to the log.
-    Trace,
-    /// Hand out what was counted, for the agent beside this node.
-    Tally,
-    /// Count under other settings, known by this digest, from now on.
-    CountUnder {
-        digest: String,
-        settings: Box<Settings>,
-    },
-    /// Compare what is held to be out with the connections that carry attempts.
-    Compare,
+    /// Input for the hub.
+    HubInput(Input),
+    /// Write the node's state and counters to the log.
+    LogState,
+    /// Publish the request counts for the fleet agent on this machine.
+    PublishTally,
+    /// Count requests under new settings, identified by this digest, from now on.
+    SetCountingSettings { digest: String, settings: Box<Settings> },
+    /// Compare the hub's attempts in flight with the connections that carry attempts.
+    CompareInFlight,
 }
 
-/// An event, and when it was submitted: the time that it waits is the node's delay for all it serves.
+/// An event with its time of submission. The time that it waits in the queue delays every request that the
+/// node serves.
 pub struct Submitted {
+    /// When the event was submitted.
     pub at: Instant,
     pub event: Event,
 }
 
-/// A wait in the queue from which on the log warns: the rules' limits on held state and on streams that end are near then.
-const LATE: Duration = Duration::from_millis(200);
-/// Least time between two such warnings.
-const LATE_AGAIN: Duration = Duration::from_secs(1);
+/// Queue wait from which on the log warns. Longer waits endanger the platform's limits on held state and on
+/// ending streams.
+const QUEUE_WAIT_WARN_THRESHOLD: Duration = Duration::from_millis(200);
+/// Minimum time between two such warnings.
+const QUEUE_WAIT_WARN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long events have waited for the event loop.
+/// Tracks how long events wait for the event loop.
 #[derive(Debug, Default)]
 struct QueueWait {
-    /// The longest since the last state line.
+    /// The longest wait since the last `state` log line.
     longest: Duration,
-    warned: Option<Instant>,
+    /// When the last warning was logged.
+    last_warning: Option<Instant>,
 }
 
 impl QueueWait {
-    fn note(&mut self, waited: Duration, waiting: usize) {
+    fn record(&mut self, waited: Duration, waiting: usize) {
         self.longest = self.longest.max(waited);
-        if waited >= LATE && self.warned.is_none_or(|at| at.elapsed() >= LATE_AGAIN) {
-            self.warned = Some(Instant::now());
+        if waited >= QUEUE_WAIT_WARN_THRESHOLD
+            && self.last_warning.is_none_or(|at| at.elapsed() >= QUEUE_WAIT_WARN_INTERVAL)
+        {
+            self.last_warning = Some(Instant::now());
             tracing::warn!(target: "node", waited_ms = waited.as_millis() as u64, waiting, "event loop is late");
         }
     }
 }
 
-/// Drives the hub; runs on a thread of its own.
+/// Drives the hub. Runs on a thread of its own.
 pub struct EventLoop {
     hub: Hub,
     shared: Arc<Shared>,
+    /// Response channels of the requests that the hub knows.
     channels: HashMap<ReqId, Arc<ResponseChannel>>,
     commands: Vec<Command>,
     comparison: Comparison,
@@ -79,6 +89,7 @@
 }
 
 impl EventLoop {
+    /// Creates the event loop for a hub.
     pub fn new(hub: Hub, shared: Arc<Shared>) -> EventLoop {
         EventLoop {
             hub,
@@ -90,82 +101,88 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    /// Executes the hub's pending commands and publishes its counts.
+    fn execute_commands(&mut self) {
         let mut commands = std::mem::take(&mut self.commands);
         for command in commands.drain(..) {
-            self.command(command);
+            self.execute(command);
         }
         self.commands = commands;
         let (open, _) = self.hub.held();
-        self.shared.open.store(open, Ordering::SeqCst);
-        self.shared.letting_go.store(self.hub.letting_go(), Ordering::SeqCst);
+        self.shared.open_requests.store(open, Ordering::SeqCst);
+        self.shared.pending_releases.store(self.hub.letting_go(), Ordering::SeqCst);
     }
 
-    fn command(&mut self, command: Command) {
+    /// Executes one command of the hub.
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Send { id, attempt, server, dial, timeout, harmless } => {
                 let Some(channel) = self.channels.get(&id).cloned() else { return };
                 let timeout = Duration::from_micros(timeout);
                 tracing::debug!(
-                    target: "sent", trace = %channel.parts.trace, attempt, server = %server.0, ?timeout, harmless,
+                    target: "sent", trace = %channel.request.trace, attempt, server = %server.0, ?timeout, harmless,
                 );
-                engine::attempt(
+                engine::start_attempt(
                     &self.shared,
-                    Attempt { id, attempt, server, dial, timeout, harmless, channel },
+                    Attempt { id, number: attempt, server, dial, timeout, is_harmless: harmless, channel },
                 );
             }
             Command::Cancel { id, attempt } => {
                 if let Some(channel) = self.channels.get(&id) {
-                    channel.cancel(attempt);
+                    channel.cancel_attempt(attempt);
                 }
             }
             Command::Withdraw { id, attempt } => {
                 if let Some(channel) = self.channels.get(&id) {
-                    channel.withdraw(attempt);
+                    channel.withdraw_attempt(attempt);
                 }
             }
             Command::Move { id } => {
                 if let Some(channel) = self.channels.get(&id) {
-                    channel.cut();
+                    channel.cut_stream();
                 }
             }
             Command::Answer { id, last, attempts, last_outcome } => {
                 if let Some(channel) = self.channels.get(&id) {
                     tracing::debug!(
-                        target: "answered", trace = %channel.parts.trace, ?last, attempts, ?last_outcome,
+                        target: "answered", trace = %channel.request.trace, ?last, attempts, ?last_outcome,
                     );
-                    channel.send(ResponseEvent::Last(last));
+                    channel.send(ResponseEvent::Final(last));
                 }
             }
             Command::Release { id, trace, holder, round, engine, dial } => {
-                engine::release(&self.shared, engine::Release { id, trace, holder, round, engine, dial });
+                engine::start_release(
+                    &self.shared,
+                    engine::ReleaseCall { id, trace, holder, round, engine, dial },
+                );
             }
-            Command::Probe { server, dial } => engine::probe(&self.shared, server, dial),
+            Command::Probe { server, dial } => engine::start_probe(&self.shared, server, dial),
             Command::Forget { id } => {
                 self.channels.remove(&id);
             }
         }
     }
 
-    fn compare(&mut self) {
-        for differs in self.comparison.compare(&self.hub.in_flight(), &self.shared.in_flight.snapshot()) {
+    /// Logs servers for which the hub's count of attempts differs from the open connections.
+    fn log_differences(&mut self) {
+        for difference in self.comparison.compare(&self.hub.in_flight(), &self.shared.in_flight.snapshot()) {
             tracing::warn!(
-                target: "node", server = %differs.server, believed = differs.believed, open = differs.open, "differs",
+                target: "node", server = %difference.server, believed = difference.believed, open = difference.open, "differs",
             );
         }
     }
 
-    /// What the module holds beside what is open on sockets.
-    fn trace(&mut self) {
+    /// Logs what the hub holds together with what is open on sockets.
+    fn log_state(&mut self) {
         let (open, leases) = self.hub.held();
-        let (links, idle) = self.shared.pool.counts();
-        let out: usize = self.hub.in_flight().values().sum();
+        let (engine_connections, idle) = self.shared.pool.open_and_idle();
+        let in_flight: usize = self.hub.in_flight().values().sum();
         let queue_wait = std::mem::take(&mut self.queue_wait.longest);
         tracing::info!(
-            target: "node", open, attempts = out, seats = self.channels.len(), leases, servers = self.hub.servers(),
-            engine_connections = links, idle, opened = self.shared.pool.opened(), examined = self.hub.examined(),
+            target: "node", open, attempts = in_flight, seats = self.channels.len(), leases, servers = self.hub.servers(),
+            engine_connections = engine_connections, idle, opened = self.shared.pool.opened(), examined = self.hub.examined(),
             longest_queue_wait_ms = queue_wait.as_millis() as u64, client_connections = self.shared.client_connections.len(),
-            body_bytes = self.shared.bodies.reserved(), counts = ?self.hub.counts(), "state",
+            body_bytes = self.shared.body_memory.reserved_bytes(), counts = ?self.hub.counts(), "state",
         );
     }
 }
@@ -174,11 +191,11 @@
     type Event = Submitted;
 
     fn handle(&mut self, now: Micros, submitted: Submitted) -> bool {
-        self.queue_wait.note(submitted.at.elapsed(), self.shared.inbox.waiting());
+        self.queue_wait.record(submitted.at.elapsed(), self.shared.inbox.waiting());
         match submitted.event {
-            Event::Open { id, mut ask, channel, came } => {
-                let waited = u64::try_from(came.elapsed().as_micros()).unwrap_or(u64::MAX);
-                ask.arrival.time_left = ask.arrival.time_left.saturating_sub(waited);
+            Event::RequestReceived { id, mut ask, channel, received_at } => {
+                let waited_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
+                ask.arrival.time_left = ask.arrival.time_left.saturating_sub(waited_us);
                 tracing::debug!(
                     target: "taken", trace = %ask.trace, class = ask.arrival.class, left_ms = ask.arrival.time_left / 1000,
                     prompt = ask.arrival.prompt, session = ?ask.arrival.session, again = ask.arrival.returned,
@@ -186,21 +203,21 @@
                 self.channels.insert(id, channel);
                 self.hub.handle(now, Input::Arrived { id, ask }, &mut self.commands);
             }
-            Event::Hub(input) => self.hub.handle(now, input, &mut self.commands),
-            Event::Trace => self.trace(),
-            Event::Tally => {
+            Event::HubInput(input) => self.hub.handle(now, input, &mut self.commands),
+            Event::LogState => self.log_state(),
+            Event::PublishTally => {
                 if let Some(counting) = self.hub.counting() {
-                    self.shared.tally.put(counting.tally().clone());
+                    self.shared.tally_slot.put(counting.tally().clone());
                 }
             }
-            Event::CountUnder { digest, settings } => {
+            Event::SetCountingSettings { digest, settings } => {
                 if let Some(counting) = self.hub.counting() {
                     counting.under(&digest, &self.shared.names.classes, &settings);
                 }
             }
-            Event::Compare => self.compare(),
+            Event::CompareInFlight => self.log_differences(),
         }
-        self.carry_out();
+        self.execute_commands();
         true
     }
 
@@ -210,6 +227,6 @@
 
     fn wake(&mut self, now: Micros) {
         self.hub.wake(now, &mut self.commands);
-        self.carry_out();
+        self.execute_commands();
     }
 }
--- a/crates/node/src/hold.rs
+++ b/crates/node/src/hold.rs
@@ -1,27 +1,29 @@
-//! Steps at which a test can hold the node, so that another event comes first every time. Compiled only with the feature
-//! `hold`, which nothing but tests enables; `.ci/run` checks that the deployed program has none of it.
+//! Named steps at which a test can pause the node, to force a certain order of events. Compiled only with the
+//! feature
+//! `hold`, which only tests enable. `.ci/run` checks that the deployed program contains none of it.
 //!
-//! The test and the node are two processes, so a step is a file: while `$ELDERSTAGE_HOLD/STEP` exists, who comes there
-//! leaves `STEP.reached` and waits. Home-made, since the libraries for fail points are driven from inside the process.
+//! The test and the node are two processes, so a step is a file: while `$ELDERSTAGE_HOLD/STEP` exists, a
+//! coroutine that reaches the step creates `STEP.reached` and waits. The usual fail-point libraries do not
+//! fit, since they are controlled from inside the process.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Names the folder of the steps.
-const FOLDER: &str = "ELDERSTAGE_HOLD";
-/// Pause between two comparison for the end of a hold.
-const LOOK: Duration = Duration::from_millis(2);
+/// Environment variable with the folder of the step files.
+const FOLDER_VARIABLE: &str = "ELDERSTAGE_HOLD";
+/// Poll interval for the removal of the step file.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Waits here while the test holds this step.
+/// Waits while the test holds this step.
 pub fn hold(step: &str) {
-    let Some(folder) = std::env::var_os(FOLDER).map(PathBuf::from) else { return };
-    let held = folder.join(step);
-    if !held.exists() {
+    let Some(folder) = std::env::var_os(FOLDER_VARIABLE).map(PathBuf::from) else { return };
+    let step_file = folder.join(step);
+    if !step_file.exists() {
         return;
     }
-    // A test whose folder is gone has ended.
+    // Writing fails only if the folder is gone, which means that the test has ended.
     let _ = std::fs::write(folder.join(format!("{step}.reached")), "");
-    while held.exists() {
-        elderstage_net::sleep(LOOK);
+    while step_file.exists() {
+        elderstage_net::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,9 @@
-//! A front node of the platform on real sockets: `elderstage node`. Decides nothing: coroutines report what happened
-//! to one owner, which holds the hub and with it the module, and carry out what they are told.
+//! A front node of the platform on real sockets: `elderstage node`.
+//!
+//! This crate does the socket I/O and handles signals, limits and configuration reloads. It makes no routing
+//! decisions: coroutines report events to one event loop, which owns the hub and with it the routing module,
+//! and execute the hub's commands. A request that the node has accepted is answered before the process ends,
+//! within the time that the platform leaves it.
 
 mod client;
 mod connections;
@@ -36,8 +40,9 @@
 use event_loop::{Event, EventLoop, Submitted};
 use memory::MemoryBudget;
 use pool::Pool;
+use tally::{TallySlot, TallyWriter};
 
-/// A step at which tests can hold the node; nothing without their feature.
+/// A step at which tests can pause the node. Expands to nothing without the feature `hold`.
 macro_rules! hold_at {
     ($($step:tt)*) => {
         #[cfg(feature = "hold")]
@@ -46,218 +51,240 @@
 }
 pub(crate) use hold_at;
 
-/// Events that may wait for the owner; who adds to a full queue waits.
-const QUEUE: usize = 4096;
-/// New connections are accepted for so long after SIGTERM: the platform's distributor needs up to 0.4 s to notice.
-const STILL_ACCEPTS: Duration = Duration::from_millis(450);
-/// The platform kills a node no sooner after SIGTERM than the longest time a client waits, counted as 3 s where it is
-/// longer, and this; what still runs is cut then. The last of these is left for what is on its way.
-const KILL_COUNTS: Duration = Duration::from_secs(3);
-const KILL_AFTER: Duration = Duration::from_millis(700);
+/// Capacity of the event loop's queue. A coroutine that submits to a full queue waits.
+const EVENT_QUEUE_CAPACITY: usize = 4096;
+/// Time after SIGTERM during which new connections are accepted. The platform's load balancer needs up to 0.4
+/// s to notice that the node shuts down.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(450);
+/// The platform kills a node after SIGTERM no sooner than the longest time that a client waits (at most
+/// `MAX_COUNTED_CLIENT_WAIT`) plus `KILL_DELAY`. Requests that are still running at that time, less
+/// `KILL_MARGIN`, are cut. The margin is left for responses on their way.
+const MAX_COUNTED_CLIENT_WAIT: Duration = Duration::from_secs(3);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 const KILL_MARGIN: Duration = Duration::from_millis(150);
-/// The list that a node knows at its start may be old, and what its discovery has counts as told at once: a node is ready
-/// with the first list, or after this time if discovery is silent.
-const FIRST_LIST: Duration = Duration::from_millis(600);
-/// Poll interval for the permit of a connection that was evicted.
-const EVICTION_POLL: Duration = Duration::from_millis(1);
-/// How often the main thread polls for signals and for what is due.
-const TICK: Duration = Duration::from_millis(20);
-/// How often idle connections are looked at, and the state is written to the log.
-const TIDY: Duration = Duration::from_secs(1);
-const TRACE: Duration = Duration::from_secs(10);
-/// The program may end when nothing was open for so long: answers are on their way then.
+/// Longest time before the node reports itself ready without a server list from discovery. The list in its
+/// configuration may be out of date, and the platform expects a node to know discovery's list from the start.
+/// So the node is ready when the first list has arrived, or after this time if discovery is silent.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(600);
+/// Poll interval of a new connection that waits for an evicted one to close.
+const EVICTION_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Interval at which the main thread polls for signals and due tasks.
+const MAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which expired idle connections are closed, attempts are compared and counts are published.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the state is written to the log.
+const STATE_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Time without any open work after which the process ends. Responses may still be on their way during it.
 const QUIESCENCE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Why a node does not start.
+/// Why the node cannot start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    #[error("{path}: {error}")]
+    /// The configuration file cannot be read.
+    #[error("cannot read {path}: {error}")]
     Read { path: String, error: std::io::Error },
+    /// The configuration is invalid.
     #[error("{path}: {error}")]
     Config { path: String, error: StartError },
-    #[error("{at}: {error}")]
+    /// The listening address cannot be bound.
+    #[error("cannot listen at {at}: {error}")]
     Listen { at: SocketAddr, error: std::io::Error },
-    #[error("cannot start: {0}")]
+    /// Signals or threads cannot be set up.
+    #[error("cannot start the node: {0}")]
     System(std::io::Error),
 }
 
-/// What all coroutines use.
+/// State shared by all coroutines and threads of the node.
 pub(crate) struct Shared {
     names: Names,
-    connect: Duration,
+    connect_timeout: Duration,
     inbox: Inbox<Submitted>,
     pool: Arc<Pool>,
     client_connections: Arc<ClientConnections>,
-    bodies: Arc<MemoryBudget>,
+    body_memory: Arc<MemoryBudget>,
     in_flight: Arc<InFlightAttempts>,
+    /// The id of the next request.
     next_id: AtomicU32,
-    ready: AtomicBool,
-    /// Discovery has told a list.
-    listed: AtomicBool,
-    /// Connections are closed after their answer.
-    closing: AtomicBool,
-    open: AtomicUsize,
-    letting_go: AtomicUsize,
+    /// The node reports itself ready to the platform.
+    is_ready: AtomicBool,
+    /// Discovery has sent a server list.
+    has_server_list: AtomicBool,
+    /// The node shuts down: connections are closed after their response.
+    is_closing: AtomicBool,
+    /// Number of open requests.
+    open_requests: AtomicUsize,
+    /// Number of releases that no engine has confirmed yet.
+    pending_releases: AtomicUsize,
+    /// Discovery's address, and how often it has changed.
     discovery: Mutex<(SocketAddr, u64)>,
-    tally: tally::Handed,
+    tally_slot: TallySlot,
     /// The longest time that a client of any class waits, in microseconds.
     longest_wait: AtomicU64,
 }
 
 impl Shared {
+    /// Submits an event to the event loop, and waits while its queue is full.
     fn submit(&self, event: Event) {
-        // The owner lives as long as the process.
+        // The event loop runs as long as the process, so the event is never refused.
         self.inbox.send(Submitted { at: Instant::now(), event });
     }
 
-    fn closing(&self) -> bool {
-        self.closing.load(Ordering::SeqCst)
+    /// Whether the node shuts down, so that connections are closed after their response.
+    fn is_closing(&self) -> bool {
+        self.is_closing.load(Ordering::SeqCst)
     }
 
-    /// Where discovery is, and how often it has moved.
+    /// Discovery's address, and how often it has changed.
     fn discovery(&self) -> (SocketAddr, u64) {
         *self.discovery.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn move_discovery(&self, to: SocketAddr) {
-        let mut at = self.discovery.lock().unwrap_or_else(PoisonError::into_inner);
-        if at.0 != to {
-            *at = (to, at.1 + 1);
+    /// Sets discovery's address and counts the change if it is new.
+    fn set_discovery(&self, to: SocketAddr) {
+        let mut current = self.discovery.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.0 != to {
+            *current = (to, current.1 + 1);
         }
     }
 }
 
-fn read(path: &Path, environment: &Companions) -> Result<Start, NodeError> {
-    let shown = path.display().to_string();
+/// Reads and parses the configuration file.
+fn read_config(path: &Path, environment: &Companions) -> Result<Start, NodeError> {
+    let path_text = path.display().to_string();
     let text =
-        std::fs::read_to_string(path).map_err(|error| NodeError::Read { path: shown.clone(), error })?;
-    Start::parse(&text, environment).map_err(|error| NodeError::Config { path: shown, error })
+        std::fs::read_to_string(path).map_err(|error| NodeError::Read { path: path_text.clone(), error })?;
+    Start::parse(&text, environment).map_err(|error| NodeError::Config { path: path_text, error })
 }
 
-/// What settings are known by, alike at all nodes that have the same: the BLAKE3 digest of the configuration's `settings`
-/// as compact JSON with sorted keys. The rest of the file is this node's own.
-fn digest(path: &Path) -> String {
+/// The digest that identifies settings, equal on all nodes with equal settings: BLAKE3 of the configuration's
+/// `settings` as compact JSON with sorted keys. The rest of the file differs from node to node and is left
+/// out.
+fn settings_digest(path: &Path) -> String {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let value = serde_json::from_str::<serde_json::Value>(&text).unwrap_or_default();
     blake3::hash(value["settings"].to_string().as_bytes()).to_hex().to_string()
 }
 
-/// Runs a node until SIGTERM or SIGINT and until all it took is answered.
+/// Runs a node until SIGTERM or SIGINT, and then until all accepted requests are answered.
 pub fn node(path: &Path, environment: &Companions) -> Result<(), NodeError> {
-    // Caught from here on: a signal during the start waits, also while the configuration is read.
+    // Signals are caught from here on. One that arrives during the start is handled after it.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(NodeError::System)?;
-    let start = read(path, environment)?;
-    let shares = limits::Shares::of(start.allowed);
+    let start = read_config(path, environment)?;
+    let shares = limits::Shares::from_allowed(start.allowed);
     init_small(shares.stacks);
     let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let clock = Clock::new(u64::try_from(epoch.as_micros()).unwrap_or_default());
-    let (inbox, events) = queue(QUEUE);
+    let (inbox, events) = queue(EVENT_QUEUE_CAPACITY);
     let shared = Arc::new(Shared {
-        connect: Duration::from_micros(start.settings.connect_timeout.max(1)),
+        connect_timeout: Duration::from_micros(start.settings.connect_timeout.max(1)),
         pool: Pool::new(shares.engines, start.names.idle_close.map(Duration::from_micros)),
         client_connections: ClientConnections::new(shares.clients),
-        bodies: MemoryBudget::new(shares.bodies),
+        body_memory: MemoryBudget::new(shares.bodies),
         in_flight: Arc::default(),
         names: start.names.clone(),
         inbox,
         next_id: AtomicU32::new(1),
-        ready: AtomicBool::new(false),
-        listed: AtomicBool::new(false),
-        closing: AtomicBool::new(false),
-        open: AtomicUsize::new(0),
-        letting_go: AtomicUsize::new(0),
+        is_ready: AtomicBool::new(false),
+        has_server_list: AtomicBool::new(false),
+        is_closing: AtomicBool::new(false),
+        open_requests: AtomicUsize::new(0),
+        pending_releases: AtomicUsize::new(0),
         discovery: Mutex::new((start.discovery, 0)),
-        tally: tally::Handed::default(),
+        tally_slot: TallySlot::default(),
         longest_wait: AtomicU64::new(start.names.longest_wait()),
     });
     let mut hub = Hub::new(start.settings.clone(), start.seed);
     if let Some(to) = &start.tally {
-        hub.count(Counting::new(&to.release, &digest(path), &shared.names.classes, &start.settings));
+        hub.count(Counting::new(&to.release, &settings_digest(path), &shared.names.classes, &start.settings));
     }
-    let mut counts = tally::Writer::new(clock.now());
+    let mut tally_writer = TallyWriter::new(clock.now());
     run("owner", clock, events, EventLoop::new(hub, shared.clone())).map_err(NodeError::System)?;
     let seq = start.known.seq;
-    shared.submit(Event::Hub(Input::Listed { list: start.known.clone(), restored: true }));
+    shared.submit(Event::HubInput(Input::Listed { list: start.known.clone(), restored: true }));
     let listener =
         Listener::bind(start.listen).map_err(|error| NodeError::Listen { at: start.listen, error })?;
     let stop = listener.stopper();
-    let accepting = shared.clone();
+    let accept_shared = shared.clone();
     go(move || {
-        listener
-            .serve(|conn| accept(&accepting, conn), |error| tracing::warn!(target: "node", %error, "accept"))
+        listener.serve(
+            |conn| accept(&accept_shared, conn),
+            |error| tracing::warn!(target: "node", %error, "accept"),
+        )
     });
-    let (watching, begun) = (shared.clone(), Instant::now());
-    go(move || discovery::watch(&watching, clock, seq));
-    let (mut term, mut quiescent_since): (Option<Instant>, Option<Instant>) = (None, None);
-    let (mut tidy, mut trace) = (Instant::now(), Instant::now());
+    let (watch_shared, started) = (shared.clone(), Instant::now());
+    go(move || discovery::run_watch(&watch_shared, clock, seq));
+    let (mut sigterm_at, mut quiescent_since): (Option<Instant>, Option<Instant>) = (None, None);
+    let (mut last_cleanup, mut last_state_log) = (Instant::now(), Instant::now());
     loop {
-        if !shared.ready.load(Ordering::SeqCst)
-            && (shared.listed.load(Ordering::SeqCst) || begun.elapsed() >= FIRST_LIST)
+        if !shared.is_ready.load(Ordering::SeqCst)
+            && (shared.has_server_list.load(Ordering::SeqCst) || started.elapsed() >= FIRST_LIST_TIMEOUT)
         {
-            shared.ready.store(true, Ordering::SeqCst);
-            let listed = shared.listed.load(Ordering::SeqCst);
+            shared.is_ready.store(true, Ordering::SeqCst);
+            let listed = shared.has_server_list.load(Ordering::SeqCst);
             tracing::info!(target: "node", name = %start.name, listen = %start.listen, ?shares, listed, "ready");
         }
         for signal in signals.pending() {
             match signal {
                 SIGHUP => reload(&shared, &start, path, environment),
-                _ if term.is_none() => {
-                    tracing::info!(target: "node", "told to stop");
-                    term = Some(Instant::now());
+                _ if sigterm_at.is_none() => {
+                    tracing::info!(target: "node", "shutdown requested by a signal");
+                    sigterm_at = Some(Instant::now());
                 }
                 _ => {}
             }
         }
-        if tidy.elapsed() >= TIDY {
-            tidy = Instant::now();
-            shared.pool.reap();
-            shared.submit(Event::Compare);
+        if last_cleanup.elapsed() >= CLEANUP_INTERVAL {
+            last_cleanup = Instant::now();
+            shared.pool.close_expired();
+            shared.submit(Event::CompareInFlight);
             if let Some(to) = &start.tally {
-                counts.write(&shared.tally, &to.file);
-                shared.submit(Event::Tally);
+                tally_writer.write(&shared.tally_slot, &to.file);
+                shared.submit(Event::PublishTally);
             }
         }
-        if trace.elapsed() >= TRACE {
-            trace = Instant::now();
-            shared.submit(Event::Trace);
+        if last_state_log.elapsed() >= STATE_LOG_INTERVAL {
+            last_state_log = Instant::now();
+            shared.submit(Event::LogState);
         }
-        if let Some(at) = term.filter(|at| at.elapsed() >= STILL_ACCEPTS) {
-            // Until it has closed: what has connected before is taken.
+        if let Some(at) = sigterm_at.filter(|at| at.elapsed() >= ACCEPT_AFTER_SIGTERM) {
+            // Called in each round until the listener has closed. It accepts the connections that already
+            // wait first.
             stop.end();
-            if !shared.closing.swap(true, Ordering::SeqCst) {
-                shared.client_connections.close_idle();
-                let longest = Duration::from_micros(shared.longest_wait.load(Ordering::SeqCst));
-                let all = longest.min(KILL_COUNTS) + KILL_AFTER;
-                let within = all.saturating_sub(at.elapsed() + KILL_MARGIN).as_micros() as u64;
-                shared.submit(Event::Hub(Input::Stopping { within }));
-                tracing::info!(target: "node", after_ms = at.elapsed().as_millis() as u64, "accepts no more");
+            if !shared.is_closing.swap(true, Ordering::SeqCst) {
+                shared.client_connections.evict_idle();
+                let longest_wait = Duration::from_micros(shared.longest_wait.load(Ordering::SeqCst));
+                let kill_delay = longest_wait.min(MAX_COUNTED_CLIENT_WAIT) + KILL_DELAY;
+                let within = kill_delay.saturating_sub(at.elapsed() + KILL_MARGIN).as_micros() as u64;
+                shared.submit(Event::HubInput(Input::Stopping { within }));
+                tracing::info!(target: "node", after_ms = at.elapsed().as_millis() as u64, "no longer accepts connections");
             }
-            let busy = !stop.is_closed()
-                || shared.open.load(Ordering::SeqCst) > 0
-                || shared.letting_go.load(Ordering::SeqCst) > 0
+            let is_busy = !stop.is_closed()
+                || shared.open_requests.load(Ordering::SeqCst) > 0
+                || shared.pending_releases.load(Ordering::SeqCst) > 0
                 || !shared.client_connections.is_empty()
                 || shared.inbox.waiting() > 0;
-            quiescent_since = if busy { None } else { quiescent_since.or(Some(Instant::now())) };
+            quiescent_since = if is_busy { None } else { quiescent_since.or(Some(Instant::now())) };
             if quiescent_since.is_some_and(|since| since.elapsed() >= QUIESCENCE_PERIOD) {
-                tracing::info!(target: "node", "all answered");
+                tracing::info!(target: "node", "all requests are answered");
                 if let Some(to) = &start.tally {
-                    counts.write(&shared.tally, &to.file);
+                    tally_writer.write(&shared.tally_slot, &to.file);
                 }
                 return Ok(());
             }
-            shared.client_connections.close_idle();
+            shared.client_connections.evict_idle();
         }
-        std::thread::sleep(TICK);
+        std::thread::sleep(MAIN_POLL_INTERVAL);
     }
 }
 
+/// Serves a new connection in a coroutine of its own, once there is room for it.
 fn accept(shared: &Arc<Shared>, conn: Conn) {
     let permit = loop {
         match shared.client_connections.admit(conn.waker()) {
             Admission::Granted(permit) => break permit,
-            // Those that come after it wait with the system.
-            Admission::WaitForEviction => sleep(EVICTION_POLL),
-            // Where all places are taken by requests there is no descriptor left for another.
+            // Later connections wait in the listening socket's queue meanwhile.
+            Admission::WaitForEviction => sleep(EVICTION_POLL_INTERVAL),
+            // All connections have open requests, so no descriptor is left for another.
             Admission::Full => return,
         }
     };
@@ -265,25 +292,27 @@
     go(move || client::serve(&shared, conn, &permit));
 }
 
-/// Takes a new configuration whole or not at all. Engines, requests and connections stay.
+/// Applies a new configuration completely or not at all. The server list, requests and connections are kept.
 fn reload(shared: &Shared, running: &Start, path: &Path, environment: &Companions) {
-    match read(path, environment) {
+    match read_config(path, environment) {
         Ok(new) => match running.needs_restart(&new) {
             None => {
-                shared.move_discovery(new.discovery);
+                shared.set_discovery(new.discovery);
                 shared.longest_wait.store(new.names.longest_wait(), Ordering::SeqCst);
                 if running.tally.is_some() {
                     let settings = Box::new(new.settings.clone());
-                    shared.submit(Event::CountUnder { digest: digest(path), settings });
+                    shared.submit(Event::SetCountingSettings { digest: settings_digest(path), settings });
                 }
                 let settings = Box::new(new.settings);
-                shared.submit(Event::Hub(Input::Settings { settings }));
-                tracing::info!(target: "node", discovery = %new.discovery, "configuration taken");
+                shared.submit(Event::HubInput(Input::Settings { settings }));
+                tracing::info!(target: "node", discovery = %new.discovery, "new configuration applied");
             }
             Some(what) => {
-                tracing::error!(target: "node", what, "configuration not taken: this can't change while the node runs");
+                tracing::error!(target: "node", what, "new configuration rejected: this setting cannot change while the node runs");
             }
         },
-        Err(error) => tracing::error!(target: "node", %error, "configuration not taken, the old one stays"),
+        Err(error) => {
+            tracing::error!(target: "node", %error, "new configuration rejected, the old one stays in force")
+        }
     }
 }
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -1,16 +1,19 @@
-//! The file in which an agent beside this node finds what it has counted: replaced whole once a second by the main
-//! thread, at no time by the owner. Without `tally` in the configuration nothing of this is done.
+//! The file through which the fleet agent on this machine gets this node's request counts.
+//!
+//! The main thread replaces the whole file once a second. The event loop only hands over a copy of the counts
+//! and does no file I/O. Without `tally` in the configuration no file is written.
 
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
 use elderstage_tally::{Tally, Told};
 
-/// What the owner has handed out last.
+/// Holds the latest counts from the event loop until they are written.
 #[derive(Default)]
-pub struct Handed(Mutex<Option<Tally>>);
+pub struct TallySlot(Mutex<Option<Tally>>);
 
-impl Handed {
+impl TallySlot {
+    /// Replaces the counts.
     pub fn put(&self, tally: Tally) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(tally);
     }
@@ -21,34 +24,36 @@
 }
 
 /// Writes the file.
-pub struct Writer {
+pub struct TallyWriter {
     boot: u64,
     version: u64,
-    failed: bool,
+    /// Whether the last write failed.
+    has_failed: bool,
 }
 
-impl Writer {
-    /// `boot` tells this process from the one before.
-    pub fn new(boot: u64) -> Writer {
-        Writer { boot, version: 0, failed: false }
+impl TallyWriter {
+    /// Creates a writer. `boot` distinguishes this process from its predecessor.
+    pub fn new(boot: u64) -> TallyWriter {
+        TallyWriter { boot, version: 0, has_failed: false }
     }
 
-    /// Writes what was handed out since, if anything was. A failure is said once, and tried again with the next.
-    pub fn write(&mut self, handed: &Handed, file: &Path) {
-        let Some(tally) = handed.take() else { return };
+    /// Writes the counts of the slot, if there are any since the last write. The first failure in a row is
+    /// logged. The next counts are written all the same.
+    pub fn write(&mut self, slot: &TallySlot, file: &Path) {
+        let Some(tally) = slot.take() else { return };
         self.version += 1;
-        let told = Told { boot: self.boot, version: self.version, tally };
-        let mut new = file.as_os_str().to_owned();
-        new.push(".new");
-        let written = serde_json::to_vec(&told)
+        let report = Told { boot: self.boot, version: self.version, tally };
+        let mut temporary = file.as_os_str().to_owned();
+        temporary.push(".new");
+        let result = serde_json::to_vec(&report)
             .map_err(std::io::Error::other)
-            .and_then(|text| std::fs::write(&new, text))
-            .and_then(|()| std::fs::rename(&new, file));
-        if let Err(error) = &written
-            && !self.failed
+            .and_then(|text| std::fs::write(&temporary, text))
+            .and_then(|()| std::fs::rename(&temporary, file));
+        if let Err(error) = &result
+            && !self.has_failed
         {
             tracing::warn!(target: "node", file = %file.display(), %error, "counts not written");
         }
-        self.failed = written.is_err();
+        self.has_failed = result.is_err();
     }
 }
