--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,6 @@
-//! The asking side of HTTP/1.1: connect, send, read the answer.
+//! The client side of HTTP/1.1: connecting, sending a request and receiving the response.
+//!
+//! It neither retries nor keeps connections.
 
 use std::time::{Duration, Instant};
 
@@ -8,53 +10,57 @@
 
 use crate::conn::{Conn, NetError};
 
-/// EINPROGRESS on Linux: the connection is being made.
-const IN_PROGRESS: i32 = 115;
+/// `EINPROGRESS` on Linux: the connect continues in the background.
+const EINPROGRESS: i32 = 115;
 
-/// Where a server is reached, and the path of its service.
+/// The address of a server, and the path of its service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Endpoint {
+    /// The server's address.
     pub place: Place,
+    /// The path of the request target.
     pub path: String,
 }
 
 impl Endpoint {
+    /// Creates an endpoint.
     pub fn new(place: impl Into<Place>, path: impl Into<String>) -> Endpoint {
         Endpoint { place: place.into(), path: path.into() }
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub head: http::Response,
     pub body: Vec<u8>,
 }
 
-/// Opens a connection; no longer than `time`. A Unix socket answers at once: one whose backlog is full counts as
-/// one that cannot be reached.
-pub fn open(place: impl Into<Place>, time: Duration) -> Result<Conn, NetError> {
-    let until = Instant::now() + time;
+/// Opens a connection within `timeout`. Connecting to a Unix socket succeeds or fails at once: one whose
+/// backlog is full counts as unreachable.
+pub fn open(place: impl Into<Place>, timeout: Duration) -> Result<Conn, NetError> {
+    let until = Instant::now() + timeout;
     let conn = match place.into() {
         Place::Tcp(addr) => {
             let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
-            begin(&socket, &addr.into())?;
+            start_connect(&socket, &addr.into())?;
             Conn::new(std::net::TcpStream::from(socket))?
         }
         Place::Unix(path) => {
             let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
-            begin(&socket, &SockAddr::unix(path)?)?;
+            start_connect(&socket, &SockAddr::unix(path)?)?;
             Conn::new(std::os::unix::net::UnixStream::from(std::os::fd::OwnedFd::from(socket)))?
         }
     };
-    conn.connected(until)?;
+    conn.wait_connected(until)?;
     Ok(conn)
 }
 
-fn begin(socket: &Socket, addr: &SockAddr) -> Result<(), NetError> {
+/// Starts a connect without waiting for it.
+fn start_connect(socket: &Socket, addr: &SockAddr) -> Result<(), NetError> {
     socket.set_nonblocking(true)?;
     match socket.connect(addr) {
-        Err(error) if error.raw_os_error() != Some(IN_PROGRESS) => Err(NetError::Io(error)),
+        Err(error) if error.raw_os_error() != Some(EINPROGRESS) => Err(NetError::Io(error)),
         _ => Ok(()),
     }
 }
@@ -72,32 +78,32 @@
     conn.write(&out)
 }
 
-/// The head of a request whose body follows, and which waits for the word to go on.
+/// Builds the head of a request with `Expect: 100-continue`, whose body is sent after the peer's consent.
 pub fn waiting_head(method: &str, to: &Endpoint, headers: &[(&str, &str)], body: usize) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
     http::write_waiting_head(method, &to.path, &to.place.host(), headers, body, &mut out);
     out
 }
 
-/// Reads an answer whole.
+/// Receives a complete response.
 pub fn receive(conn: &mut Conn) -> Result<Answer, NetError> {
     let head = conn.response()?;
     let body = conn.body(head.framing)?;
     Ok(Answer { head, body })
 }
 
-/// One request on a connection of its own, answered whole within `time`.
+/// Sends one request on a new connection and receives the complete response within `timeout`.
 pub fn exchange(
     method: &str,
     to: &Endpoint,
     headers: &[(&str, &str)],
     body: &[u8],
-    time: Duration,
+    timeout: Duration,
 ) -> Result<Answer, NetError> {
-    let end = Instant::now() + time;
-    let mut conn = open(to.place.clone(), time)?;
-    conn.set_write_timeout(Some(time));
-    conn.set_deadline(Some(end));
+    let deadline = Instant::now() + timeout;
+    let mut conn = open(to.place.clone(), timeout)?;
+    conn.set_write_timeout(Some(timeout));
+    conn.set_deadline(Some(deadline));
     send(&mut conn, method, to, headers, body)?;
     receive(&mut conn)
 }
--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -1,4 +1,7 @@
-//! One connection: buffered reading of HTTP messages, and writing, each with a time limit.
+//! One connection: buffered reading of HTTP messages from the socket, and writing, each with a time limit.
+//!
+//! The connection blocks the calling coroutine, never its thread. It knows nothing of requests or their
+//! routing.
 
 use std::io;
 use std::sync::Arc;
@@ -9,22 +12,26 @@
 use thiserror::Error;
 
 use crate::stream::Stream;
-use crate::watch::Watch;
+use crate::watch::WaitLimit;
 
-/// Bytes asked of the system in one read.
-const READ: usize = 8 << 10;
-/// Pause between two looks at a socket by a thread that is no coroutine.
-const THREAD_WAIT: Duration = Duration::from_micros(300);
+/// Bytes requested from the system in one socket read.
+const READ_SIZE: usize = 8 << 10;
+/// Poll interval for a socket where the caller is a thread and not a coroutine.
+const THREAD_POLL_INTERVAL: Duration = Duration::from_micros(300);
 
-/// How reading or writing failed.
+/// Why connecting, reading or writing failed.
 #[derive(Debug, Error)]
 pub enum NetError {
+    /// The peer closed the connection.
     #[error("the peer closed the connection")]
     Closed,
+    /// The time limit passed.
     #[error("no answer in time")]
     TimedOut,
+    /// The system reported an error.
     #[error("connection: {0}")]
     Io(io::Error),
+    /// The peer sent invalid HTTP.
     #[error("HTTP: {0}")]
     Http(#[from] HttpError),
 }
@@ -39,73 +46,77 @@
     }
 }
 
-/// A handle on a connection that another coroutine or thread uses: shutting it ends its reads and writes.
+/// A handle to shut down a connection that another coroutine or thread uses.
 #[derive(Clone)]
 pub struct Socket(Arc<Stream>);
 
 impl Socket {
-    /// Ends all reading and writing on it, now and later.
+    /// Shuts the connection down: all reads and writes on it end, now and later.
     pub fn shut(&self) {
         // An error means that the peer has closed it already.
-        let _ = self.0.shut();
+        let _ = self.0.shutdown_both();
     }
 }
 
-/// Wakes a coroutine that waits in [`Conn::pause`], from any thread; it looks itself at what it was woken for. One
-/// that does not wait yet does not wait the next time.
+/// Wakes a coroutine that waits in [`Conn::pause`], from any thread. The coroutine finds out itself why it
+/// was woken. If it does not wait yet, its next wait returns at once.
 pub struct Waker(WaitIoWaker);
 
 impl Waker {
+    /// Wakes the coroutine.
     pub fn wake(&self) {
         self.0.wakeup();
     }
 }
 
-/// A connection with what has been read and not used yet.
+/// A connection with a buffer of the bytes that were read from the socket and not consumed yet.
 pub struct Conn {
     io: CoIo<Arc<Stream>>,
     buffer: Vec<u8>,
-    at: usize,
+    /// Bytes at the start of `buffer` that were consumed.
+    consumed: usize,
     deadline: Option<Instant>,
     read_timeout: Option<Duration>,
     write_timeout: Option<Duration>,
-    /// When the peer last took bytes.
-    wrote: Option<Instant>,
-    watch: Arc<Watch>,
+    /// When the socket last accepted bytes.
+    last_write: Option<Instant>,
+    wait_limit: Arc<WaitLimit>,
+    /// Maximum sizes of heads and bodies that are accepted from the peer.
     pub limits: Limits,
-    /// Closes the descriptor after `io` has stopped watching it (fields are dropped in this order). Guards against
-    /// lost wake-ups: were it closed first, its number could be another connection's by the time it is taken off
-    /// the watch, and that other connection would never hear of its data.
-    _last: Arc<Stream>,
+    /// Keeps the descriptor open until `io` has deregistered it (fields are dropped in this order). If it
+    /// were closed first, its number could belong to another connection by the time it is deregistered. That
+    /// connection would lose its wake-ups and never learn of its data.
+    _closed_last: Arc<Stream>,
 }
 
 impl Conn {
-    /// Takes a connection over. Fails where the system has no room to watch it.
+    /// Wraps a connected socket. Fails if the system cannot register it for readiness events.
     pub fn new(stream: impl Into<Stream>) -> Result<Conn, NetError> {
         let stream = stream.into();
         stream.set_nodelay()?;
         let stream = Arc::new(stream);
         let io = CoIo::new(stream.clone()).map_err(|error| NetError::Io(error.into()))?;
         Ok(Conn {
-            watch: Watch::new(io.waker()),
+            wait_limit: WaitLimit::new(io.waker()),
             io,
             buffer: Vec::new(),
-            at: 0,
+            consumed: 0,
             deadline: None,
             read_timeout: None,
             write_timeout: None,
-            wrote: None,
+            last_write: None,
             limits: Limits::default(),
-            _last: stream,
+            _closed_last: stream,
         })
     }
 
+    /// A handle with which others can shut the connection down.
     pub fn socket(&self) -> Socket {
         Socket(self.io.inner().clone())
     }
 
-    /// Waits for a connection that is being made.
-    pub(crate) fn connected(&self, until: Instant) -> Result<(), NetError> {
+    /// Waits until a connect in progress has succeeded or failed.
+    pub(crate) fn wait_connected(&self, until: Instant) -> Result<(), NetError> {
         loop {
             if let Some(error) = self.io.inner().take_error()? {
                 return Err(error.into());
@@ -118,61 +129,68 @@
         }
     }
 
-    /// A second handle for writing from another coroutine; takes a descriptor of its own.
+    /// A second handle for writing from another coroutine. It uses a descriptor of its own.
     pub fn writer(&self) -> Result<Conn, NetError> {
         let mut conn = Conn::new(self.io.inner().try_clone()?)?;
         conn.limits = self.limits;
         Ok(conn)
     }
 
-    /// All reading ends by then, however many reads it takes; each read alone is bounded by the read timeout.
+    /// Sets the time at which all waiting for the peer's bytes ends, however many socket reads it takes. The
+    /// read timeout bounds each single read.
     pub fn set_deadline(&mut self, at: Option<Instant>) {
         self.deadline = at;
     }
 
+    /// Sets the time limit for each socket read.
     pub fn set_read_timeout(&mut self, time: Option<Duration>) {
         self.read_timeout = time;
     }
 
+    /// Sets the longest time for which the peer may accept no bytes during a write.
     pub fn set_write_timeout(&mut self, time: Option<Duration>) {
         self.write_timeout = time;
     }
 
-    /// How long ago the last bytes were written; `None` where nothing was.
+    /// How long ago the last bytes were written; `None` if none were.
     pub fn since_last_write(&self) -> Option<Duration> {
-        self.wrote.map(|at| at.elapsed())
+        self.last_write.map(|at| at.elapsed())
     }
 
+    /// A handle that wakes a coroutine that waits in [`Conn::pause`].
     pub fn waker(&self) -> Waker {
         Waker(self.io.waker())
     }
 
-    /// Waits until something has changed on the socket, its waker is called, or `until`; returns early at times.
+    /// Waits until the socket's readiness has changed, the waker is called, or `until`. It may return early
+    /// without a cause.
     pub fn pause(&self, until: Option<Instant>) {
-        // The time is the caller's to look at.
+        // The caller checks the time itself, so a timeout is no error here.
         let _ = self.wait(until);
     }
 
-    /// Waits until something can be done with the socket, or `until`.
+    /// Waits until the socket may be ready, or `until`. Fails with [`NetError::TimedOut`] if that time has
+    /// passed.
     fn wait(&self, until: Option<Instant>) -> Result<(), NetError> {
         if until.is_some_and(|until| Instant::now() >= until) {
             return Err(NetError::TimedOut);
         }
         if may::coroutine::is_coroutine() {
-            self.watch.set(until);
+            self.wait_limit.set(until);
             self.io.wait_io();
         } else {
-            // Threads wait in tests and at the edges of a rehearsal only.
-            std::thread::sleep(THREAD_WAIT);
+            // Only tests and the control code of a rehearsal wait in threads.
+            std::thread::sleep(THREAD_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    fn read(&mut self, into: usize) -> Result<usize, NetError> {
+    /// Reads from the socket into the buffer from `offset` on, and waits for bytes within the time limits.
+    fn read_socket(&mut self, offset: usize) -> Result<usize, NetError> {
         let timeout = self.read_timeout.map(|time| Instant::now() + time);
         let until = [self.deadline, timeout].into_iter().flatten().min();
         loop {
-            match self.io.inner().read(&mut self.buffer[into..]) {
+            match self.io.inner().read(&mut self.buffer[offset..]) {
                 Ok(n) => return Ok(n),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.wait(until)?,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -181,33 +199,33 @@
         }
     }
 
-    /// What has come and was not used yet.
+    /// The bytes that were received and not consumed yet.
     pub fn pending(&self) -> &[u8] {
-        &self.buffer[self.at..]
+        &self.buffer[self.consumed..]
     }
 
-    /// So many bytes of what has come were used.
+    /// Marks `n` of the pending bytes as consumed, or all where there are fewer.
     pub fn used(&mut self, n: usize) {
-        self.at = self.at.saturating_add(n).min(self.buffer.len());
+        self.consumed = self.consumed.saturating_add(n).min(self.buffer.len());
     }
 
-    /// Gives memory back that a large message needed.
+    /// Releases buffer memory that a large message needed.
     pub fn shrink(&mut self) {
-        if self.at > 0 {
-            self.buffer.drain(..self.at);
-            self.at = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         self.buffer.shrink_to(0);
     }
 
-    /// Takes what has come without waiting; `false` where nothing has.
-    pub fn fill_now(&mut self) -> Result<bool, NetError> {
-        if self.at > 0 {
-            self.buffer.drain(..self.at);
-            self.at = 0;
+    /// Reads from the socket what is available without waiting; `false` if nothing is.
+    pub fn try_fill(&mut self) -> Result<bool, NetError> {
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         let old = self.buffer.len();
-        self.buffer.resize(old + READ, 0);
+        self.buffer.resize(old + READ_SIZE, 0);
         let read = self.io.inner().read(&mut self.buffer[old..]);
         self.buffer.truncate(old + *read.as_ref().unwrap_or(&0));
         match read {
@@ -220,10 +238,10 @@
         }
     }
 
-    /// The next response's head if it has come whole; interim responses (1xx) are passed over.
-    pub fn response_now(&mut self) -> Result<Option<http::Response>, NetError> {
+    /// The head of the next response, if all of it has been received. Interim responses (1xx) are skipped.
+    pub fn try_response(&mut self) -> Result<Option<http::Response>, NetError> {
         while let Some((head, n)) = http::parse_response(self.pending(), self.limits)? {
-            self.at += n;
+            self.consumed += n;
             if head.status >= 200 {
                 return Ok(Some(head));
             }
@@ -231,32 +249,33 @@
         Ok(None)
     }
 
-    /// Bytes that have come and were not used yet.
+    /// Whether bytes were received and not consumed yet.
     pub fn has_pending(&self) -> bool {
         !self.pending().is_empty()
     }
 
-    /// Takes what has come and was not used yet.
+    /// Takes the bytes that were received and not consumed yet.
     pub fn take_pending(&mut self) -> Vec<u8> {
-        let bytes = self.buffer.split_off(self.at);
+        let bytes = self.buffer.split_off(self.consumed);
         self.buffer.clear();
-        self.at = 0;
+        self.consumed = 0;
         bytes
     }
 
-    /// Whether an idle connection is still good for a request: open, and nothing unasked has come on it.
+    /// Whether an idle connection can carry a request: it is open and has received no unrequested bytes.
     pub fn is_idle(&self) -> bool {
         let peeked = self.io.inner().peek();
         !self.has_pending() && matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Ends writing: the peer reads to the end of what was written.
-    pub fn end(&self) {
+    /// Shuts down the sending side. The peer can still receive all that was written.
+    pub fn shutdown_write(&self) {
         // An error means that the peer has closed it already.
-        let _ = self.io.inner().end();
+        let _ = self.io.inner().shutdown_write();
     }
 
-    /// Whether the peer has closed it, with what it sent before, read or not, left aside.
+    /// Whether the peer has closed the connection and the socket holds no more unreceived bytes. Pending
+    /// bytes in the buffer are not considered.
     pub fn is_closed(&self) -> bool {
         match self.io.inner().peek() {
             Ok(n) => n == 0,
@@ -264,16 +283,17 @@
         }
     }
 
-    /// Closes in good order: ends writing, then drops what the peer still sends until it ends too, for so long and so
-    /// many bytes at most. A close over unread bytes resets the connection, and the reset takes with it what the peer
-    /// has not read yet (RFC 9112, 9.6). What is read here was sent after our end and is nobody's request.
-    pub fn finish(mut self, time: Duration, most: usize) {
-        self.end();
-        let (until, mut dropped) = (Instant::now() + time, 0);
-        while dropped < most {
-            dropped += self.pending().len();
+    /// Closes the connection gracefully: shuts down the sending side, then discards what the peer still sends
+    /// until it closes too, for at most `timeout` and about `max_bytes` bytes. Closing a socket with
+    /// unreceived bytes resets the connection, and the reset destroys what the peer has not received yet (RFC
+    /// 9112, 9.6). No request is lost, since the discarded bytes are not answered any more.
+    pub fn close_gracefully(mut self, timeout: Duration, max_bytes: usize) {
+        self.shutdown_write();
+        let (until, mut discarded) = (Instant::now() + timeout, 0);
+        while discarded < max_bytes {
+            discarded += self.pending().len();
             self.used(usize::MAX);
-            match self.fill_now() {
+            match self.try_fill() {
                 Ok(true) => {}
                 Ok(false) if Instant::now() < until => self.pause(Some(until)),
                 Ok(false) | Err(_) => return,
@@ -281,15 +301,15 @@
         }
     }
 
-    /// Reads more from the peer.
+    /// Reads more bytes from the socket, and waits for them.
     pub fn fill(&mut self) -> Result<(), NetError> {
-        if self.at > 0 {
-            self.buffer.drain(..self.at);
-            self.at = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         let old = self.buffer.len();
-        self.buffer.resize(old + READ, 0);
-        let read = self.read(old);
+        self.buffer.resize(old + READ_SIZE, 0);
+        let read = self.read_socket(old);
         self.buffer.truncate(old + *read.as_ref().unwrap_or(&0));
         if read? == 0 {
             return Err(NetError::Closed);
@@ -297,15 +317,17 @@
         Ok(())
     }
 
+    /// Writes all bytes to the socket.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), NetError> {
         self.write_while(bytes, || true).map(|_| ())
     }
 
-    /// Writes while `wanted` holds, which is asked whenever the peer takes nothing more for now; its waker makes it look
-    /// again. `false`: given up before the last byte.
-    pub fn write_while(&mut self, bytes: &[u8], wanted: impl Fn() -> bool) -> Result<bool, NetError> {
+    /// Writes all bytes as long as `is_wanted` holds. It is called whenever the peer accepts no more bytes
+    /// for now, and again when the waker is called. `false`: the write was abandoned before the last byte.
+    pub fn write_while(&mut self, bytes: &[u8], is_wanted: impl Fn() -> bool) -> Result<bool, NetError> {
         let mut rest = bytes;
-        // The limit is on standing still: each piece that the peer takes begins it anew.
+        // The timeout bounds the time without progress: it starts again with each piece that the peer
+        // accepts.
         let mut until = None;
         while !rest.is_empty() {
             match self.io.inner().write(rest) {
@@ -313,10 +335,10 @@
                 Ok(n) => {
                     rest = &rest[n..];
                     until = None;
-                    self.wrote = Some(Instant::now());
+                    self.last_write = Some(Instant::now());
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    if !wanted() {
+                    if !is_wanted() {
                         return Ok(false);
                     }
                     let timeout = self.write_timeout.map(|time| Instant::now() + time);
@@ -330,18 +352,19 @@
         Ok(true)
     }
 
-    /// The next request's head. `Closed` where the peer ended in good order before a first byte.
+    /// Receives the head of the next request. Fails with [`NetError::Closed`] if the peer closed the
+    /// connection.
     pub fn request(&mut self) -> Result<http::Request, NetError> {
         loop {
             if let Some((head, n)) = http::parse_request(self.pending(), self.limits)? {
-                self.at += n;
+                self.consumed += n;
                 return Ok(head);
             }
             self.fill()?;
         }
     }
 
-    /// The next response's head; interim responses (1xx) are passed over.
+    /// Receives the head of the next response. Interim responses (1xx) are skipped.
     pub fn response(&mut self) -> Result<http::Response, NetError> {
         loop {
             let head = self.any_response()?;
@@ -351,8 +374,8 @@
         }
     }
 
-    /// Waits for the word on a request whose head asked for it (RFC 9110, 10.1.1): `None` when the peer takes the
-    /// body, or else its final answer.
+    /// Waits for the response to the head of a request with `Expect: 100-continue` (RFC 9110, 10.1.1).
+    /// `None`: the peer accepts the body. Otherwise its final response.
     pub fn go_on(&mut self) -> Result<Option<http::Response>, NetError> {
         loop {
             match self.any_response()? {
@@ -363,11 +386,12 @@
         }
     }
 
+    /// Receives the head of the next response, be it interim or final.
     fn any_response(&mut self) -> Result<http::Response, NetError> {
         loop {
             match http::parse_response(self.pending(), self.limits)? {
                 Some((head, n)) => {
-                    self.at += n;
+                    self.consumed += n;
                     return Ok(head);
                 }
                 None => self.fill()?,
@@ -375,17 +399,17 @@
         }
     }
 
-    /// Tells a peer that waits for it to send its body; nothing where the body is on its way.
+    /// Writes `100 Continue` if the request asks for it and no byte of its body has been received.
     pub fn take_body(&mut self, head: &http::Request) -> Result<(), NetError> {
-        let waits =
+        let expects_continue =
             head.headers.get("expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
-        if waits && !self.has_pending() {
+        if expects_continue && !self.has_pending() {
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
         Ok(())
     }
 
-    /// The next piece of a body, appended to `out`; `false` when the body has ended.
+    /// Receives the next piece of a body and appends it to `out`; `false` when the body has ended.
     pub fn body_piece(&mut self, body: &mut Body, out: &mut Vec<u8>) -> Result<bool, NetError> {
         loop {
             if body.done() {
@@ -393,8 +417,8 @@
             }
             if self.has_pending() {
                 let before = out.len();
-                let n = body.push(&self.buffer[self.at..], out)?;
-                self.at += n;
+                let n = body.push(&self.buffer[self.consumed..], out)?;
+                self.consumed += n;
                 if out.len() > before {
                     return Ok(true);
                 }
@@ -403,13 +427,13 @@
                 }
             }
             match self.fill() {
-                Err(NetError::Closed) if body_runs_to_close(body) => return Ok(false),
+                Err(NetError::Closed) if ends_with_connection(body) => return Ok(false),
                 other => other?,
             }
         }
     }
 
-    /// A whole body, within the limit.
+    /// Receives a whole body within the size limit.
     pub fn body(&mut self, framing: Framing) -> Result<Vec<u8>, NetError> {
         if let Framing::Length(n) = framing
             && n > self.limits.body as u64
@@ -426,6 +450,6 @@
     }
 }
 
-fn body_runs_to_close(body: &Body) -> bool {
+fn ends_with_connection(body: &Body) -> bool {
     body.framing() == Framing::UntilClose
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! Coroutine sockets for fronts, stand-ins and scripted clients: spawning, and HTTP/1.1 over a connection.
+//! Coroutine sockets for fronts, nodes, stand-ins and scripted clients: spawning coroutines, and HTTP/1.1
+//! over a connection.
 //!
-//! A coroutine's stack is small and fixed ([`STACK_WORDS`]); what needs more than that does not belong in one.
-//! Nothing here decides anything: callers get bytes, heads and errors.
+//! This crate makes no decisions: callers get bytes, message heads and errors. A coroutine's stack is small
+//! and of fixed size ([`STACK_WORDS`]), so code that needs a deeper stack must not run in one.
 
 mod client;
 mod conn;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,4 +1,6 @@
-//! Accepting connections in a coroutine, until told to stop.
+//! Listening sockets: accepts connections in a coroutine until it is stopped.
+//!
+//! The listener serves no connection itself: it hands each to a callback.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Shutdown, SocketAddr, TcpListener, ToSocketAddrs};
@@ -16,83 +18,90 @@
 use crate::conn::Conn;
 use crate::stream::Stream;
 
-/// Connections that may wait to be accepted.
+/// Number of connections that may wait to be accepted.
 const BACKLOG: i32 = 4096;
-/// Pause after the system refused to accept for want of descriptors or memory: the queue stays with the system.
-const SHORT: Duration = Duration::from_millis(20);
+/// Pause after the system could not accept for lack of descriptors or memory. Connections wait in the backlog
+/// meanwhile.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
+/// A listening TCP or Unix socket.
 #[derive(Debug)]
-enum Door {
+enum ListeningSocket {
     Tcp(TcpListener),
     Unix(UnixListener),
 }
 
-impl AsFd for Door {
+impl AsFd for ListeningSocket {
     fn as_fd(&self) -> BorrowedFd<'_> {
         match self {
-            Door::Tcp(listener) => listener.as_fd(),
-            Door::Unix(listener) => listener.as_fd(),
+            ListeningSocket::Tcp(listener) => listener.as_fd(),
+            ListeningSocket::Unix(listener) => listener.as_fd(),
         }
     }
 }
 
-impl AsRawFd for Door {
+impl AsRawFd for ListeningSocket {
     fn as_raw_fd(&self) -> RawFd {
         match self {
-            Door::Tcp(listener) => listener.as_raw_fd(),
-            Door::Unix(listener) => listener.as_raw_fd(),
+            ListeningSocket::Tcp(listener) => listener.as_raw_fd(),
+            ListeningSocket::Unix(listener) => listener.as_raw_fd(),
         }
     }
 }
 
-impl Door {
+impl ListeningSocket {
     fn accept(&self) -> io::Result<Stream> {
         match self {
-            Door::Tcp(listener) => listener.accept().map(|(stream, _)| stream.into()),
-            Door::Unix(listener) => listener.accept().map(|(stream, _)| stream.into()),
+            ListeningSocket::Tcp(listener) => listener.accept().map(|(stream, _)| stream.into()),
+            ListeningSocket::Unix(listener) => listener.accept().map(|(stream, _)| stream.into()),
         }
     }
 }
 
-/// A listening socket.
+/// A listening socket that is served in a coroutine.
 pub struct Listener {
-    io: CoIo<Arc<Door>>,
+    io: CoIo<Arc<ListeningSocket>>,
     place: Place,
-    stop: Arc<AtomicBool>,
-    ending: Arc<AtomicBool>,
-    /// Closed after it is no longer watched, as with connections.
-    _last: Arc<Door>,
+    /// Stop at once.
+    is_stopped: Arc<AtomicBool>,
+    /// Stop when no connection waits in the backlog any more.
+    is_draining: Arc<AtomicBool>,
+    /// Keeps the descriptor open until `io` has deregistered it, as in [`Conn`].
+    _closed_last: Arc<ListeningSocket>,
 }
 
-/// Ends a listener from outside.
+/// A handle that stops a listener from another coroutine or thread.
 pub struct Stop {
-    stop: Arc<AtomicBool>,
-    ending: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
+    is_draining: Arc<AtomicBool>,
     waker: WaitIoWaker,
-    door: std::sync::Weak<Door>,
+    socket: std::sync::Weak<ListeningSocket>,
 }
 
 impl Stop {
-    /// The listener takes what has connected already, then closes: a connection that the system has accepted and that
-    /// is reset with the socket may carry a whole request. To be called again until it has: one wake-up may be lost.
-    pub fn end(&self) {
-        self.ending.store(true, Ordering::SeqCst);
+    /// Lets the listener accept the connections that wait in its backlog and then close. Such a connection
+    /// may already carry a whole request and would be reset with the socket. Call this again until
+    /// [`Stop::is_closed`], since a wake-up may be lost.
+    pub fn stop_after_backlog(&self) {
+        self.is_draining.store(true, Ordering::SeqCst);
         self.waker.wakeup();
     }
 
     /// Whether the listener has closed.
     pub fn is_closed(&self) -> bool {
-        self.door.strong_count() == 0
+        self.socket.strong_count() == 0
     }
 
-    /// The listener accepts nothing more and closes. The path of a Unix socket stays, as after a process's death.
+    /// Stops the listener at once: it accepts no more connections and closes. The path of a Unix socket
+    /// stays, as it does after the death of a process.
     pub fn stop(&self) {
-        if !self.stop.swap(true, Ordering::SeqCst) {
-            // A wake-up alone may come between the look at the flag and the wait, and be lost: the socket would stay
-            // bound and take connections that nobody serves. One that is shut is ready for ever.
-            if let Some(door) = self.door.upgrade() {
-                // An error means that it is shut already.
-                let _ = SockRef::from(&*door).shutdown(Shutdown::Both);
+        if !self.is_stopped.swap(true, Ordering::SeqCst) {
+            // A wake-up alone may come between the check of the flag and the wait, and be lost. The socket
+            // would stay bound and accept connections that nobody serves. A socket that is shut down stays
+            // ready, so its wait ends.
+            if let Some(socket) = self.socket.upgrade() {
+                // An error means that it is shut down already.
+                let _ = SockRef::from(&*socket).shutdown(Shutdown::Both);
             }
             self.waker.wakeup();
         }
@@ -100,29 +109,31 @@
 }
 
 impl Listener {
+    /// Listens at a TCP address.
     pub fn bind(addr: impl ToSocketAddrs) -> io::Result<Listener> {
         Listener::with_send_buffer(addr, None)
     }
 
-    /// Bounds what the system holds of answers that a peer does not read, in bytes for each connection.
+    /// Listens at a TCP address with a send buffer of `bytes` for each connection. It bounds the response
+    /// bytes that the system holds for a peer that does not receive them.
     pub fn with_send_buffer(addr: impl ToSocketAddrs, bytes: Option<usize>) -> io::Result<Listener> {
         let addr = addr.to_socket_addrs()?.next().ok_or(io::ErrorKind::AddrNotAvailable)?;
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
-        // A port is taken again at once after a restart, while old connections linger.
+        // Allows a restart to bind the same port at once, while old connections are still closing.
         socket.set_reuse_address(true)?;
         if let Some(bytes) = bytes {
-            // Connections take it over from the listening socket.
+            // Accepted connections inherit it from the listening socket.
             socket.set_send_buffer_size(bytes)?;
         }
         socket.bind(&addr.into())?;
         socket.listen(BACKLOG)?;
         let listener: TcpListener = socket.into();
         let addr = listener.local_addr()?;
-        Listener::watched(Door::Tcp(listener), Place::Tcp(addr))
+        Listener::register(ListeningSocket::Tcp(listener), Place::Tcp(addr))
     }
 
-    /// At either kind of place. A socket file that an earlier process has left is taken over; one that a process
-    /// still listens at is not, nor is any other file.
+    /// Listens at a TCP address or a Unix socket path. A socket file that an earlier process left behind is
+    /// replaced. A socket file at which a process still listens is not, nor is any other file.
     pub fn at(place: &Place) -> io::Result<Listener> {
         let path = match place {
             Place::Tcp(addr) => return Listener::bind(addr),
@@ -139,21 +150,28 @@
         }
         socket.listen(BACKLOG)?;
         let listener = UnixListener::from(std::os::fd::OwnedFd::from(socket));
-        Listener::watched(Door::Unix(listener), place.clone())
+        Listener::register(ListeningSocket::Unix(listener), place.clone())
     }
 
-    fn watched(door: Door, place: Place) -> io::Result<Listener> {
-        let door = Arc::new(door);
-        let io = CoIo::new(door.clone()).map_err(io::Error::from)?;
-        Ok(Listener { io, place, stop: Arc::default(), ending: Arc::default(), _last: door })
+    /// Registers a listening socket for readiness events.
+    fn register(socket: ListeningSocket, place: Place) -> io::Result<Listener> {
+        let socket = Arc::new(socket);
+        let io = CoIo::new(socket.clone()).map_err(io::Error::from)?;
+        Ok(Listener {
+            io,
+            place,
+            is_stopped: Arc::default(),
+            is_draining: Arc::default(),
+            _closed_last: socket,
+        })
     }
 
-    /// Where it listens, with the port that the system gave.
+    /// The address at which it listens, with the port that the system assigned.
     pub fn place(&self) -> &Place {
         &self.place
     }
 
-    /// Address and port; the unspecified address for a Unix socket.
+    /// The TCP address and port; the unspecified address for a Unix socket.
     pub fn addr(&self) -> SocketAddr {
         match &self.place {
             Place::Tcp(addr) => *addr,
@@ -161,40 +179,42 @@
         }
     }
 
+    /// A handle that stops this listener.
     pub fn stopper(&self) -> Stop {
-        let (stop, ending) = (self.stop.clone(), self.ending.clone());
-        Stop { stop, ending, waker: self.io.waker(), door: Arc::downgrade(&self._last) }
+        let (is_stopped, is_draining) = (self.is_stopped.clone(), self.is_draining.clone());
+        Stop { is_stopped, is_draining, waker: self.io.waker(), socket: Arc::downgrade(&self._closed_last) }
     }
 
-    /// Hands each connection to `each` until stopped. Must run in a coroutine. `short` is told when the system
-    /// had no descriptor or memory for a connection: it is tried again, nothing ends.
-    pub fn serve(self, mut each: impl FnMut(Conn), mut short: impl FnMut(&io::Error)) {
-        while !self.stop.load(Ordering::SeqCst) {
+    /// Accepts connections and passes them to `on_connection` until the listener is stopped. Must run in a
+    /// coroutine. Calls `on_error` when the system had no descriptor or memory for a connection. The listener
+    /// then tries again.
+    pub fn serve(self, mut on_connection: impl FnMut(Conn), mut on_error: impl FnMut(&io::Error)) {
+        while !self.is_stopped.load(Ordering::SeqCst) {
             match self.io.inner().accept() {
-                Ok(_) if self.stop.load(Ordering::SeqCst) => break,
+                Ok(_) if self.is_stopped.load(Ordering::SeqCst) => break,
                 Ok(stream) => match Conn::new(stream) {
-                    Ok(conn) => each(conn),
-                    Err(error) => short(&io::Error::other(error.to_string())),
+                    Ok(conn) => on_connection(conn),
+                    Err(error) => on_error(&io::Error::other(error.to_string())),
                 },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    if self.ending.load(Ordering::SeqCst) {
+                    if self.is_draining.load(Ordering::SeqCst) {
                         break;
                     }
                     self.io.wait_io();
                 }
-                Err(_) if self.stop.load(Ordering::SeqCst) => break,
+                Err(_) if self.is_stopped.load(Ordering::SeqCst) => break,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) => {
-                    short(&error);
-                    may::coroutine::sleep(SHORT);
+                    on_error(&error);
+                    may::coroutine::sleep(ACCEPT_RETRY_PAUSE);
                 }
             }
         }
     }
 }
 
-/// A socket file at which nobody listens.
+/// Whether no process listens at a socket file.
 fn is_stale(path: &Path) -> bool {
-    let refused = |error: io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
-    UnixStream::connect(path).is_err_and(refused)
+    let is_refused = |error: io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
+    UnixStream::connect(path).is_err_and(is_refused)
 }
--- a/crates/net/src/owner.rs
+++ b/crates/net/src/owner.rs
@@ -1,34 +1,35 @@
-//! One owner of a state machine: a thread that takes events from a bounded queue in order and wakes for its
-//! timers. What it owns needs no locks.
+//! A thread that owns a state machine. It takes events from a bounded queue in order, and wakes the machine
+//! for its timers. The machine's state needs no locks, since only this thread uses it.
 //!
-//! When the queue is full, [`Inbox::offer`] says so at once, for work that may be turned away; [`Inbox::send`]
-//! waits, for news of work already taken, which must not be lost. A waiting coroutine reads no more from its
-//! socket, so the pressure reaches the peer.
+//! When the queue is full, [`Inbox::offer`] fails at once. It is for new work that may be refused.
+//! [`Inbox::send`] waits. It is for events of accepted work, which must not be lost. A waiting coroutine does
+//! not receive from its socket, so the backpressure reaches the peer.
 
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 
-/// Pause of a sender that met a full queue.
-const FULL_PAUSE: Duration = Duration::from_millis(1);
+/// Poll interval of a sender that waits for room in the queue.
+const FULL_QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Microseconds on the owner's clock.
 pub type Micros = u64;
 
-/// Something that lives in a thread of its own and is driven by events and by time.
+/// A state machine that runs in a thread of its own and is driven by events and timers.
 pub trait Machine: Send + 'static {
+    /// What the machine takes from its queue.
     type Event: Send + 'static;
 
-    /// Takes one event. `false` ends the thread.
+    /// Handles one event. `false` ends the thread.
     fn handle(&mut self, now: Micros, event: Self::Event) -> bool;
-    /// When it next wants to be woken.
+    /// The time of the machine's next timer, if it has one.
     fn next_timer(&self) -> Option<Micros>;
-    /// Called at or after that time.
+    /// Handles due timers. Called at or after the time of the next timer.
     fn wake(&mut self, now: Micros);
 }
 
-/// The way in.
+/// The sending end of the event queue.
 pub struct Inbox<E>(Sender<E>);
 
 impl<E> Clone for Inbox<E> {
@@ -38,24 +39,24 @@
 }
 
 impl<E> Inbox<E> {
-    /// Hands an event over unless the queue is full or the owner has ended, and then gives it back.
+    /// Queues an event. Fails and returns the event if the queue is full or the owner has ended.
     pub fn offer(&self, event: E) -> Result<(), E> {
         self.0.try_send(event).map_err(TrySendError::into_inner)
     }
 
-    /// Hands an event over, waiting while the queue is full. `false` when the owner has ended.
+    /// Queues an event, and waits while the queue is full. `false`: the owner has ended.
     pub fn send(&self, mut event: E) -> bool {
         loop {
             match self.0.try_send(event) {
                 Ok(()) => return true,
                 Err(TrySendError::Disconnected(_)) => return false,
-                Err(TrySendError::Full(back)) => event = back,
+                Err(TrySendError::Full(rejected)) => event = rejected,
             }
-            may::coroutine::sleep(FULL_PAUSE);
+            may::coroutine::sleep(FULL_QUEUE_POLL_INTERVAL);
         }
     }
 
-    /// Events that wait.
+    /// The number of queued events.
     pub fn waiting(&self) -> usize {
         self.0.len()
     }
@@ -69,22 +70,24 @@
 }
 
 impl Clock {
+    /// Creates a clock that shows `origin` now.
     pub fn new(origin: Micros) -> Clock {
         Clock { start: Instant::now(), origin }
     }
 
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.origin + u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 }
 
-/// A queue of so many events, and the end that [`run`] takes.
-pub fn queue<E>(bound: usize) -> (Inbox<E>, Receiver<E>) {
-    let (sender, receiver) = bounded(bound);
+/// Creates a queue for `capacity` events: the sending end, and the receiving end for [`run`].
+pub fn queue<E>(capacity: usize) -> (Inbox<E>, Receiver<E>) {
+    let (sender, receiver) = bounded(capacity);
     (Inbox(sender), receiver)
 }
 
-/// Runs a machine in a thread of its own until it ends or all ways in are gone.
+/// Runs a machine in a thread of its own until it ends or all its inboxes are dropped.
 pub fn run<M: Machine>(
     name: &str,
     clock: Clock,
--- a/crates/net/src/spawn.rs
+++ b/crates/net/src/spawn.rs
@@ -1,27 +1,32 @@
-//! The one place where coroutines are spawned.
+//! Set-up of the coroutine runtime, and the only place where coroutines are spawned.
 #![allow(unsafe_code)]
 
 use std::sync::Once;
 
-/// Stack of a coroutine in machine words: 128 KiB on 64 bits, of which only the touched pages take memory.
-/// JSON nests 128 levels at most (the limit of `serde_json`), which fits with room.
+/// Stack size of a coroutine in machine words: 128 KiB on 64-bit machines, of which only touched pages take
+/// memory. JSON is parsed to at most 128 levels of nesting (the limit of `serde_json`), which fits with room
+/// to spare.
 pub const STACK_WORDS: usize = 16 << 10;
-/// Stacks kept for coroutines to come.
-const POOL: usize = 4096;
+/// Number of stacks kept for reuse.
+const STACK_POOL_CAPACITY: usize = 4096;
 
-static ONCE: Once = Once::new();
+static INIT: Once = Once::new();
 
-/// Sets the coroutine runtime up with so many worker threads. Only the first call counts.
+/// Sets up the coroutine runtime with `workers` worker threads. Only the first call of this or [`init_small`]
+/// has an effect.
 pub fn init(workers: usize) {
-    ONCE.call_once(|| {
-        may::config().set_workers(workers.max(1)).set_stack_size(STACK_WORDS).set_pool_capacity(POOL);
+    INIT.call_once(|| {
+        may::config()
+            .set_workers(workers.max(1))
+            .set_stack_size(STACK_WORDS)
+            .set_pool_capacity(STACK_POOL_CAPACITY);
     });
 }
 
-/// The same for a small machine: one worker that the system may run on any core it gives us, and only so many
-/// stacks kept.
+/// Sets up the coroutine runtime for a small machine: one worker thread that the system may run on any core,
+/// and `stacks` stacks kept for reuse.
 pub fn init_small(stacks: usize) {
-    ONCE.call_once(|| {
+    INIT.call_once(|| {
         let config = may::config();
         config
             .set_workers(1)
@@ -31,12 +36,13 @@
     });
 }
 
-/// Runs `f` in a coroutine of its own.
+/// Runs `f` in a new coroutine.
 pub fn go<F: FnOnce() + Send + 'static>(f: F) {
-    // SAFETY: `may` calls spawning unsafe for two reasons. Thread-local state may be seen from another thread
-    // after a switch: nothing here keeps a reference into thread-local storage over a call that can switch
-    // (locks of `std` are never held over I/O, and random state is owned by value). And a stack may overflow:
-    // its size is fixed above, a guard page ends the process rather than corrupting it, and the deepest
-    // message accepted is tested.
+    // SAFETY: `may` marks spawning as unsafe for two reasons. First, a coroutine may continue on another
+    // thread after a switch and see other thread-local state. No code here keeps a reference into
+    // thread-local storage across a call that can switch: locks of `std` are never held during I/O, and
+    // random state is owned by value. Second, a stack may overflow. Its size is fixed above, a guard page
+    // ends the process before memory is corrupted, and a test covers the most deeply nested message that is
+    // accepted.
     drop(unsafe { may::coroutine::spawn(f) });
 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,6 @@
-//! A connected socket of either kind.
+//! A connected TCP or Unix socket under one type.
+//!
+//! It only forwards system calls; waiting and time limits belong to [`crate::Conn`].
 
 use std::io::{self, Read, Write};
 use std::mem::MaybeUninit;
@@ -8,7 +10,7 @@
 
 use socket2::SockRef;
 
-/// A connected socket.
+/// A connected TCP or Unix socket.
 #[derive(Debug)]
 pub enum Stream {
     Tcp(TcpStream),
@@ -57,19 +59,19 @@
         }
     }
 
-    /// Looks at the next byte without taking it.
+    /// Reads the next byte without removing it from the socket.
     pub(crate) fn peek(&self) -> io::Result<usize> {
         SockRef::from(self).peek(&mut [MaybeUninit::uninit()])
     }
 
-    pub(crate) fn shut(&self) -> io::Result<()> {
+    pub(crate) fn shutdown_both(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.shutdown(Shutdown::Both),
             Stream::Unix(stream) => stream.shutdown(Shutdown::Both),
         }
     }
 
-    pub(crate) fn end(&self) -> io::Result<()> {
+    pub(crate) fn shutdown_write(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.shutdown(Shutdown::Write),
             Stream::Unix(stream) => stream.shutdown(Shutdown::Write),
@@ -83,7 +85,8 @@
         }
     }
 
-    /// Small messages that wait for acknowledgement would add up to 40 ms to a token.
+    /// Disables Nagle's algorithm on TCP. Small messages that wait for an acknowledgement would delay a token
+    /// by up to 40 ms.
     pub(crate) fn set_nodelay(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.set_nodelay(true),
@@ -95,7 +98,7 @@
         SockRef::from(self).take_error()
     }
 
-    /// Whether the other side has taken the connection; an error of kind `NotConnected` while it has not.
+    /// Succeeds once the peer has accepted the connection. Fails with an error of kind `NotConnected` before.
     pub(crate) fn is_connected(&self) -> io::Result<()> {
         SockRef::from(self).peer_addr().map(|_| ())
     }
--- a/crates/net/src/watch/tests.rs
+++ b/crates/net/src/watch/tests.rs
@@ -1,80 +1,85 @@
-use super::{Due, NEVER, Times};
+use super::{DueAction, NEVER, Times};
 
-/// What the connection does, and what the thread that keeps the list does, one step at a time.
+/// One step of the connection or of the timer thread.
 #[derive(Clone, Copy)]
 enum Step {
-    /// Moves the limit; a place that it needs is added by the next `Add`.
+    /// The connection moves the limit. The next `Add` queues the entry that it needs.
     Set(u64),
+    /// The connection queues the entry.
     Add,
-    /// The list's thread comes to its first place, at the place's own time.
-    Keep,
+    /// The timer thread handles the first entry, at the entry's own time.
+    HandleFirst,
 }
 
-struct World {
+/// A connection's limit with a timer queue whose clock the test moves.
+struct Simulation {
     times: Times,
-    places: Vec<u64>,
-    wanted: Option<u64>,
+    entries: Vec<u64>,
+    to_queue: Option<u64>,
     now: u64,
-    woken: bool,
+    is_woken: bool,
 }
 
-impl World {
-    fn new() -> World {
-        let times = Times { until: NEVER, listed: NEVER };
-        World { times, places: Vec::new(), wanted: None, now: 0, woken: false }
+impl Simulation {
+    fn new() -> Simulation {
+        let times = Times { until: NEVER, queued: NEVER };
+        Simulation { times, entries: Vec::new(), to_queue: None, now: 0, is_woken: false }
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Set(until) => {
-                self.woken = false;
+                self.is_woken = false;
                 if self.times.set(until) {
-                    self.wanted = Some(until);
+                    self.to_queue = Some(until);
                 }
             }
-            Step::Add => self.places.extend(self.wanted.take()),
-            Step::Keep => {
-                let Some(first) = self.places.iter().min().copied() else { return };
-                let at = self.places.iter().position(|place| *place == first).unwrap();
-                self.places.remove(at);
+            Step::Add => self.entries.extend(self.to_queue.take()),
+            Step::HandleFirst => {
+                let Some(first) = self.entries.iter().min().copied() else { return };
+                let index = self.entries.iter().position(|entry| *entry == first).unwrap();
+                self.entries.remove(index);
                 self.now = self.now.max(first);
-                match self.times.due(first, self.now) {
-                    Due::Drop => {}
-                    Due::Later(until) => self.places.push(until),
-                    Due::Wake => self.woken = true,
+                match self.times.on_due(first, self.now) {
+                    DueAction::Drop => {}
+                    DueAction::Requeue(until) => self.entries.push(until),
+                    DueAction::Wake => self.is_woken = true,
                 }
             }
         }
     }
 }
 
-/// All orders in which the two lists of steps can cross.
-fn orders(one: &[Step], other: &[Step]) -> Vec<Vec<Step>> {
-    let (Some((first, rest)), Some((second, left))) = (one.split_first(), other.split_first()) else {
+/// All interleavings of two sequences of steps.
+fn interleavings(one: &[Step], other: &[Step]) -> Vec<Vec<Step>> {
+    let (Some((first, first_rest)), Some((second, second_rest))) = (one.split_first(), other.split_first())
+    else {
         return vec![[one, other].concat()];
     };
-    let behind = |step: &Step, orders: Vec<Vec<Step>>| {
+    let prepend = |step: &Step, orders: Vec<Vec<Step>>| {
         orders.into_iter().map(|order| [vec![*step], order].concat()).collect::<Vec<_>>()
     };
-    [behind(first, orders(rest, other)), behind(second, orders(one, left))].concat()
+    [prepend(first, interleavings(first_rest, other)), prepend(second, interleavings(one, second_rest))]
+        .concat()
 }
 
-/// However the two cross, whoever waits with a limit is woken in the end.
+/// In every interleaving of a connection that moves its limit and the timer thread, the waiting coroutine is
+/// woken.
 #[test]
-fn a_limit_is_never_lost_however_it_is_moved() {
+fn a_moved_limit_wakes_in_every_interleaving() {
     let limits = [5, 9, 3, NEVER, 20, 7];
     let mut tried = 0;
     for a in limits {
         for b in limits {
             for last in [4, 8, 30] {
                 let moves = [Step::Set(a), Step::Add, Step::Set(b), Step::Add, Step::Set(last), Step::Add];
-                for order in orders(&moves, &[Step::Keep; 4]) {
-                    let mut world = World::new();
-                    order.iter().for_each(|step| world.step(*step));
+                for order in interleavings(&moves, &[Step::HandleFirst; 4]) {
+                    let mut simulation = Simulation::new();
+                    order.iter().for_each(|step| simulation.step(*step));
                     for _ in 0..8 {
-                        world.step(Step::Keep);
+                        simulation.step(Step::HandleFirst);
                     }
-                    assert!(world.woken, "limits {a}, {b}, {last}");
+                    assert!(simulation.is_woken, "limits {a}, {b}, {last}");
                     tried += 1;
                 }
             }
--- a/crates/net/tests/closing.rs
+++ b/crates/net/tests/closing.rs
@@ -1,4 +1,4 @@
-//! What a close must not destroy.
+//! Closing connections and listeners without losing responses or waiting connections.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -9,93 +9,96 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-fn to(addr: std::net::SocketAddr) -> TcpStream {
+fn connect(addr: std::net::SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
     stream
 }
 
-/// A connection that is dropped with bytes unread is reset, and the reset takes the answer with it: the client that had
-/// sent more than was asked for saw its answer or a broken connection, as the race went.
+/// Guards against a lost response: closing a socket with unreceived bytes resets the connection, and the
+/// reset destroys a response on its way. A client that had sent more than one request received the response
+/// or a reset, depending on timing.
 #[test]
-fn an_answer_survives_bytes_that_nobody_reads() {
+fn closing_with_unreceived_bytes_does_not_destroy_the_response() {
     init(2);
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let addr = listener.addr();
     go(move || {
-        let each = |mut conn: elderstage_net::Conn| {
+        let on_connection = |mut conn: elderstage_net::Conn| {
             go(move || {
                 conn.set_deadline(Some(std::time::Instant::now() + LONG));
-                // The first piece only; the rest stays unread.
+                // Receives only the first piece of what the client sends.
                 conn.fill().unwrap();
                 conn.write(&[b'a'; 4096]).unwrap();
-                conn.finish(LONG, 8 << 20);
+                conn.close_gracefully(LONG, 8 << 20);
             })
         };
-        listener.serve(each, |error| panic!("{error}"))
+        listener.serve(on_connection, |error| panic!("{error}"))
     });
     for n in 0..50 {
-        let mut client = to(addr);
-        let more = vec![b'x'; 200_000 + n];
+        let mut client = connect(addr);
+        let request = vec![b'x'; 200_000 + n];
         let mut writing = client.try_clone().unwrap();
-        let writer = std::thread::spawn(move || writing.write_all(&more).is_ok());
-        let mut got = Vec::new();
-        // Its end, and no reset.
-        client.read_to_end(&mut got).unwrap();
-        assert_eq!(got.len(), 4096, "client {n}");
-        assert!(writer.join().unwrap(), "client {n}: what it sends is taken to the end");
+        let writer = std::thread::spawn(move || writing.write_all(&request).is_ok());
+        let mut received = Vec::new();
+        // Succeeds only if the connection ends without a reset.
+        client.read_to_end(&mut received).unwrap();
+        assert_eq!(received.len(), 4096, "client {n}");
+        assert!(writer.join().unwrap(), "client {n}: not all that it sent was received");
     }
 }
 
+/// A peer that keeps sending after the close does not keep the connection open beyond the limit on discarded
+/// bytes.
 #[test]
-fn a_peer_that_floods_after_the_end_is_left_after_so_many_bytes() {
+fn closing_stops_discarding_at_the_byte_limit() {
     init(2);
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let addr = listener.addr();
     let (done, finished) = mpsc::channel();
     go(move || {
-        let each = |conn: elderstage_net::Conn| {
-            conn.finish(LONG, 1 << 20);
+        let on_connection = |conn: elderstage_net::Conn| {
+            conn.close_gracefully(LONG, 1 << 20);
             done.send(()).unwrap();
         };
-        listener.serve(each, |error| panic!("{error}"))
+        listener.serve(on_connection, |error| panic!("{error}"))
     });
-    let mut client = to(addr);
+    let mut client = connect(addr);
     let piece = [b'x'; 64 << 10];
-    let taken = (0..4_000).take_while(|_| client.write_all(&piece).is_ok()).count();
-    assert!(taken < 4_000, "256 MB were taken");
+    let written = (0..4_000).take_while(|_| client.write_all(&piece).is_ok()).count();
+    assert!(written < 4_000, "256 MB were received");
     finished.recv_timeout(LONG).unwrap();
 }
 
-/// What has connected is taken before a listener closes: the system has accepted those connections, and may hold whole
-/// requests of theirs.
+/// The listener accepts the connections that wait in its backlog before it closes. The system has accepted
+/// them already and may hold whole requests of theirs.
 #[test]
-fn connections_that_wait_are_served_before_a_listener_closes() {
+fn waiting_connections_are_served_before_the_listener_closes() {
     init(2);
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let (addr, stop) = (listener.addr(), listener.stopper());
-    let mut clients: Vec<TcpStream> = (0..50).map(|_| to(addr)).collect();
+    let mut clients: Vec<TcpStream> = (0..50).map(|_| connect(addr)).collect();
     for client in &mut clients {
         client.write_all(b"?").unwrap();
     }
-    stop.end();
+    stop.stop_after_backlog();
     assert!(!stop.is_closed());
     go(move || {
-        let each = |mut conn: elderstage_net::Conn| {
+        let on_connection = |mut conn: elderstage_net::Conn| {
             go(move || {
                 conn.fill().unwrap();
                 conn.write(b"!").unwrap();
-                conn.finish(LONG, 1 << 20);
+                conn.close_gracefully(LONG, 1 << 20);
             })
         };
-        listener.serve(each, |error| panic!("{error}"))
+        listener.serve(on_connection, |error| panic!("{error}"))
     });
     for (n, client) in clients.iter_mut().enumerate() {
-        let mut got = [0];
-        client.read_exact(&mut got).unwrap_or_else(|error| panic!("client {n}: {error}"));
+        let mut received = [0];
+        client.read_exact(&mut received).unwrap_or_else(|error| panic!("client {n}: {error}"));
     }
     while !stop.is_closed() {
-        stop.end();
+        stop.stop_after_backlog();
         std::thread::sleep(Duration::from_millis(1));
     }
     assert!(TcpStream::connect(addr).is_err());
--- a/crates/net/tests/limits.rs
+++ b/crates/net/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Waiting with a time limit, and writing that is given up.
+//! Waiting with a time limit, and writes that are abandoned.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -11,37 +11,38 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// Connections served, each by this.
-fn serve(each: impl Fn(Conn) + Send + Clone + 'static) -> std::net::SocketAddr {
+/// Starts a server that runs `handler` for each connection, and returns its address.
+fn serve(handler: impl Fn(Conn) + Send + Clone + 'static) -> std::net::SocketAddr {
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let addr = listener.addr();
     go(move || {
-        let each = |conn: Conn| {
-            let each = each.clone();
-            go(move || each(conn))
+        let on_connection = |conn: Conn| {
+            let handler = handler.clone();
+            go(move || handler(conn))
         };
-        listener.serve(each, |error| panic!("{error}"))
+        listener.serve(on_connection, |error| panic!("{error}"))
     });
     addr
 }
 
-/// A far limit is replaced by a near one at about the time at which an older limit comes up in the list: whoever waits is
-/// woken by the near one all the same. The two were not decided at one point, and a wait was lost now and then.
+/// Guards against a lost wake-up: a far limit is replaced by a near one at about the time at which the timer
+/// thread reaches the entry of an older limit. When the two were not decided under one lock, some waits never
+/// ended.
 #[test]
-fn a_limit_that_is_moved_as_an_older_one_comes_up_is_kept() {
+fn a_limit_moved_while_an_older_entry_is_due_still_wakes() {
     const ROUNDS: usize = 2_000;
     init(3);
     let addr = serve(|mut conn: Conn| {
         for _ in 0..ROUNDS {
-            // Leaves a place in the list a millisecond ahead.
+            // Leaves an entry in the timer queue a millisecond ahead.
             conn.waker().wake();
             conn.pause(Some(Instant::now() + Duration::from_millis(1)));
-            // Waits for the peer's byte, which comes at about that time.
-            while !matches!(conn.fill_now(), Ok(true)) {
+            // Waits for the peer's byte, which arrives at about that time.
+            while !matches!(conn.try_fill(), Ok(true)) {
                 conn.pause(Some(Instant::now() + LONG * 10));
             }
             conn.used(usize::MAX);
-            // Nothing comes now: the limit alone ends this.
+            // No byte arrives now, so only the limit ends this wait.
             let until = Instant::now() + Duration::from_micros(300);
             while Instant::now() < until {
                 conn.pause(Some(until));
@@ -49,7 +50,7 @@
             conn.write(b"y").unwrap();
         }
     });
-    let (done, all) = mpsc::channel();
+    let (done, results) = mpsc::channel();
     for n in 0..32u64 {
         let done = done.clone();
         std::thread::spawn(move || {
@@ -68,26 +69,27 @@
         });
     }
     for _ in 0..32 {
-        assert_eq!(all.recv().unwrap(), Ok(()), "a wait did not end");
+        assert_eq!(results.recv().unwrap(), Ok(()), "a wait did not end");
     }
 }
 
-/// A peer that takes nothing more: the write ends when it is no longer wanted, and says that the last byte did not go.
+/// A write to a peer that accepts no more bytes ends when it is no longer wanted, and reports that it was not
+/// completed.
 #[test]
-fn a_write_that_nobody_wants_any_more_ends() {
+fn a_write_that_is_no_longer_wanted_is_abandoned() {
     init(3);
-    let (tell, told) = mpsc::channel();
-    let (wanted, waker) = (Arc::new(AtomicBool::new(true)), mpsc::channel());
-    let still = wanted.clone();
+    let (result_sender, results) = mpsc::channel();
+    let (is_wanted, waker) = (Arc::new(AtomicBool::new(true)), mpsc::channel());
+    let still_wanted = is_wanted.clone();
     let addr = serve(move |mut conn: Conn| {
         waker.0.send(conn.waker()).unwrap();
-        let written = conn.write_while(&vec![b'x'; 32 << 20], || still.load(Ordering::SeqCst));
-        tell.send(written.map_err(|error| error.to_string())).unwrap();
+        let written = conn.write_while(&vec![b'x'; 32 << 20], || still_wanted.load(Ordering::SeqCst));
+        result_sender.send(written.map_err(|error| error.to_string())).unwrap();
     });
-    let _reads_nothing = TcpStream::connect(addr).unwrap();
+    let _silent_peer = TcpStream::connect(addr).unwrap();
     let waker = waker.1.recv().unwrap();
-    assert!(told.recv_timeout(Duration::from_millis(300)).is_err(), "it waits for the peer");
-    wanted.store(false, Ordering::SeqCst);
+    assert!(results.recv_timeout(Duration::from_millis(300)).is_err(), "the write ended without the peer");
+    is_wanted.store(false, Ordering::SeqCst);
     waker.wake();
-    assert_eq!(told.recv_timeout(LONG), Ok(Ok(false)));
+    assert_eq!(results.recv_timeout(LONG), Ok(Ok(false)));
 }
--- a/crates/net/tests/places.rs
+++ b/crates/net/tests/places.rs
@@ -1,4 +1,4 @@
-//! Connections of both kinds, and what becomes of those that cannot be made.
+//! TCP and Unix connections, and connections that cannot be made.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -9,28 +9,29 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// Runs in a coroutine and waits for its result.
-fn inside<T: Send + 'static>(f: impl FnOnce() -> T + Send + 'static) -> T {
+/// Runs `f` in a coroutine and waits for its result.
+fn in_coroutine<T: Send + 'static>(f: impl FnOnce() -> T + Send + 'static) -> T {
     init(2);
-    let (done, heard) = std::sync::mpsc::channel();
+    let (sender, receiver) = std::sync::mpsc::channel();
     go(move || {
-        let _ = done.send(f());
+        let _ = sender.send(f());
     });
-    heard.recv_timeout(LONG).unwrap()
+    receiver.recv_timeout(LONG).unwrap()
 }
 
 fn socket_path(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("elderstage-net-{}-{name}", std::process::id()))
 }
 
-fn talk(place: Place, mut peer: impl Read + Write + Send + 'static, opened: impl FnOnce() -> Conn) {
-    let mut conn = opened();
+/// Sends a request over a new connection, answers it at `peer` and checks the received body.
+fn exchange(place: Place, mut peer: impl Read + Write + Send + 'static, open_conn: impl FnOnce() -> Conn) {
+    let mut conn = open_conn();
     assert!(conn.is_idle(), "{place}");
     conn.write(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    let mut got = [0; 18];
-    peer.read_exact(&mut got).unwrap();
+    let mut received = [0; 18];
+    peer.read_exact(&mut received).unwrap();
     peer.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").unwrap();
-    let body = inside(move || {
+    let body = in_coroutine(move || {
         conn.set_read_timeout(Some(LONG));
         let head = conn.response().unwrap();
         conn.body(head.framing).unwrap()
@@ -39,27 +40,27 @@
 }
 
 #[test]
-fn both_kinds_of_sockets_carry_a_request() {
+fn tcp_and_unix_sockets_carry_a_request() {
     let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
     let place = Place::Tcp(tcp.local_addr().unwrap());
-    let conn = inside({
+    let conn = in_coroutine({
         let place = place.clone();
         move || open(place, LONG).unwrap()
     });
-    talk(place, tcp.accept().unwrap().0, || conn);
+    exchange(place, tcp.accept().unwrap().0, || conn);
     let path = socket_path("carry");
     let unix = UnixListener::bind(&path).unwrap();
     let place = Place::Unix(path.clone());
-    let conn = inside({
+    let conn = in_coroutine({
         let place = place.clone();
         move || open(place, LONG).unwrap()
     });
-    talk(place, unix.accept().unwrap().0, || conn);
+    exchange(place, unix.accept().unwrap().0, || conn);
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn what_cannot_be_reached_is_told_at_once() {
+fn an_unreachable_place_fails_at_once() {
     let stale = socket_path("stale");
     drop(UnixListener::bind(&stale).unwrap());
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -69,30 +70,30 @@
         Place::Unix(stale.clone()),
         Place::Unix(format!("/{}", "long".repeat(60)).into()),
     ] {
-        let said = place.to_string();
-        let result = inside(move || open(place, LONG).map(|_| ()));
-        assert!(matches!(result, Err(NetError::Io(_))), "{said}: {result:?}");
+        let text = place.to_string();
+        let result = in_coroutine(move || open(place, LONG).map(|_| ()));
+        assert!(matches!(result, Err(NetError::Io(_))), "{text}: {result:?}");
     }
     std::fs::remove_file(stale).unwrap();
 }
 
-/// A wait ends at its limit, in coroutines without the runtime's own timers.
+/// A wait in a coroutine ends at its time limit, without the coroutine runtime's own timers.
 #[test]
-fn reading_ends_at_its_deadline() {
+fn receiving_ends_at_its_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let begun = Instant::now();
-    let result = inside(move || {
+    let started = Instant::now();
+    let result = in_coroutine(move || {
         let mut conn = open(addr, LONG).unwrap();
         conn.set_deadline(Some(Instant::now() + Duration::from_millis(60)));
         conn.response().map(|_| ())
     });
     assert!(matches!(result, Err(NetError::TimedOut)));
-    assert!(begun.elapsed() >= Duration::from_millis(60));
+    assert!(started.elapsed() >= Duration::from_millis(60));
 }
 
 #[test]
-fn places_read_back_and_mistakes_are_told() {
+fn places_parse_and_print_the_same_and_invalid_ones_are_rejected() {
     for text in ["127.0.0.1:80", "[::1]:9", "unix:/run/x.sock"] {
         assert_eq!(text.parse::<Place>().unwrap().to_string(), text);
     }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -82,7 +82,7 @@
     let is_evicted = permit.connection.is_evicted() && !shared.is_closing();
     let time_for_response =
         conn.since_last_write().map_or(Duration::ZERO, |since| LINGER_TIMEOUT.saturating_sub(since));
-    conn.finish(if is_evicted { time_for_response } else { LINGER_TIMEOUT }, MAX_LINGER_BYTES);
+    conn.close_gracefully(if is_evicted { time_for_response } else { LINGER_TIMEOUT }, MAX_LINGER_BYTES);
 }
 
 /// Serves one request after the other until the connection is to be closed.
@@ -159,7 +159,7 @@
         if conn.has_pending() {
             return Ok(());
         }
-        match conn.fill_now() {
+        match conn.try_fill() {
             Ok(true) => return Ok(()),
             Ok(false) => {}
             Err(_) => return Err(Close::Client),
@@ -326,7 +326,7 @@
                 self.has_more = true;
                 return false;
             }
-            match conn.fill_now() {
+            match conn.try_fill() {
                 Ok(true) => {}
                 Ok(false) => return false,
                 Err(_) => return true,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -73,7 +73,7 @@
         }
         match &mut body {
             None => {
-                if let Some(head) = conn.response_now()? {
+                if let Some(head) = conn.try_response()? {
                     if head.status != 200 {
                         return Err(io_error(format_args!(
                             "discovery answered with status {}, expected 200",
@@ -102,7 +102,7 @@
                 }
             }
         }
-        if !conn.fill_now()? {
+        if !conn.try_fill()? {
             let time_left = Duration::from_micros(watch.deadline().saturating_sub(clock.now()));
             if time_left.is_zero() {
                 return Err(NetError::TimedOut);
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -217,7 +217,7 @@
         if attempt.is_some_and(|attempt| attempt.channel.is_cancelled(attempt.number)) {
             return Err(Cut::Cancelled);
         }
-        match connection.conn().fill_now() {
+        match connection.conn().try_fill() {
             Ok(true) => return Ok(()),
             Ok(false) => {}
             Err(_) => return Err(Cut::Broken),
@@ -239,7 +239,7 @@
     deadline: Instant,
 ) -> Result<Response, Cut> {
     loop {
-        if let Some(head) = connection.conn().response_now().map_err(|_| Cut::Broken)? {
+        if let Some(head) = connection.conn().try_response().map_err(|_| Cut::Broken)? {
             return Ok(head);
         }
         receive_more(connection, attempt, deadline)?;
@@ -347,7 +347,7 @@
         if attempt.channel.is_stream_cut() {
             // Bytes that have already arrived are still passed on, so a stream that the engine has finished
             // is complete.
-            match connection.conn().fill_now() {
+            match connection.conn().try_fill() {
                 Ok(true) => continue,
                 _ => return Ok((AttemptEnd { outcome: Outcome::Cancelled, ..broken(has_begun) }, false)),
             }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -249,7 +249,7 @@
         if let Some(at) = sigterm_at.filter(|at| at.elapsed() >= ACCEPT_AFTER_SIGTERM) {
             // Called in each round until the listener has closed. It accepts the connections that already
             // wait first.
-            stop.end();
+            stop.stop_after_backlog();
             if !shared.is_closing.swap(true, Ordering::SeqCst) {
                 shared.client_connections.evict_idle();
                 let longest_wait = Duration::from_micros(shared.longest_wait.load(Ordering::SeqCst));
