--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,22 +1,23 @@
-//! `elderstage node`: a front node of the platform, told what it needs by its environment.
+//! `elderstage node`: runs a front node of the platform, configured by a file and environment variables.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use elderstage_platform::start::Companions;
 
-/// Names the configuration's file.
+/// Environment variable with the path of the configuration file.
 pub const CONFIG: &str = "PROXY_CONFIG";
 
+/// Runs the node with the configuration file of the command line or of the environment.
 pub fn node(config: Option<PathBuf>) -> Result<ExitCode, String> {
     let path = config.or_else(|| std::env::var_os(CONFIG).map(PathBuf::from));
     let path = path.ok_or_else(|| format!("{CONFIG} is not set and no --config given"))?;
-    let told = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
-    let besides = Companions {
-        name: told("PROXY_NAME"),
-        listen: told("PROXY_LISTEN"),
-        discovery: told("PROXY_DISCOVERY"),
+    let non_empty_variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
+    let environment = Companions {
+        name: non_empty_variable("PROXY_NAME"),
+        listen: non_empty_variable("PROXY_LISTEN"),
+        discovery: non_empty_variable("PROXY_DISCOVERY"),
     };
-    elderstage_node::node(&path, &besides).map_err(|error| error.to_string())?;
+    elderstage_node::node(&path, &environment).map_err(|error| error.to_string())?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/tally/src/lib.rs
+++ b/crates/tally/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a process counts of its requests, cumulative since its start.
+//! Request counts of a process, cumulative since its start.
 //!
-//! A front counts; the agent beside it passes the counts on; keepers add them up over members. Nothing is ever
-//! subtracted, so what was said once is said again with every later count: a report that is lost, doubled, late or
-//! out of order changes nothing (`crates/fleet/src/evidence`).
+//! A front counts its requests, the agent on its machine forwards the counts, and keepers add them up over
+//! all members. This crate holds the counts and their format; it neither sends nor stores them. Counts never
+//! decrease, so every later count includes the earlier ones. A report that is lost, duplicated, late or out
+//! of order therefore changes nothing (`crates/fleet/src/evidence`).
 
 mod times;
 
@@ -12,35 +13,37 @@
 
 pub use times::Times;
 
-/// Groups that one process keeps apart at most. Classes times settings is a few dozens; what comes beyond is
-/// counted under [`Key::rest`], so that a service whose settings change each minute does not grow.
+/// Maximum number of groups that one process counts separately. Classes times settings amount to a few dozen.
+/// Further groups are counted under [`Key::rest`], so that memory stays bounded in a service whose settings
+/// change every minute.
 pub const MOST_GROUPS: usize = 1024;
-/// Longest text of a part of a key, in bytes: digests are 64.
+/// Maximum length of a part of a key, in bytes. Digests have 64.
 pub const MOST_TEXT: usize = 128;
 
-/// What requests are told apart by.
+/// Identifies a group of requests that are counted together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Class of request, by its name in the settings.
+    /// Class of the requests, by its name in the settings.
     pub class: String,
-    /// Release of the program that served it.
+    /// Release of the program that served them.
     pub release: String,
-    /// Digest of the settings that it was served under.
+    /// Digest of the settings under which they were served.
     pub settings: String,
-    /// Checkpoint and variant of the model, where they are known.
+    /// Checkpoint of the model; empty if unknown.
     #[serde(default)]
     pub checkpoint: String,
+    /// Variant of the model; empty if unknown.
     #[serde(default)]
     pub variant: String,
 }
 
 impl Key {
-    /// Stands for all groups beyond the bound.
+    /// The key under which all groups beyond [`MOST_GROUPS`] are counted.
     pub fn rest() -> Key {
         Key { class: "(rest)".into(), ..Key::default() }
     }
 
-    /// Whether all parts are short enough to be passed on.
+    /// Whether no part is longer than [`MOST_TEXT`].
     pub fn fits(&self) -> bool {
         [&self.class, &self.release, &self.settings, &self.checkpoint, &self.variant]
             .iter()
@@ -48,31 +51,34 @@
     }
 }
 
-/// Counts of one group. Every request taken ends in one of `in_time`, `late`, `refused`, `failed`, `broken` and
-/// `gone`, or is still open.
+/// Counts of one group. Every request in `asked` is counted in exactly one of `in_time`, `late`, `refused`,
+/// `failed`, `broken` and `gone`, or is still open.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Taken.
+    /// Requests that were received.
     pub asked: u64,
-    /// Served whole, the first token within the class's aim.
+    /// Served completely, with the first token within the class's time target.
     pub in_time: u64,
-    /// Served whole, the first token after the aim.
+    /// Served completely, with the first token after the class's time target.
     pub late: u64,
+    /// Answered with a refusal.
     pub refused: u64,
+    /// Answered with an error.
     pub failed: u64,
-    /// Streams that ended before their end.
+    /// Streams that broke off before their last event.
     pub broken: u64,
-    /// The client left before an answer.
+    /// The client disconnected before it had an answer.
     pub gone: u64,
-    /// From arrival to the first event passed on.
+    /// Time from the arrival of a request to the first event that was sent to the client.
     pub first_token: Times,
-    /// Mean time between the events of a stream, one for each stream served whole.
+    /// Mean time between the events of a stream, recorded once for each stream that was served completely.
     pub token_gap: Times,
 }
 
 impl Counts {
+    /// Adds the counts of another process.
     pub fn add(&mut self, other: &Counts) {
-        for (mine, theirs) in [
+        for (count, other_count) in [
             (&mut self.asked, other.asked),
             (&mut self.in_time, other.in_time),
             (&mut self.late, other.late),
@@ -81,13 +87,13 @@
             (&mut self.broken, other.broken),
             (&mut self.gone, other.gone),
         ] {
-            *mine = mine.saturating_add(theirs);
+            *count = count.saturating_add(other_count);
         }
         self.first_token.add(&other.first_token);
         self.token_gap.add(&other.token_gap);
     }
 
-    /// Requests with their final answer, or without a client.
+    /// Requests that have ended: they have their final answer, or their client has disconnected.
     pub fn ended(&self) -> u64 {
         [self.in_time, self.late, self.refused, self.failed, self.broken, self.gone]
             .iter()
@@ -95,37 +101,41 @@
     }
 }
 
-/// All that one process has counted.
+/// All counts of one process, by group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally(BTreeMap<Key, Counts>);
 
 impl Tally {
-    /// The counts of a group, to be added to.
+    /// The counts of a group, created if missing.
     pub fn of(&mut self, key: &Key) -> &mut Counts {
         let key =
             if self.0.len() >= MOST_GROUPS && !self.0.contains_key(key) { Key::rest() } else { key.clone() };
         self.0.entry(key).or_default()
     }
 
+    /// All groups with their counts.
     pub fn groups(&self) -> impl Iterator<Item = (&Key, &Counts)> {
         self.0.iter()
     }
 
+    /// The number of groups.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Whether nothing has been counted.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// Adds the counts of another process, group by group.
     pub fn add(&mut self, other: &Tally) {
         for (key, counts) in &other.0 {
             self.of(key).add(counts);
         }
     }
 
-    /// All groups together.
+    /// The sum over all groups.
     pub fn sum(&self) -> Counts {
         let mut sum = Counts::default();
         self.0.values().for_each(|counts| sum.add(counts));
@@ -133,22 +143,25 @@
     }
 }
 
-/// On the wire and in files a list of groups: JSON has no keys of several parts.
+/// Serialized as a list of groups, since JSON object keys cannot have several parts.
 impl Serialize for Tally {
-    fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_seq(self.0.iter())
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_seq(self.0.iter())
     }
 }
 
 impl<'de> Deserialize<'de> for Tally {
-    fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Tally, D::Error> {
-        let groups: Vec<(Key, Counts)> = Vec::deserialize(from)?;
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Tally, D::Error> {
+        let groups: Vec<(Key, Counts)> = Vec::deserialize(deserializer)?;
         if groups.len() > MOST_GROUPS + 1 {
-            return Err(serde::de::Error::custom(format!("{} groups, {MOST_GROUPS} at most", groups.len())));
+            return Err(serde::de::Error::custom(format!(
+                "{} groups, expected {MOST_GROUPS} at most",
+                groups.len()
+            )));
         }
         if let Some((key, _)) = groups.iter().find(|(key, _)| !key.fits()) {
             return Err(serde::de::Error::custom(format!(
-                "class {:.40}: a part is over {MOST_TEXT} bytes",
+                "class {:.40}: a part of the key is longer than {MOST_TEXT} bytes",
                 key.class
             )));
         }
@@ -156,14 +169,15 @@
     }
 }
 
-/// What a front writes for the agent beside it.
+/// The report that a front writes for the agent on its machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Tells this process from the one before: its start in microseconds. Compared for being the same and for order
-    /// among starts of one member, never with another machine's clock.
+    /// Start time of the process in microseconds, which distinguishes it from its predecessor. It is compared
+    /// only with other starts of the same member, never with the clock of another machine.
     pub boot: u64,
-    /// Rises with every file; of one boot the highest counts.
+    /// Increases with every report. Of the reports of one boot the one with the highest version is valid.
     pub version: u64,
+    /// The counts.
     pub tally: Tally,
 }
 
--- a/crates/tally/src/tests.rs
+++ b/crates/tally/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn groups_are_bounded_and_nothing_is_lost() {
+fn groups_are_bounded_and_all_requests_are_counted() {
     let mut tally = Tally::default();
     for n in 0..3 * MOST_GROUPS {
         tally.of(&Key { class: format!("c{n}"), ..Key::default() }).asked += 1;
--- a/crates/tally/src/times/tests.rs
+++ b/crates/tally/src/times/tests.rs
@@ -1,18 +1,22 @@
 use super::*;
 
 #[test]
-fn every_time_falls_between_its_step_and_the_next() {
+fn every_duration_lies_between_the_bounds_of_its_bucket() {
     let times = (0..200).chain((2..40).flat_map(|n| [(1 << n) - 1, 1 << n, (1 << n) + 1, 3 << (n - 1)]));
     for micros in times {
-        let at = step(micros);
-        assert!(floor(at) <= micros && micros < floor(at + 1), "{micros}: {at}");
-        assert!(micros < STEPS || floor(at + 1) - floor(at) <= micros.div_ceil(STEPS), "{micros}: {at}");
+        let index = bucket(micros);
+        assert!(lower_bound(index) <= micros && micros < lower_bound(index + 1), "{micros}: {index}");
+        assert!(
+            micros < BUCKETS_PER_POWER
+                || lower_bound(index + 1) - lower_bound(index) <= micros.div_ceil(BUCKETS_PER_POWER),
+            "{micros}: {index}"
+        );
     }
-    assert_eq!(step(u64::MAX), MOST);
+    assert_eq!(bucket(u64::MAX), MAX_BUCKET);
 }
 
 #[test]
-fn quantiles_are_within_a_step() {
+fn quantiles_are_accurate_to_one_bucket() {
     let mut times = Times::default();
     (1..=1000).for_each(|n| times.record(n * 1000));
     let half = times.quantile(0.5).unwrap();
