--- a/crates/cli/tests/node/closing.rs
+++ b/crates/cli/tests/node/closing.rs
@@ -1,94 +1,97 @@
-//! Closing connections to clients and engines while bytes are on their way.
+//! Closing connections to clients and engines while bytes are in flight.
 
 use std::io::{Read, Write};
 use std::time::Duration;
 
-use crate::bed::{Bed, patient_chat};
-use crate::peer::{streamed, take_at_any};
+use crate::bed::{TestBed, long_lived_chat};
+use crate::peer::{is_complete_stream, next_request_at_any};
 use crate::support::*;
 
-/// Connections that say nothing, by the hundred, with few descriptors: they are closed, and the usual are served.
+/// Hundreds of connections without a request on a node with few descriptors: they are closed, and requests
+/// are served.
 #[test]
-fn silent_connections_make_room() {
+fn connections_without_a_request_are_closed_to_make_room() {
     let platform = Platform::start(1, 1).unwrap();
-    let node = start(&platform, |_| {});
-    let mut silent: Vec<Client> = (0..400).filter_map(|_| Client::to(node.addr)).collect();
+    let node = start_node(&platform, |_| {});
+    let mut silent: Vec<Client> = (0..400).filter_map(|_| Client::connect(node.addr)).collect();
     for n in 0..5 {
-        assert!(whole(&node.ask(&format!("good-{n}"), "plain")), "request {n}");
+        assert!(is_served(&node.request(&format!("good-{n}"), "plain")), "request {n}");
     }
-    assert!(silent.iter_mut().all(Client::is_closed));
+    assert!(silent.iter_mut().all(Client::wait_until_closed));
 }
 
-/// A client that asks for its connection to end and has sent more than its request gets its answer to the end.
+/// A client that asks for its connection to be closed and has sent more bytes than its request gets its
+/// complete answer.
 #[test]
-fn an_answer_is_not_destroyed_by_what_its_client_sent_besides() {
+fn an_answer_is_not_destroyed_by_unreceived_bytes_of_its_client() {
     let platform = Platform::start(1, 1).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     for n in 0..10 {
         let mut client = node.client();
-        let ask =
+        let request =
             chat(&format!("more-bytes-{n}"), "plain", 4000).replace("Host:", "Connection: close\r\nHost:");
-        client.send(&(ask + &"x".repeat(300_000)));
-        assert!(whole(&client.answer()), "client {n}");
+        client.send(&(request + &"x".repeat(300_000)));
+        assert!(is_served(&client.answer()), "client {n}");
         let end = client.stream.read(&mut [0; 16]);
-        assert!(matches!(end, Ok(0)), "client {n}: its end, and no reset: {end:?}");
+        assert!(matches!(end, Ok(0)), "client {n}: the connection is not closed without a reset: {end:?}");
     }
 }
 
-/// An idle connection's time is up, and its client's next request has come, in the same instant.
+/// An idle connection's time limit passes at the moment at which its client's next request has arrived.
 #[test]
-fn a_request_that_has_come_when_an_idle_connection_is_to_be_closed_is_answered() {
+fn a_request_that_arrives_as_its_idle_connection_expires_is_answered() {
     let platform = Platform::start(1, 1).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     let mut client = node.client();
     client.send(&chat("kept-1", "plain", 4000));
-    assert!(whole(&client.answer()));
-    node.freeze();
+    assert!(is_served(&client.answer()));
+    node.suspend();
     client.send(&chat("kept-2", "plain", 4000));
-    // Longer than an idle connection is kept (6 s): its time is up when the node goes on.
+    // Longer than an idle connection is kept (6 s), so it has expired when the node resumes.
     std::thread::sleep(Duration::from_millis(6_200));
-    node.thaw();
+    node.resume();
     let answer = client.answer();
-    assert!(whole(&answer), "{answer:?}");
+    assert!(is_served(&answer), "{answer:?}");
 }
 
-/// A connection is asked to make room while its request comes, and its client sends on all the time and reads slowly. It
-/// was closed at once behind its answer: what came then reset it, and took the rest of the answer along.
+/// Guards against a destroyed answer: a connection is evicted while its request arrives, and its client keeps
+/// sending and receives slowly. When the node closed such a connection right after writing the answer, the
+/// bytes that arrived then reset it, and the rest of the answer was lost.
 #[test]
-fn a_connection_that_makes_room_is_not_closed_over_its_answer() {
-    let bed = Bed::new(1, 1);
+fn an_evicted_connection_delivers_its_answer_before_it_closes() {
+    let bed = TestBed::new(1, 1);
     let node = bed.node(|config| config["limits"]["sockets"] = 64.into());
     let event = "x".repeat(200 << 10);
-    // The oldest idle connection, with a small window: most of its answer waits at the node.
+    // The oldest idle connection. Its receive buffer is small, so most of its answer waits at the node.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     socket.connect(&node.addr.into()).unwrap();
     let stream = std::net::TcpStream::from(socket);
     stream.set_read_timeout(Some(LONG)).unwrap();
-    let mut client = Client { stream, held: Vec::new() };
-    node.settle();
-    // All other places are taken by requests that have begun: this one alone is idle.
+    let mut client = Client { stream, received: Vec::new() };
+    node.wait_until_processed();
+    // All other connections have begun a request, so this one is the only idle one.
     let mut busy: Vec<Client> = (0..9).map(|_| node.client()).collect();
     busy.iter_mut().for_each(|other| other.send("POST"));
-    node.settle();
-    node.freeze();
-    // First those that want its place, then its request: both are there when the node goes on.
+    node.wait_until_processed();
+    node.suspend();
+    // First new connections that need its place, then its request. Both are pending when the node resumes.
     let newcomers = [node.client(), node.client()];
-    client.send(&patient_chat("leaves-1", "plain"));
-    node.thaw();
-    let (mut line, got) = bed.readers[0].take();
-    assert_eq!(got.trace(), "leaves-1");
-    line.has_read();
-    let (mut line, _) = bed.writers[0].take();
-    // What the client sends meanwhile is more than a request: the connection ends with this answer.
+    client.send(&long_lived_chat("leaves-1", "plain"));
+    node.resume();
+    let (mut connection, request) = bed.readers[0].next_request();
+    assert_eq!(request.trace(), "leaves-1");
+    connection.answer_prefill();
+    let (mut connection, _) = bed.writers[0].next_request();
+    // The client sends more than a request meanwhile, so the connection is closed after this answer.
     client.send(&"x".repeat(400_000));
-    node.settle();
-    line.begins();
-    line.event(&event);
-    line.ends();
+    node.wait_until_processed();
+    connection.begin_stream();
+    connection.send_event(&event);
+    connection.end_stream();
     let mut flood = client.stream.try_clone().unwrap();
     let flooding = std::thread::spawn(move || {
-        // Until the node has closed the connection, at most for some seconds.
+        // Sends until the node has closed the connection, for some seconds at most.
         for _ in 0..10_000 {
             if flood.write_all(b"x").is_err() {
                 return;
@@ -97,43 +100,49 @@
         }
     });
     let answer = client.answer();
-    assert_eq!((answer.status, answer.whole), (200, true), "the answer was cut: {} bytes", answer.body.len());
+    assert_eq!(
+        (answer.status, answer.is_complete),
+        (200, true),
+        "the answer was cut: {} bytes",
+        answer.body.len()
+    );
     drop((client, newcomers));
     flooding.join().unwrap();
 }
 
-/// The engine closes a kept connection over a request that it has not read. Nobody can tell from outside whether it has:
-/// what must not run twice has failed, what may is asked for elsewhere.
+/// The engine resets an idle connection on which the next request is on its way. The node cannot know whether
+/// the engine has run the request. A request that must not run twice fails, any other is sent to another
+/// engine.
 #[test]
-fn an_engine_that_closes_over_the_next_request_is_asked_again_only_where_that_is_harmless() {
-    let bed = Bed::new(1, 2);
-    for (class, again) in [("plain", true), ("once", false)] {
+fn a_request_on_a_connection_that_the_engine_closes_is_retried_only_where_that_is_harmless() {
+    let bed = TestBed::new(1, 2);
+    for (class, is_retried) in [("plain", true), ("once", false)] {
         let node = bed.node(|_| {});
         for n in 0..2 {
             let mut client = node.client();
-            client.send(&patient_chat(&format!("{class}-{n}"), class));
-            let (mut line, _) = bed.readers[0].take();
-            line.has_read();
-            bed.readers[0].rest(line);
-            let (writer, (mut line, got)) = take_at_any(&bed.writers);
-            assert_eq!(got.trace(), format!("{class}-{n}"));
+            client.send(&long_lived_chat(&format!("{class}-{n}"), class));
+            let (mut connection, _) = bed.readers[0].next_request();
+            connection.answer_prefill();
+            bed.readers[0].keep_open(connection);
+            let (writer, (mut connection, request)) = next_request_at_any(&bed.writers);
+            assert_eq!(request.trace(), format!("{class}-{n}"));
             if n == 0 {
-                line.streams();
-                bed.writers[writer].rest(line);
-                assert!(streamed(&client.answer()));
+                connection.send_stream();
+                bed.writers[writer].keep_open(connection);
+                assert!(is_complete_stream(&client.answer()));
                 continue;
             }
-            // The request is there; a reset follows instead of an answer.
-            line.reset();
-            if again {
-                let (_, (mut line, got)) = take_at_any(&bed.writers);
-                assert_eq!(got.trace(), format!("{class}-{n}"));
-                line.streams();
-                assert!(streamed(&client.answer()));
+            // The request has arrived. The engine resets the connection instead of answering.
+            connection.reset();
+            if is_retried {
+                let (_, (mut connection, request)) = next_request_at_any(&bed.writers);
+                assert_eq!(request.trace(), format!("{class}-{n}"));
+                connection.send_stream();
+                assert!(is_complete_stream(&client.answer()));
             } else {
                 assert_eq!(client.answer().status, 502);
-                node.settle();
-                assert!(bed.writers.iter().all(|writer| writer.take_now().is_none()), "sent twice");
+                node.wait_until_processed();
+                assert!(bed.writers.iter().all(|writer| writer.try_next_request().is_none()), "sent twice");
             }
         }
     }
--- a/crates/cli/tests/node/discovery.rs
+++ b/crates/cli/tests/node/discovery.rs
@@ -1,19 +1,21 @@
-//! The watch on discovery: silence, resets, lists in every form, moves to another address.
+//! The watch on discovery: silence, resets, lists in every form, and a change of discovery's address.
 
 use std::time::Duration;
 
 use serde_json::json;
 
-use crate::bed::list;
-use crate::peer::{Line, Peer, WATCH, chunk};
+use crate::bed::server_list;
+use crate::peer::{Peer, PeerConnection, WATCH_HEAD, chunk};
 use crate::support::*;
 
+/// While discovery is silent, the node serves from its known list. When discovery is back, the node takes its
+/// drains.
 #[test]
-fn a_silent_discovery_stops_nothing_and_drains_are_obeyed_when_it_is_back() {
+fn the_node_serves_while_discovery_is_silent_and_takes_its_list_afterwards() {
     let platform = Platform::start(1, 2).unwrap();
     platform.discovery.silence(true);
-    let node = start(&platform, |_| {});
-    assert!(whole(&node.ask("known-1", "plain")), "from the list it was started with");
+    let node = start_node(&platform, |_| {});
+    assert!(is_served(&node.request("known-1", "plain")), "not served from the initial list");
     platform.discovery.silence(false);
     let health = |name: &str| if name == "writer-0" { "DRAINING" } else { "SERVING" };
     platform.discovery.change(Platform::list(&platform.engines, health));
@@ -23,272 +25,289 @@
         let writers = seen[from..].iter().filter(|seen| began(seen) && seen.engine.starts_with("writer"));
         writers.map(|seen| seen.engine.clone()).collect()
     };
-    // Until the drain has come through.
+    // Sends requests until the drain has taken effect.
     let mut n = 0;
-    let settled = || {
+    let has_taken_effect = || {
         let from = platform.traffic.seen().len();
         for _ in 0..8 {
             n += 1;
-            assert!(whole(&node.ask(&format!("drain-{n}"), "plain")));
+            assert!(is_served(&node.request(&format!("drain-{n}"), "plain")));
         }
         writers(from).iter().all(|writer| writer == "writer-1")
     };
-    assert!(Platform::until(LONG, settled));
-    // A new whole list at the watch's next try, after silence: nothing is forgotten.
+    assert!(Platform::until(LONG, has_taken_effect));
+    // Discovery falls silent again: the node keeps its list.
     platform.discovery.silence(true);
-    assert!(whole(&node.ask("silent-1", "plain")));
+    assert!(is_served(&node.request("silent-1", "plain")));
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_a_bad_one_changes_nothing() {
+fn a_new_configuration_changes_discoverys_address_and_an_invalid_one_changes_nothing() {
     let platform = Platform::start(1, 1).unwrap();
-    let mut node = start(&platform, |_| {});
+    let mut node = start_node(&platform, |_| {});
     let other = platform.discovery.beside().unwrap();
     assert!(Platform::until(LONG, || !platform.discovery.asked().is_empty()));
     let asked = platform.discovery.asked().len();
     std::fs::write(&node.config, "{\"listen\":").unwrap();
     node.signal("HUP");
-    assert!(whole(&node.ask("bad-config-1", "plain")));
+    assert!(is_served(&node.request("bad-config-1", "plain")));
     let config = platform.config(node.addr, other.addr, true);
     std::fs::write(&node.config, config.to_string()).unwrap();
     node.signal("HUP");
     assert!(
         Platform::until(LONG, || platform.discovery.asked().len() > asked),
-        "the watch is taken up there"
+        "the node does not watch the new address"
     );
     let last = platform.discovery.asked().pop().unwrap();
     assert!(last.contains("stream=1&index="), "{last}");
-    assert!(whole(&node.ask("moved-1", "plain")));
-    assert!(node.child.try_wait().unwrap().is_none(), "it runs on");
+    assert!(is_served(&node.request("moved-1", "plain")));
+    assert!(node.child.try_wait().unwrap().is_none(), "the node has exited");
 }
 
-/// What a line that can't be read told must not be lost: the watch begins anew with the whole list.
+/// The content of an invalid line must not be lost: the node starts a new watch with the complete list.
 #[test]
-fn a_list_that_cannot_be_read_is_asked_for_anew() {
+fn an_invalid_list_is_requested_again() {
     let platform = Platform::start(1, 1).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     let watches = || platform.discovery.asked().len();
     assert!(Platform::until(LONG, || watches() == 1));
-    // The first watch has its list and is open: what comes now comes as a change.
+    // The first watch has its list and is open, so the next line arrives as a change.
     std::thread::sleep(Duration::from_millis(300));
     platform.discovery.garble();
-    assert!(Platform::until(LONG, || watches() > 1), "the watch is taken up again");
+    assert!(Platform::until(LONG, || watches() > 1), "no new watch is started");
     assert!(platform.discovery.asked()[1].ends_with("index=0"), "{:?}", platform.discovery.asked());
-    assert!(whole(&node.ask("after-noise-1", "plain")));
+    assert!(is_served(&node.request("after-noise-1", "plain")));
 }
 
-/// The list that a node is started with may be old, and what its discovery holds counts as told from its first moment.
+/// The list with which a node is started may be out of date. A node must know the list of its discovery when
+/// it becomes ready.
 #[test]
-fn a_node_is_ready_with_the_list_that_its_discovery_holds() {
+fn a_node_is_ready_only_with_the_list_of_its_discovery() {
     let platform = Platform::start(1, 2).unwrap();
     let health = |name: &str| if name == "writer-0" { "DRAINING" } else { "SERVING" };
     platform.discovery.change(Platform::list(&platform.engines, health));
     for n in 0..5 {
-        let node = start(&platform, |config| {
-            assert_eq!(config["known"]["hosts"][1]["health"], "SERVING", "the old list");
+        let node = start_node(&platform, |config| {
+            assert_eq!(
+                config["known"]["hosts"][1]["health"], "SERVING",
+                "the initial list is not the old one"
+            );
         });
         for m in 0..4 {
-            let answer = node.ask(&format!("first-{n}x{m}"), "plain");
-            assert!(whole(&answer), "node {n}, request {m}: {answer:?}");
+            let answer = node.request(&format!("first-{n}x{m}"), "plain");
+            assert!(is_served(&answer), "node {n}, request {m}: {answer:?}");
         }
     }
     let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
     let seen = platform.traffic.seen();
-    assert!(!seen.iter().any(|seen| began(seen) && seen.engine == "writer-0"), "a draining engine was asked");
+    assert!(
+        !seen.iter().any(|seen| began(seen) && seen.engine == "writer-0"),
+        "a request went to a draining engine"
+    );
 }
 
-/// Sends requests until eight in a row go past these writers; from then on none may come there.
-fn until_avoided(platform: &Platform, node: &Node, leavers: &[&str], tag: &str) {
+/// Sends requests until none of eight in a row goes to these writers.
+fn until_avoided(platform: &Platform, node: &Node, avoided_writers: &[&str], tag: &str) {
     let mut n = 0;
     let avoided = || {
         let from = platform.traffic.seen().len();
         for _ in 0..8 {
             n += 1;
-            assert!(whole(&node.ask(&format!("{tag}-{n}"), "plain")));
+            assert!(is_served(&node.request(&format!("{tag}-{n}"), "plain")));
         }
         let seen = platform.traffic.seen();
         let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
-        !seen[from..].iter().any(|seen| began(seen) && leavers.contains(&seen.engine.as_str()))
+        !seen[from..].iter().any(|seen| began(seen) && avoided_writers.contains(&seen.engine.as_str()))
     };
-    assert!(Platform::until(LONG, avoided), "{leavers:?} are still asked");
+    assert!(Platform::until(LONG, avoided), "requests still go to {avoided_writers:?}");
 }
 
+/// The number of requests that an engine has begun.
 fn begun_at(platform: &Platform, engine: &str) -> usize {
     let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
     platform.traffic.seen().iter().filter(|seen| began(seen) && seen.engine == engine).count()
 }
 
+/// Health of the engines where the named one drains.
 fn draining(name: &'static str) -> impl Fn(&str) -> &'static str {
     move |engine| if engine == name { "DRAINING" } else { "SERVING" }
 }
 
-/// A list that is older than the one that the node has must not undo it: a drain that was told stays told.
+/// An older list must not replace a newer one: an announced drain stays in force.
 #[test]
-fn an_older_list_after_a_newer_one_changes_nothing() {
+fn an_older_list_after_a_newer_one_is_ignored() {
     let platform = Platform::start(1, 3).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     platform.discovery.change(Platform::list(&platform.engines, draining("writer-0")));
     until_avoided(&platform, &node, &["writer-0"], "newer");
     let before = begun_at(&platform, "writer-0");
     let old = Platform::list(&platform.engines, |_| "SERVING");
     platform.discovery.inject(&json!({"seq": 1, "whole": true, "hosts": old}).to_string());
     let asked = platform.discovery.asked().len();
-    assert!(Platform::until(LONG, || platform.discovery.asked().len() > asked), "asked for anew");
+    assert!(
+        Platform::until(LONG, || platform.discovery.asked().len() > asked),
+        "the list is not requested again"
+    );
     platform.discovery.change(vec![host_of(&platform, "writer-1", "DRAINING")]);
     until_avoided(&platform, &node, &["writer-0", "writer-1"], "after");
     assert_eq!(
         begun_at(&platform, "writer-0"),
         before,
-        "an engine was asked after it had been told to drain"
+        "a request went to an engine after its drain was announced"
     );
 }
 
+/// The list entry of an engine.
 fn host_of(platform: &Platform, name: &str, health: &'static str) -> Value {
     let hosts = Platform::list(&platform.engines, |_| health);
     hosts.into_iter().find(|host| host["host"] == name).unwrap()
 }
 
-/// A watch by hand: its connection, and the version from which the node wants to know.
-fn next_watch(discovery: &Peer) -> (Line, String) {
-    let (line, got) = discovery.take();
-    let index = got.head.target.rsplit_once("index=").map(|(_, index)| index.to_owned());
-    (line, index.expect("a watch"))
+/// Waits for the next watch. Returns its connection, and the version from which the node requests changes.
+fn next_watch(discovery: &Peer) -> (PeerConnection, String) {
+    let (connection, request) = discovery.next_request();
+    let index = request.head.target.rsplit_once("index=").map(|(_, index)| index.to_owned());
+    (connection, index.expect("the request is not a watch"))
 }
 
-/// A node whose first watch has been told this list.
-fn told_first(platform: &Platform, discovery: &Peer, first: &str) -> (Node, Line) {
-    let text = WATCH.to_owned() + &chunk(&(first.to_owned() + "\n"));
+/// Starts a node whose first watch gets this list.
+fn start_with_first_list(platform: &Platform, discovery: &Peer, first: &str) -> (Node, PeerConnection) {
+    let text = WATCH_HEAD.to_owned() + &chunk(&(first.to_owned() + "\n"));
     std::thread::scope(|scope| {
-        let node = scope.spawn(|| by_hand(platform, discovery));
-        let (mut line, _) = next_watch(discovery);
-        line.write(&text);
+        let node = scope.spawn(|| start_watching(platform, discovery));
+        let (mut connection, _) = next_watch(discovery);
+        connection.write(&text);
         let node = node.join().unwrap();
-        // On a busy machine the node may have given that one up before it was answered.
-        while line.has_ended() {
-            line = next_watch(discovery).0;
-            line.write(&text);
-            node.settle();
+        // On a busy machine the node may have given up that watch before it was answered.
+        while connection.is_closed_by_node() {
+            connection = next_watch(discovery).0;
+            connection.write(&text);
+            node.wait_until_processed();
         }
-        (node, line)
+        (node, connection)
     })
 }
 
-fn by_hand(platform: &Platform, discovery: &Peer) -> Node {
-    start(platform, |config| config["discovery"] = discovery.addr.to_string().into())
+/// Starts a node that watches this scripted discovery.
+fn start_watching(platform: &Platform, discovery: &Peer) -> Node {
+    start_node(platform, |config| config["discovery"] = discovery.addr.to_string().into())
 }
 
-/// The first watch is accepted and never answered, the second is reset before its head ends, the third in the middle of
-/// a line, the fourth breaks off a line with an empty one: each time the next one tells all.
+/// The first watch is accepted and never answered. The second is reset within its head, the third within a
+/// line. The fourth breaks off a line with an empty one. Each time the next watch delivers everything.
 #[test]
-fn a_watch_that_breaks_anywhere_is_opened_anew_and_loses_nothing() {
+fn a_watch_that_breaks_anywhere_is_reopened_without_loss() {
     let platform = Platform::start(1, 2).unwrap();
     let discovery = Peer::new();
-    let node = by_hand(&platform, &discovery);
+    let node = start_watching(&platform, &discovery);
     let (mut silent, index) = next_watch(&discovery);
     assert_eq!(index, "0");
-    let (mut line, _) = next_watch(&discovery);
-    assert!(!silent.until_ended(), "the silent one is given up");
-    line.write("HTTP/1.1 200 OK\r\ntransfer-enc");
-    line.reset();
-    let (mut line, index) = next_watch(&discovery);
+    let (mut connection, _) = next_watch(&discovery);
+    assert!(!silent.wait_until_closed(), "the silent watch sent more bytes");
+    connection.write("HTTP/1.1 200 OK\r\ntransfer-enc");
+    connection.reset();
+    let (mut connection, index) = next_watch(&discovery);
     assert_eq!(index, "0");
     let all = |seq: u64, health: &dyn Fn(&str) -> &'static str| {
-        list(seq, true, &Platform::list(&platform.engines, health))
+        server_list(seq, true, &Platform::list(&platform.engines, health))
     };
-    line.write(&(WATCH.to_owned() + &chunk(&(all(5, &|_| "SERVING") + "\n"))));
-    // A drain, of which half comes.
+    connection.write(&(WATCH_HEAD.to_owned() + &chunk(&(all(5, &|_| "SERVING") + "\n"))));
+    // Half of a drain's line arrives.
     let drain = all(6, &draining("writer-0"));
-    line.write(&chunk(&drain[..drain.len() / 2]));
-    node.settle();
-    line.reset();
-    let (mut line, index) = next_watch(&discovery);
-    assert_eq!(index, "5", "from what it has whole");
-    line.write(&(WATCH.to_owned() + &chunk(&drain[..drain.len() / 2]) + &chunk("\n\n")));
-    let (mut line, index) = next_watch(&discovery);
-    assert_eq!(index, "0", "what was broken off may have told anything");
-    line.write(&(WATCH.to_owned() + &chunk(&(drain + "\n"))));
+    connection.write(&chunk(&drain[..drain.len() / 2]));
+    node.wait_until_processed();
+    connection.reset();
+    let (mut connection, index) = next_watch(&discovery);
+    assert_eq!(index, "5", "not from the last complete list");
+    connection.write(&(WATCH_HEAD.to_owned() + &chunk(&drain[..drain.len() / 2]) + &chunk("\n\n")));
+    let (mut connection, index) = next_watch(&discovery);
+    assert_eq!(index, "0", "not from the start, although a line was broken off");
+    connection.write(&(WATCH_HEAD.to_owned() + &chunk(&(drain + "\n"))));
     until_avoided(&platform, &node, &["writer-0"], "whole");
 }
 
-/// A list over many lines, one byte a write.
+/// A list that spans many lines and is written byte by byte.
 #[test]
-fn a_list_that_comes_byte_by_byte_is_taken() {
+fn a_list_that_arrives_byte_by_byte_is_applied() {
     let platform = Platform::start(1, 2).unwrap();
     let discovery = Peer::new();
     let serving = Platform::list(&platform.engines, |_| "SERVING");
-    let (node, mut line) = told_first(&platform, &discovery, &list(2, true, &serving));
+    let (node, mut connection) =
+        start_with_first_list(&platform, &discovery, &server_list(2, true, &serving));
     let hosts = Platform::list(&platform.engines, draining("writer-1"));
     let text =
         serde_json::to_string_pretty(&json!({"seq": 3, "whole": true, "hosts": hosts})).unwrap() + "\n";
     for byte in chunk(&text).chars() {
-        line.write(&byte.to_string());
+        connection.write(&byte.to_string());
     }
     until_avoided(&platform, &node, &["writer-1"], "bytes");
 }
 
-/// An open watch falls silent; what it misses comes over the next one, which is opened though the first never ends.
+/// An open watch falls silent. The node opens another one, although the first never ends, and gets the missed
+/// changes there.
 #[test]
 fn an_open_watch_that_falls_silent_is_replaced() {
     let platform = Platform::start(1, 2).unwrap();
     let discovery = Peer::new();
     let hosts = Platform::list(&platform.engines, |_| "SERVING");
-    let (node, mut silent) = told_first(&platform, &discovery, &list(7, true, &hosts));
-    let (mut line, index) = next_watch(&discovery);
+    let (node, mut silent) = start_with_first_list(&platform, &discovery, &server_list(7, true, &hosts));
+    let (mut connection, index) = next_watch(&discovery);
     assert_eq!(index, "7");
-    let drain = list(8, false, &[host_of(&platform, "writer-0", "DRAINING")]);
-    line.write(&(WATCH.to_owned() + &chunk(&(drain + "\n"))));
+    let drain = server_list(8, false, &[host_of(&platform, "writer-0", "DRAINING")]);
+    connection.write(&(WATCH_HEAD.to_owned() + &chunk(&(drain + "\n"))));
     until_avoided(&platform, &node, &["writer-0"], "replaced");
-    // The silent one comes back to life with what was true before.
+    // The silent watch sends an outdated list after all.
     let before = begun_at(&platform, "writer-0");
-    silent.write(&chunk(&(list(7, true, &hosts) + "\n")));
+    silent.write(&chunk(&(server_list(7, true, &hosts) + "\n")));
     until_avoided(&platform, &node, &["writer-0"], "late");
     assert_eq!(begun_at(&platform, "writer-0"), before);
 }
 
-/// Nobody listens at discovery's address when the node starts, and for some tries after.
+/// Nothing listens at discovery's address when the node starts, and during some retries.
 #[test]
-fn a_discovery_that_refuses_is_asked_until_it_answers() {
+fn a_discovery_that_refuses_connections_is_retried_until_it_answers() {
     let platform = Platform::start(1, 2).unwrap();
-    let addr = free();
-    let node = start(&platform, |config| config["discovery"] = addr.to_string().into());
-    assert!(whole(&node.ask("known-1", "plain")), "from the list it was started with");
+    let addr = unused_address();
+    let node = start_node(&platform, |config| config["discovery"] = addr.to_string().into());
+    assert!(is_served(&node.request("known-1", "plain")), "not served from the initial list");
     let discovery = Peer::at(addr);
-    let (mut line, _) = next_watch(&discovery);
+    let (mut connection, _) = next_watch(&discovery);
     let hosts = Platform::list(&platform.engines, draining("writer-0"));
-    line.write(&(WATCH.to_owned() + &chunk(&(list(4, true, &hosts) + "\n"))));
+    connection.write(&(WATCH_HEAD.to_owned() + &chunk(&(server_list(4, true, &hosts) + "\n"))));
     until_avoided(&platform, &node, &["writer-0"], "refused");
 }
 
-/// The configuration moves discovery, the old one tells a last list in the same instant, and the new one has a drain.
+/// The configuration changes discovery's address, the old discovery sends a last list at the same moment, and
+/// the new one announces a drain.
 #[test]
-fn a_drain_right_behind_a_new_configuration_is_kept() {
+fn a_drain_announced_right_after_a_new_configuration_is_applied() {
     let platform = Platform::start(1, 3).unwrap();
     let (old, new) = (Peer::new(), Peer::new());
     let hosts = Platform::list(&platform.engines, |_| "SERVING");
-    let (node, mut line) = told_first(&platform, &old, &list(10, true, &hosts));
-    node.freeze();
+    let (node, mut connection) = start_with_first_list(&platform, &old, &server_list(10, true, &hosts));
+    node.suspend();
     std::fs::write(&node.config, platform.config(node.addr, new.addr, true).to_string()).unwrap();
     node.signal("HUP");
-    line.write(&chunk(&(list(11, true, &hosts) + "\n")));
-    node.thaw();
+    connection.write(&chunk(&(server_list(11, true, &hosts) + "\n")));
+    node.resume();
     let (mut moved, index) = next_watch(&new);
     assert!(["10", "11"].contains(&index.as_str()), "{index}");
-    let drain = list(12, true, &Platform::list(&platform.engines, draining("writer-0")));
-    moved.write(&(WATCH.to_owned() + &chunk(&(drain + "\n"))));
+    let drain = server_list(12, true, &Platform::list(&platform.engines, draining("writer-0")));
+    moved.write(&(WATCH_HEAD.to_owned() + &chunk(&(drain + "\n"))));
     until_avoided(&platform, &node, &["writer-0"], "moved");
     let before = begun_at(&platform, "writer-0");
-    // The old one is heard no more.
-    line.write(&chunk(&(list(13, true, &hosts) + "\n")));
-    moved.write(&chunk(&(list(13, false, &[host_of(&platform, "writer-1", "DRAINING")]) + "\n")));
+    // Lists of the old discovery are ignored from now on.
+    connection.write(&chunk(&(server_list(13, true, &hosts) + "\n")));
+    moved.write(&chunk(&(server_list(13, false, &[host_of(&platform, "writer-1", "DRAINING")]) + "\n")));
     until_avoided(&platform, &node, &["writer-0", "writer-1"], "after");
     assert_eq!(begun_at(&platform, "writer-0"), before);
 }
 
-/// Settings with another deadline come with discovery's new address: they are taken, whole.
+/// Settings with another deadline come together with discovery's new address. Both are applied.
 #[test]
 fn a_new_configuration_may_change_how_long_clients_wait() {
     let platform = Platform::start(1, 1).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     let new = Peer::new();
     let mut config = platform.config(node.addr, new.addr, true);
     config["settings"]["services"][0]["give-up-us"] = 9_000_000.into();
--- a/crates/cli/tests/node/drains.rs
+++ b/crates/cli/tests/node/drains.rs
@@ -1,85 +1,91 @@
-//! Engines that leave while attempts and releases are on their way to them.
+//! Engines that drain or are removed while attempts and releases are on their way to them.
 
-use crate::bed::{Bed, host, patient_chat};
-use crate::peer::{streamed, take_at_any};
+use crate::bed::{TestBed, host_entry, long_lived_chat};
+use crate::peer::{is_complete_stream, next_request_at_any};
 use crate::support::*;
 
-/// The attempt was decided and waits for its connection; then its engine is told to drain. It was sent all the same.
+/// Guards against requests to a draining engine: the engine begins to drain while an attempt waits for its
+/// connection. The attempt was written to it all the same.
 #[test]
-fn an_attempt_that_waits_for_its_connection_is_not_sent_to_an_engine_that_drains_meanwhile() {
+fn an_attempt_is_not_written_to_an_engine_that_begins_to_drain_while_it_connects() {
     for health in ["DRAINING", "DELETED"] {
         for class in ["plain", "once"] {
-            let bed = Bed::new(1, 2);
+            let bed = TestBed::new(1, 2);
             let node = bed.node(|_| {});
             let trace = format!("drain-{class}");
             let step = format!("attempt-connected-{trace}");
             let mut client = node.client();
-            client.send(&patient_chat(&trace, class));
-            let (mut line, _) = bed.readers[0].take();
+            client.send(&long_lived_chat(&trace, class));
+            let (mut connection, _) = bed.readers[0].next_request();
             bed.holds.hold(&step);
-            line.has_read();
-            bed.readers[0].rest(line);
-            bed.holds.until_reached(&step);
-            // The connection was made; which writer is it at?
-            let mut at = None;
-            let came = || {
-                at = bed.writers.iter().position(|writer| {
-                    let line = writer.accept_now();
-                    line.map(|line| writer.rest(line)).is_some()
+            connection.answer_prefill();
+            bed.readers[0].keep_open(connection);
+            bed.holds.wait_until_reached(&step);
+            // The connection is made. Finds the writer that has it.
+            let mut connected_writer = None;
+            let has_connected = || {
+                connected_writer = bed.writers.iter().position(|writer| {
+                    let connection = writer.try_accept();
+                    connection.map(|connection| writer.keep_open(connection)).is_some()
                 });
-                at.is_some()
+                connected_writer.is_some()
             };
-            assert!(Platform::until(LONG, came));
-            let leaver = at.unwrap();
+            assert!(Platform::until(LONG, has_connected));
+            let leaving_writer = connected_writer.unwrap();
             bed.holds.hold("listed-2");
-            let drained = host(&format!("writer-{leaver}"), &bed.writers[leaver], health);
+            let drained =
+                host_entry(&format!("writer-{leaving_writer}"), &bed.writers[leaving_writer], health);
             bed.platform.discovery.change(vec![drained]);
-            bed.holds.until_reached("listed-2");
-            bed.holds.let_go("listed-2");
-            // The change is in the queue: what comes behind it finds it taken.
-            node.settle();
-            bed.holds.let_go(&step);
-            let (mut line, got) = bed.writers[1 - leaver].take();
-            assert_eq!(got.trace(), trace);
-            line.streams();
-            assert!(streamed(&client.answer()), "{health}, {class}");
+            bed.holds.wait_until_reached("listed-2");
+            bed.holds.release("listed-2");
+            // The change is in the queue. Later events are processed after it.
+            node.wait_until_processed();
+            bed.holds.release(&step);
+            let (mut connection, request) = bed.writers[1 - leaving_writer].next_request();
+            assert_eq!(request.trace(), trace);
+            connection.send_stream();
+            assert!(is_complete_stream(&client.answer()), "{health}, {class}");
             assert!(
-                bed.writers[leaver].take_now().is_none(),
-                "{health}, {class}: sent to an engine that had left"
+                bed.writers[leaving_writer].try_next_request().is_none(),
+                "{health}, {class}: sent to an engine that drains or was removed"
             );
         }
     }
 }
 
-/// A first read broke and what it may have left is let go of; that call waits for its connection while the prompt is read
-/// elsewhere and a writer is asked. It is said all the same: engines keep what an attempt waits for, and what the first
-/// reader holds would be held past its time if the call were left out.
+/// A first prefill attempt broke, and the state that it may have left is released. That call waits for its
+/// connection while another reader reads the prompt and an attempt at a writer fetches the state. The call is
+/// made all the same: engines keep state that an attempt waits for, and without the call the first reader
+/// would hold its state past its time limit.
 #[test]
-fn a_release_that_waits_for_its_connection_is_said_beside_an_attempt_that_fetches() {
-    let bed = Bed::new(2, 1);
+fn a_release_that_waits_for_its_connection_is_sent_beside_an_attempt_that_fetches_state() {
+    let bed = TestBed::new(2, 1);
     let node = bed.node(|_| {});
     let release = "small-connected--kv-leases-fetch-1";
     bed.holds.hold(release);
     let mut client = node.client();
-    client.send(&patient_chat("fetch-1", "plain"));
-    let (_, (line, _)) = take_at_any(&bed.readers);
-    line.reset();
-    let (_, (mut read, got)) = take_at_any(&bed.readers);
-    assert_eq!(got.trace(), "fetch-1");
-    bed.holds.until_reached(release);
-    read.has_read();
-    // The attempt that fetches is out.
-    let (mut write, got) = bed.writers[0].take();
-    assert_eq!(got.trace(), "fetch-1");
-    bed.holds.let_go(release);
-    let mut said = None;
-    let heard = || {
-        said = bed.readers.iter().chain(&bed.writers).find_map(|engine| engine.take_now());
-        said.is_some()
+    client.send(&long_lived_chat("fetch-1", "plain"));
+    let (_, (connection, _)) = next_request_at_any(&bed.readers);
+    connection.reset();
+    let (_, (mut prefill, request)) = next_request_at_any(&bed.readers);
+    assert_eq!(request.trace(), "fetch-1");
+    bed.holds.wait_until_reached(release);
+    prefill.answer_prefill();
+    // The attempt that fetches the state is open.
+    let (mut decode, request) = bed.writers[0].next_request();
+    assert_eq!(request.trace(), "fetch-1");
+    bed.holds.release(release);
+    let mut received = None;
+    let has_arrived = || {
+        received = bed.readers.iter().chain(&bed.writers).find_map(|engine| engine.try_next_request());
+        received.is_some()
     };
-    assert!(Platform::until(LONG, heard), "nothing is let go of");
-    let (_line, got) = said.unwrap();
-    assert_eq!((got.head.method.as_str(), got.head.target.as_str()), ("DELETE", "/kv/leases/fetch-1"));
-    write.streams();
-    assert!(streamed(&client.answer()));
+    assert!(Platform::until(LONG, has_arrived), "no release arrives");
+    let (_connection, request) = received.unwrap();
+    assert_eq!(
+        (request.head.method.as_str(), request.head.target.as_str()),
+        ("DELETE", "/kv/leases/fetch-1")
+    );
+    decode.send_stream();
+    assert!(is_complete_stream(&client.answer()));
 }
--- a/crates/cli/tests/node/fleet.rs
+++ b/crates/cli/tests/node/fleet.rs
@@ -1,15 +1,15 @@
-//! Many nodes, many engines, many idle clients.
+//! Nodes in large numbers: many nodes, many engines, many idle clients.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde_json::json;
 
-use crate::bed::{Bed, host, list};
-use crate::peer::{Peer, chunk, tell_watch};
+use crate::bed::{TestBed, host_entry, server_list};
+use crate::peer::{Peer, answer_watch, chunk};
 use crate::support::*;
 
-/// Thirty nodes, told of a reader that has just started at different moments, some of them only at their own start. What
-/// all of them send it stays within its budget, and what may be put down to chance.
+/// Thirty nodes learn of a reader that has just started at different moments, half of them only at their own
+/// start. All their requests to it together stay within its budget and a margin for chance.
 #[test]
 fn thirty_nodes_together_keep_a_cold_engine_within_its_budget() {
     const NODES: usize = 30;
@@ -20,72 +20,75 @@
         config["settings"]["obligations"]["cold-us"] = 600_000_000.into();
         config["settings"]["obligations"]["tip-after-us"] = 600_000_000.into();
     };
-    let mut nodes: Vec<Node> = (0..NODES / 2).map(|_| start(&platform, cold)).collect();
+    let mut nodes: Vec<Node> = (0..NODES / 2).map(|_| start_node(&platform, cold)).collect();
     for (n, node) in nodes.iter().enumerate() {
-        assert!(whole(&node.ask(&format!("warm-{n}"), "plain")));
+        assert!(is_served(&node.request(&format!("warm-{n}"), "plain")));
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let mut hosts = Platform::list(&platform.engines[..1], |_| "SERVING");
     hosts[0]["born_ms"] = now.into();
     platform.discovery.change(hosts);
-    // The others know of it from their first list.
-    nodes.extend((0..NODES / 2).map(|_| start(&platform, cold)));
-    let told = || platform.discovery.told() >= nodes.len();
-    assert!(Platform::until(LONG, told), "all are told");
+    // The other nodes learn of it from their first list.
+    nodes.extend((0..NODES / 2).map(|_| start_node(&platform, cold)));
+    let all_listed = || platform.discovery.told() >= nodes.len();
+    assert!(Platform::until(LONG, all_listed), "not all nodes have the list");
     let before = platform.traffic.seen().len();
     std::thread::scope(|scope| {
         for (n, node) in nodes.iter().enumerate() {
             scope.spawn(move || {
                 for m in 0..EACH {
-                    // A part of the first reads fails, and is read again elsewhere.
+                    // Some of the first prefill attempts fail, and the prompt is read at another reader.
                     let case = if m % 4 == 0 { "reader-500-first" } else { "fine" };
-                    assert!(whole(&node.ask(&format!("{case}-{n}x{m}"), "plain")));
+                    assert!(is_served(&node.request(&format!("{case}-{n}x{m}"), "plain")));
                 }
             });
         }
     });
     let seen = platform.traffic.seen();
     let began = |seen: &&elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
-    let reads =
+    let prefills =
         |engine: &str| seen[before..].iter().filter(began).filter(|seen| seen.engine == engine).count();
-    let all: usize = (0..6).map(|n| reads(&format!("reader-{n}"))).sum();
-    // What one of six warm readers takes, times what a cold one bears: a multiple of its present capacity.
+    let all: usize = (0..6).map(|n| prefills(&format!("reader-{n}"))).sum();
+    // The share of one of six warm readers, times the load that a cold one can bear: a multiple of its
+    // present capacity.
     let budget = 4.0 * 0.3 * all as f64 / 6.0;
-    let most = budget + 2.0 * budget.sqrt() + 2.0;
-    let cold = reads("reader-0");
-    assert!((cold as f64) <= most, "{cold} reads of {all} at the cold reader, {most:.1} at the most");
-    assert!(cold > 0, "it is not left out altogether");
+    let max = budget + 2.0 * budget.sqrt() + 2.0;
+    let cold = prefills("reader-0");
+    assert!((cold as f64) <= max, "{cold} of {all} prefills at the cold reader, expected {max:.1} at most");
+    assert!(cold > 0, "no request goes to the cold reader");
 }
 
-/// Idle clients take all descriptors that they may while discovery is down: when it is back its list is heard, engines
-/// are asked and readiness is told, and accepting never fails for want of a descriptor.
+/// Idle clients take all descriptors available to them while discovery is down. When discovery is back, the
+/// node gets its list, reaches engines and reports itself ready. Accepting never fails for lack of a
+/// descriptor.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_engines() {
-    let bed = Bed::new(1, 1);
+    let bed = TestBed::new(1, 1);
     let discovery = Peer::new();
     const DESCRIPTORS: u64 = 96;
-    let mut node = bed.limited_node(DESCRIPTORS, |config| {
+    let mut node = bed.node_with_descriptor_limit(DESCRIPTORS, |config| {
         config["known"]["hosts"] = Value::Array(Vec::new());
         config["discovery"] = discovery.addr.to_string().into();
         config["limits"]["sockets"] = DESCRIPTORS.into();
     });
-    let idle: Vec<Client> = (0..400).filter_map(|_| Client::to(node.addr)).collect();
+    let idle: Vec<Client> = (0..400).filter_map(|_| Client::connect(node.addr)).collect();
     assert_eq!(node.client().get("/-/ready"), Some(200));
-    // Discovery is back.
-    let _watch = tell_watch(&discovery, &node, &list(2, true, &bed.hosts()));
-    bed.serves(&node, "after-1");
+    // Discovery answers again.
+    let _watch = answer_watch(&discovery, &node, &server_list(2, true, &bed.hosts()));
+    bed.assert_serves(&node, "after-1");
     drop(idle);
-    let said = node.said();
-    assert!(!said.contains("accept"), "{said}");
+    let log = node.log_text();
+    assert!(!log.contains("accept"), "{log}");
 }
 
-/// A list of 1,024 engines, in the configuration and from discovery, changed one by one.
+/// A list of 1,024 engines, in the configuration and from discovery, whose entries are then changed one by
+/// one.
 #[test]
 fn a_node_starts_with_a_thousand_engines() {
-    let bed = Bed::new(1, 1);
-    let gone = Peer::new();
+    let bed = TestBed::new(1, 1);
+    let unused = Peer::new();
     let all = |health: &str| -> Vec<Value> {
-        let other = |n: usize| host(&format!("writer-gone-{n}"), &gone, health);
+        let other = |n: usize| host_entry(&format!("writer-gone-{n}"), &unused, health);
         (0..1_022).map(other).chain(bed.hosts()).collect()
     };
     let discovery = Peer::new();
@@ -93,27 +96,27 @@
         config["known"] = json!({"seq": 1, "whole": true, "hosts": all("DRAINING")});
         config["discovery"] = discovery.addr.to_string().into();
     });
-    bed.serves(&node, "known-1");
-    let mut watch = tell_watch(&discovery, &node, &list(2, true, &all("DRAINING")));
+    bed.assert_serves(&node, "known-1");
+    let mut watch = answer_watch(&discovery, &node, &server_list(2, true, &all("DRAINING")));
     for (n, mut other) in all("DELETED").into_iter().take(1_022).enumerate() {
         other["dial"] = "".into();
-        watch.write(&chunk(&(list(3 + n as u64, false, &[other]) + "\n")));
+        watch.write(&chunk(&(server_list(3 + n as u64, false, &[other]) + "\n")));
     }
     std::thread::sleep(Duration::from_millis(1));
-    bed.serves(&node, "listed-1");
-    assert!(gone.accept_now().is_none());
+    bed.assert_serves(&node, "listed-1");
+    assert!(unused.try_accept().is_none());
 }
 
-/// CPU seconds that a process has used.
+/// CPU seconds that a node has used.
 fn cpu_seconds(node: &Node) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", node.child.id())).unwrap();
     let used = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok());
     used.filter_map(|text| text.split(' ').next()?.parse::<f64>().ok()).sum::<f64>() / 1e9
 }
 
-/// The CPU that a node needs for the same requests before so many servers, one in twenty of which leave and return
-/// meanwhile. Many servers share an engine's socket.
-fn cpu_before(servers: usize) -> f64 {
+/// CPU seconds that a node needs for a fixed number of requests with so many servers, one in twenty of which
+/// drain and return meanwhile. Many servers share an engine's socket.
+fn cpu_with_servers(servers: usize) -> f64 {
     const CLIENTS: usize = 6;
     const EACH: usize = 40;
     const CELL: usize = 6;
@@ -126,18 +129,18 @@
     };
     let all = |health: &str| (0..servers).map(|n| entry(n, health)).collect::<Vec<Value>>();
     platform.discovery.change(all("SERVING"));
-    let node = start(&platform, |config| {
+    let node = start_node(&platform, |config| {
         config["settings"]["n-instances"] = 300.into();
         config["known"]["hosts"] = Value::Array(all("SERVING"));
     });
-    let before = cpu_seconds(&node);
+    let cpu_at_start = cpu_seconds(&node);
     std::thread::scope(|scope| {
         for n in 0..CLIENTS {
             let node = &node;
             scope.spawn(move || {
                 for m in 0..EACH {
                     assert!(
-                        whole(&node.ask(&format!("large-{n}x{m}"), "plain")),
+                        is_served(&node.request(&format!("large-{n}x{m}"), "plain")),
                         "{servers} servers, {n}x{m}"
                     );
                 }
@@ -150,16 +153,17 @@
             platform.discovery.change(part("SERVING"));
         }
     });
-    cpu_seconds(&node) - before
+    cpu_seconds(&node) - cpu_at_start
 }
 
-/// The platform's bound on CPU for a fleet with sixteen times the servers; see `tests/scale.rs` for the counts.
+/// The platform's bound on CPU for a fleet with sixteen times as many servers. `tests/scale.rs` checks the
+/// operation counts.
 #[test]
-fn a_node_before_thousands_of_servers_needs_hardly_more_cpu() {
-    let [usual, large] = [192, 3_192].map(cpu_before);
-    let most = 1.4 * usual + 0.02 + 0.03 * 3.0;
+fn a_node_with_thousands_of_servers_needs_hardly_more_cpu() {
+    let [small, large] = [192, 3_192].map(cpu_with_servers);
+    let max = 1.4 * small + 0.02 + 0.03 * 3.0;
     assert!(
-        large <= most,
-        "{large:.3} s before 3,192 servers, {usual:.3} s before 192: {most:.3} s at the most"
+        large <= max,
+        "{large:.3} s with 3,192 servers, {small:.3} s with 192: expected {max:.3} s at most"
     );
 }
--- a/crates/cli/tests/node/main.rs
+++ b/crates/cli/tests/node/main.rs
@@ -1,5 +1,6 @@
-//! `elderstage node` as its platform runs it: a child process between scripted clients, engines and discovery, all on
-//! loopback. Answers and rules are asserted, times never: every wait is far longer than what it waits for takes.
+//! Tests of `elderstage node` as its platform runs it: a child process between scripted clients, engines and
+//! discovery, all on loopback. The tests check answers and the platform's rules, never times: every wait is
+//! far longer than the awaited event takes.
 
 mod bed;
 mod client_gone;
--- a/crates/cli/tests/node/outcomes.rs
+++ b/crates/cli/tests/node/outcomes.rs
@@ -1,13 +1,13 @@
-//! What each outcome at an engine comes to for its client.
+//! The client's answer for each outcome at an engine.
 
 use std::time::Duration;
 
 use crate::support::*;
 
-/// Every line of the protocol's table of outcomes, for a class that may be repeated and one that may not.
+/// Every row of the protocol's table of outcomes, for a class that may be repeated and one that may not.
 #[test]
-fn each_outcome_at_an_engine_has_its_answer() {
-    // The case, whether a plain request is served, and whether one that must not run twice is.
+fn each_outcome_at_an_engine_gives_the_specified_answer() {
+    // The case, whether a plain request is served, and whether a request that must not run twice is served.
     for (case, plain, once) in [
         ("served", true, true),
         ("reader-500-first", true, true),
@@ -26,36 +26,37 @@
         ("more-report", true, true),
         ("more-answer", true, true),
     ] {
-        // A fresh node for each: what it has learned of its engines from one case is not the next one's matter.
+        // A new node for each case, so that what it learns of its engines in one case does not affect the
+        // next.
         let platform = Platform::start(3, 4).unwrap();
-        let node = start(&platform, |_| {});
+        let node = start_node(&platform, |_| {});
         for (class, served) in [("plain", plain), ("once", once)] {
             let trace = format!("{case}-{class}");
-            let answer = node.ask(&trace, class);
+            let answer = node.request(&trace, class);
             if served {
-                assert!(whole(&answer), "{trace}: {answer:?}");
+                assert!(is_served(&answer), "{trace}: {answer:?}");
             } else {
-                // It may have run: never a word that trying again is harmless.
+                // The request may have run, so the answer must not say that a retry is harmless.
                 assert_eq!(answer.status, 502, "{trace}: {answer:?}");
-                // The engine may note the end after the client has its answer.
+                // The engine may record the end after the client has its answer.
                 let attempts = || platform.traffic.attempts(&trace);
                 assert!(Platform::until(LONG, || !attempts().is_empty()), "{trace}");
                 assert_eq!(attempts(), [How::MayHaveRun], "{trace}");
             }
         }
         assert_eq!(platform.traffic.judge(|trace| trace.ends_with("-once")), Vec::<String>::new(), "{case}");
-        let empty = Platform::until(LONG, || platform.traffic.held().is_empty());
-        assert!(empty, "{case}: still held: {:?}", platform.traffic.held());
+        let is_released = Platform::until(LONG, || platform.traffic.held().is_empty());
+        assert!(is_released, "{case}: still held: {:?}", platform.traffic.held());
     }
 }
 
 #[test]
-fn a_stream_that_breaks_ends_its_clients_connection_without_the_last_chunk() {
+fn a_broken_stream_ends_the_clients_connection_without_the_last_chunk() {
     let platform = Platform::start(1, 4).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     for case in ["late-breaks", "late-size", "late-misfit", "late-huge"] {
-        let answer = node.ask(&format!("{case}-x"), "once");
-        assert_eq!((answer.status, answer.whole), (200, false), "{case}");
+        let answer = node.request(&format!("{case}-x"), "once");
+        assert_eq!((answer.status, answer.is_complete), (200, false), "{case}");
         assert!(
             whole_answer().starts_with(&answer.body) && !answer.body.is_empty(),
             "{case}: {}",
@@ -64,12 +65,12 @@
     }
 }
 
-/// A short mixed day: good and bad engines, a writer that dies, clients that come and go; the rules are judged by
-/// what the engines saw and what the clients got.
+/// Mixed traffic: working and failing engines, a writer that dies, and many clients. The rules are checked
+/// against what the engines saw and what the clients received.
 #[test]
-fn a_mixed_day_keeps_the_rules() {
+fn mixed_traffic_keeps_the_rules() {
     let mut platform = Platform::start(6, 8).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     let cases = [
         "fine",
         "fine",
@@ -86,19 +87,19 @@
         "fine",
         "reader-500-first",
     ];
-    let got: BTreeMap<String, Answer> = std::thread::scope(|scope| {
+    let answers: BTreeMap<String, Answer> = std::thread::scope(|scope| {
         let node = &node;
         let clients: Vec<_> = (0..8)
             .map(|c| {
                 scope.spawn(move || {
-                    let mut got = Vec::new();
+                    let mut answers = Vec::new();
                     for n in 0..25 {
                         let case = cases[(n * 3 + c) % cases.len()];
                         let class = if (n + c) % 3 == 0 { "once" } else { "plain" };
                         let trace = format!("{case}-{c}x{n}x{class}");
-                        got.push((trace.clone(), node.ask(&trace, class)));
+                        answers.push((trace.clone(), node.request(&trace, class)));
                     }
-                    got
+                    answers
                 })
             })
             .collect();
@@ -106,11 +107,11 @@
         drop(platform.engines.pop());
         clients.into_iter().flat_map(|client| client.join().unwrap()).collect()
     });
-    assert_eq!(got.len(), 200);
+    assert_eq!(answers.len(), 200);
     let mut served = 0;
-    for (trace, answer) in &got {
+    for (trace, answer) in &answers {
         match answer.status {
-            200 if answer.whole => {
+            200 if answer.is_complete => {
                 served += 1;
                 assert_eq!(answer.body, whole_answer(), "{trace}");
                 assert!(
@@ -132,17 +133,18 @@
     assert!(Platform::until(LONG, || platform.traffic.held().is_empty()), "{:?}", platform.traffic.held());
 }
 
-/// A second answer that comes some milliseconds late must not pass for the next request's. On a busy machine the engine may
-/// write it far later than that, which no node can tell from an answer: then, and only then, the test is played anew.
+/// A second answer to one request that arrives some milliseconds later must not be taken for the answer to
+/// the next request. On a busy machine the engine may write it far later, and then no node can distinguish
+/// the two. Only then the test is repeated.
 #[test]
-fn a_second_answer_that_comes_late_is_nobodys() {
-    const SOME_MILLISECONDS: Duration = Duration::from_millis(20);
+fn a_late_second_answer_is_not_taken_for_the_next_requests() {
+    const MAX_EXPECTED_DELAY: Duration = Duration::from_millis(20);
     for _ in 0..10 {
         let platform = Platform::start(1, 1).unwrap();
-        let node = start(&platform, |_| {});
+        let node = start_node(&platform, |_| {});
         let traces = (0..20).flat_map(|n| [format!("more-later-{n}"), format!("after-later-{n}")]);
         let wrong: Vec<_> =
-            traces.map(|trace| node.ask(&trace, "plain")).filter(|answer| !whole(answer)).collect();
+            traces.map(|trace| node.request(&trace, "plain")).filter(|answer| !is_served(answer)).collect();
         if wrong.is_empty() {
             return;
         }
@@ -151,20 +153,20 @@
             _ => Duration::ZERO,
         };
         let latest = platform.traffic.seen().iter().map(later).max().unwrap_or_default();
-        assert!(latest > SOME_MILLISECONDS, "{wrong:?}; the latest second answer came after {latest:?}");
+        assert!(latest > MAX_EXPECTED_DELAY, "{wrong:?}; the latest second answer came after {latest:?}");
     }
     panic!("the machine is too busy to write a second answer in time");
 }
 
 #[test]
-fn an_id_open_elsewhere_is_refused_and_its_owner_served() {
+fn a_second_request_with_an_open_id_is_refused_and_the_first_is_served() {
     let platform = Platform::start(2, 1).unwrap();
-    let node = start(&platform, |_| {});
+    let node = start_node(&platform, |_| {});
     let mut first = node.client();
-    // The reader answers nothing: the request stays open.
+    // The reader does not answer, so the request stays open.
     first.send(&chat("reader-silent-first-1", "plain", 4000));
     let begun = || platform.traffic.seen().iter().any(|seen| matches!(seen.pass, Pass::Begun { .. }));
     assert!(Platform::until(LONG, begun));
-    assert_eq!(node.ask("reader-silent-first-1", "plain").status, 409);
-    assert!(whole(&first.answer()), "given up at the silent reader and read elsewhere");
+    assert_eq!(node.request("reader-silent-first-1", "plain").status, 409);
+    assert!(is_served(&first.answer()), "the first request is not served at another reader");
 }
--- a/crates/cli/tests/node/peer.rs
+++ b/crates/cli/tests/node/peer.rs
@@ -1,5 +1,6 @@
-//! Engines and discovery whose every accept, read and write the test does by hand: an order of two events is forced by
-//! doing the second only when the first was seen. A time limit only ends a test that failed.
+//! Engines and discovery whose every accept, receive and send is a step of the test. A test forces the order
+//! of two events by causing the second only when it has seen the first. A time limit only ends a test that
+//! has failed.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,104 +13,108 @@
 
 const LIMITS: Limits = Limits { head: 64 << 10, body: 1 << 20 };
 
-/// A listening socket, and the connections at it that rest.
+/// A scripted server: a listening socket, and its idle connections.
 pub struct Peer {
     listener: TcpListener,
     pub addr: SocketAddr,
-    resting: Mutex<Vec<Line>>,
+    idle: Mutex<Vec<PeerConnection>>,
 }
 
-/// A connection that it accepted.
-pub struct Line {
+/// A connection that a peer accepted.
+pub struct PeerConnection {
     pub stream: TcpStream,
-    held: Vec<u8>,
+    /// Bytes that were received and not consumed yet.
+    received: Vec<u8>,
 }
 
-/// A request as a peer got it.
+/// A request as a peer received it.
 #[derive(Debug)]
-pub struct Got {
+pub struct ReceivedRequest {
     pub head: Request,
 }
 
-impl Got {
+impl ReceivedRequest {
+    /// The value of `X-Trace-Id`.
     pub fn trace(&self) -> &str {
         self.head.headers.get("x-trace-id").unwrap_or_default()
     }
 
-    /// What the attempt tells of the time that is left.
+    /// The value of `X-Expires-In-Ms`: the time that the request has left.
     pub fn expires_ms(&self) -> u128 {
         self.head.headers.get("x-expires-in-ms").and_then(|text| text.parse().ok()).unwrap()
     }
 }
 
 impl Peer {
+    /// Listens at a free port.
     pub fn new() -> Peer {
         Peer::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
+    /// Listens at an address.
     pub fn at(addr: SocketAddr) -> Peer {
         let listener = TcpListener::bind(addr).unwrap();
         listener.set_nonblocking(true).unwrap();
         let addr = listener.local_addr().unwrap();
-        Peer { listener, addr, resting: Mutex::default() }
+        Peer { listener, addr, idle: Mutex::default() }
     }
 
-    fn resting(&self) -> MutexGuard<'_, Vec<Line>> {
-        self.resting.lock().unwrap()
+    fn idle(&self) -> MutexGuard<'_, Vec<PeerConnection>> {
+        self.idle.lock().unwrap()
     }
 
-    /// The next connection, if one has come already.
-    pub fn accept_now(&self) -> Option<Line> {
+    /// Accepts the next connection, if one waits already.
+    pub fn try_accept(&self) -> Option<PeerConnection> {
         let (stream, _) = self.listener.accept().ok()?;
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Some(Line { stream, held: Vec::new() })
+        Some(PeerConnection { stream, received: Vec::new() })
     }
 
-    /// Keeps a connection on which the node may send its next request.
-    pub fn rest(&self, line: Line) {
-        self.resting().push(line);
+    /// Keeps a connection open, so that the node may send its next request on it.
+    pub fn keep_open(&self, connection: PeerConnection) {
+        self.idle().push(connection);
     }
 
-    /// The next request, if the first bytes of one have come on any connection.
-    pub fn take_now(&self) -> Option<(Line, Got)> {
-        while let Some(line) = self.accept_now() {
-            self.rest(line);
+    /// Receives the next request, if first bytes of one have arrived on any connection.
+    pub fn try_next_request(&self) -> Option<(PeerConnection, ReceivedRequest)> {
+        while let Some(connection) = self.try_accept() {
+            self.keep_open(connection);
         }
-        let mut resting = self.resting();
-        resting.retain(|line| !line.has_ended());
-        let ready = resting.iter().position(Line::has_bytes)?;
-        let mut line = resting.remove(ready);
-        drop(resting);
-        let got = line.request()?;
-        Some((line, got))
-    }
-
-    /// Waits for the next request, on whatever connection.
-    pub fn take(&self) -> (Line, Got) {
-        let mut taken = None;
-        let came = || {
-            taken = self.take_now();
-            taken.is_some()
+        let mut idle = self.idle();
+        idle.retain(|connection| !connection.is_closed_by_node());
+        let ready = idle.iter().position(PeerConnection::has_bytes)?;
+        let mut connection = idle.remove(ready);
+        drop(idle);
+        let request = connection.receive_request()?;
+        Some((connection, request))
+    }
+
+    /// Waits for the next request on any connection.
+    pub fn next_request(&self) -> (PeerConnection, ReceivedRequest) {
+        let mut received = None;
+        let has_arrived = || {
+            received = self.try_next_request();
+            received.is_some()
         };
-        assert!(Platform::until(LONG, came), "no request comes to {}", self.addr);
-        taken.unwrap()
+        assert!(Platform::until(LONG, has_arrived), "no request arrives at {}", self.addr);
+        received.unwrap()
     }
 
-    /// Waits for the next request, which must be a release, and grants it.
-    pub fn take_release(&self, trace: &str) {
-        let (mut line, got) = self.take();
+    /// Waits for the next request, checks that it is the release of this request and confirms it.
+    pub fn expect_release(&self, trace: &str) {
+        let (mut connection, request) = self.next_request();
         assert_eq!(
-            (got.head.method.as_str(), got.head.target.as_str()),
+            (request.head.method.as_str(), request.head.target.as_str()),
             ("DELETE", &*format!("/kv/leases/{trace}"))
         );
-        line.write(RELEASED);
-        self.rest(line);
+        connection.write(RELEASED);
+        self.keep_open(connection);
     }
 }
 
-impl Line {
+impl PeerConnection {
     fn peek(&self) -> std::io::Result<usize> {
         self.stream.set_nonblocking(true).unwrap();
         let peeked = self.stream.peek(&mut [0; 1]);
@@ -117,139 +122,145 @@
         peeked
     }
 
+    /// Whether received bytes wait to be consumed.
     fn has_bytes(&self) -> bool {
-        !self.held.is_empty() || matches!(self.peek(), Ok(1))
+        !self.received.is_empty() || matches!(self.peek(), Ok(1))
     }
 
-    pub fn has_ended(&self) -> bool {
-        let waits = |error: &std::io::Error| error.kind() == std::io::ErrorKind::WouldBlock;
-        self.held.is_empty() && self.peek().map_or_else(|error| !waits(&error), |n| n == 0)
+    /// Whether the node has closed the connection and no received bytes are left.
+    pub fn is_closed_by_node(&self) -> bool {
+        let would_block = |error: &std::io::Error| error.kind() == std::io::ErrorKind::WouldBlock;
+        self.received.is_empty() && self.peek().map_or_else(|error| !would_block(&error), |n| n == 0)
     }
 
-    fn more(&mut self) -> bool {
-        let mut some = [0; 16 << 10];
-        let n = self.stream.read(&mut some).unwrap_or(0);
-        self.held.extend_from_slice(&some[..n]);
+    /// Receives more bytes. `false`: the connection has ended.
+    fn receive_more(&mut self) -> bool {
+        let mut buffer = [0; 16 << 10];
+        let n = self.stream.read(&mut buffer).unwrap_or(0);
+        self.received.extend_from_slice(&buffer[..n]);
         n > 0
     }
 
-    /// The next request whole; `None` where the node ends the connection first.
-    pub fn request(&mut self) -> Option<Got> {
+    /// Receives the next request completely. `None`: the node closes the connection first.
+    pub fn receive_request(&mut self) -> Option<ReceivedRequest> {
         let (head, n) = loop {
-            match http::parse_request(&self.held, LIMITS).unwrap() {
+            match http::parse_request(&self.received, LIMITS).unwrap() {
                 Some(found) => break found,
-                None if !self.more() => return None,
+                None if !self.receive_more() => return None,
                 None => {}
             }
         };
-        self.held.drain(..n);
+        self.received.drain(..n);
         let (mut body, mut out) = (Body::new(head.framing), Vec::new());
         while !body.done() {
-            if self.held.is_empty() && !self.more() {
+            if self.received.is_empty() && !self.receive_more() {
                 return None;
             }
-            let n = body.push(&self.held, &mut out).unwrap();
-            self.held.drain(..n);
+            let n = body.push(&self.received, &mut out).unwrap();
+            self.received.drain(..n);
         }
-        Some(Got { head })
+        Some(ReceivedRequest { head })
     }
 
+    /// Sends a text.
     pub fn write(&mut self, text: &str) {
-        // The node may have closed already: what it answers its client tells.
+        // The node may have closed the connection already. The test sees that in the client's answer.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// A reader's answer.
-    pub fn has_read(&mut self) {
+    /// Sends a reader's answer: the prompt has been read.
+    pub fn answer_prefill(&mut self) {
         let body = "{\"cached_tokens\":96}";
         self.write(&format!("HTTP/1.1 202 Accepted\r\ncontent-length: {}\r\n\r\n{body}", body.len()));
     }
 
-    /// The head of a stream and its first event.
-    pub fn begins(&mut self) {
+    /// Sends the head of a stream and its first event.
+    pub fn begin_stream(&mut self) {
         self.write(
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n",
         );
-        self.event("first");
+        self.send_event("first");
     }
 
-    pub fn event(&mut self, text: &str) {
+    /// Sends an event of a stream.
+    pub fn send_event(&mut self, text: &str) {
         let event = format!("data: {{\"text\":\"{text}\"}}\n\n");
         self.write(&format!("{:x}\r\n{event}\r\n", event.len()));
     }
 
-    /// The end of a stream.
-    pub fn ends(&mut self) {
+    /// Sends the last event and the end of a stream.
+    pub fn end_stream(&mut self) {
         let event = "data: [DONE]\n\n";
         self.write(&format!("{:x}\r\n{event}\r\n0\r\n\r\n", event.len()));
     }
 
-    /// A whole stream.
-    pub fn streams(&mut self) {
-        self.begins();
-        self.ends();
+    /// Sends a complete stream.
+    pub fn send_stream(&mut self) {
+        self.begin_stream();
+        self.end_stream();
     }
 
-    /// What is unread when the connection closes resets it.
+    /// Resets the connection.
     pub fn reset(self) {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Waits until the node has ended the connection; tells whether it had sent anything more.
-    pub fn until_ended(&mut self) -> bool {
-        while self.more() {}
-        !self.held.is_empty()
+    /// Waits until the node has closed the connection. `true`: the node had sent more bytes.
+    pub fn wait_until_closed(&mut self) -> bool {
+        while self.receive_more() {}
+        !self.received.is_empty()
     }
 }
 
-/// What of a stream reaches its client when an engine writes it with [`Line::streams`].
-pub const STREAMED: &str = "data: {\"text\":\"first\"}\n\ndata: [DONE]\n\n";
+/// The body that a client receives when an engine sends [`PeerConnection::send_stream`].
+pub const COMPLETE_STREAM: &str = "data: {\"text\":\"first\"}\n\ndata: [DONE]\n\n";
 
-/// An engine that streams this whole answer was heard.
-pub fn streamed(answer: &Answer) -> bool {
-    answer.status == 200 && answer.whole && answer.body == STREAMED
+/// Whether the answer is the complete stream of a scripted engine.
+pub fn is_complete_stream(answer: &Answer) -> bool {
+    answer.status == 200 && answer.is_complete && answer.body == COMPLETE_STREAM
 }
 
-/// Discovery by hand: the head of a watch's answer.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+/// The head of discovery's response to a watch.
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// A chunk of a watch.
+/// A chunk of the body of a response to a watch.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Answers the node's watch on this discovery with a first list, and gives the watch. On a busy machine the node may have
-/// given one up before it was answered: the next one is told the same.
-pub fn tell_watch(discovery: &Peer, node: &Node, list: &str) -> Line {
-    let text = WATCH.to_owned() + &chunk(&(list.to_owned() + "\n"));
+/// Answers the node's watch on this discovery with a first list, and returns the watch's connection. On a
+/// busy machine the node may give up a watch before it is answered. The next watch gets the same list then.
+pub fn answer_watch(discovery: &Peer, node: &Node, list: &str) -> PeerConnection {
+    let text = WATCH_HEAD.to_owned() + &chunk(&(list.to_owned() + "\n"));
     loop {
-        let (mut watch, _) = discovery.take();
+        let (mut watch, _) = discovery.next_request();
         watch.write(&text);
-        node.settle();
-        if !watch.has_ended() {
+        node.wait_until_processed();
+        if !watch.is_closed_by_node() {
             return watch;
         }
     }
 }
 
-/// Waits for the next request at any of these, and tells at which; releases are granted and passed over.
-pub fn take_at_any(peers: &[Peer]) -> (usize, (Line, Got)) {
-    let mut taken = None;
-    let came = || {
-        taken = peers.iter().enumerate().find_map(|(n, peer)| {
-            let (mut line, got) = peer.take_now()?;
-            if got.head.method != "DELETE" {
-                return Some((n, (line, got)));
+/// Waits for the next request at any of these peers, and returns the peer's index and the request. Releases
+/// are confirmed and skipped.
+pub fn next_request_at_any(peers: &[Peer]) -> (usize, (PeerConnection, ReceivedRequest)) {
+    let mut received = None;
+    let has_arrived = || {
+        received = peers.iter().enumerate().find_map(|(n, peer)| {
+            let (mut connection, request) = peer.try_next_request()?;
+            if request.head.method != "DELETE" {
+                return Some((n, (connection, request)));
             }
-            line.write(RELEASED);
-            peer.rest(line);
+            connection.write(RELEASED);
+            peer.keep_open(connection);
             None
         });
-        taken.is_some()
+        received.is_some()
     };
-    assert!(Platform::until(LONG, came), "no request comes to any");
-    taken.unwrap()
+    assert!(Platform::until(LONG, has_arrived), "no request arrives at any peer");
+    received.unwrap()
 }
 
-/// The answer to a release.
+/// The response to a release.
 const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -1,4 +1,4 @@
-//! A node as a child process, and clients of it.
+//! A node as a child process, and its clients.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,18 +9,23 @@
 
 pub use std::collections::BTreeMap;
 
-use crate::bed::Holds;
+use crate::bed::HoldPoints;
 use elderstage_protocol::http::{self, Body, Limits, Response};
 pub use elderstage_standin::platform::{How, Pass, Platform, whole_answer};
 pub use serde_json::Value;
 
+/// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_elderstage");
+/// Time limit of every wait. It only ends a test that has failed.
 pub const LONG: Duration = Duration::from_secs(20);
+/// The body of a chat request.
 pub const BODY: &str = "{\"model\":\"chat\",\"stream\":true,\"messages\":[]}";
 
+/// A running node. It is killed when dropped.
 pub struct Node {
     pub child: Child,
     pub addr: SocketAddr,
+    /// Path of its configuration file.
     pub config: PathBuf,
 }
 
@@ -32,32 +37,36 @@
     }
 }
 
-/// A port that was free a moment ago, at an address that no other test here uses: a client of one test was answered by
-/// another test's node when both had the same.
-pub fn free() -> SocketAddr {
+/// An address with a port that was free a moment ago. The IP address is used by no other test: when two tests
+/// shared one, a client of one test was answered by the other test's node.
+pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
-    let at = std::net::Ipv4Addr::from_bits(0x7f4d_0000 + n);
-    TcpListener::bind((at, 0)).unwrap().local_addr().unwrap()
+    let ip = std::net::Ipv4Addr::from_bits(0x7f4d_0000 + n);
+    TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap()
 }
 
-/// On a port that is asked for. Another test may take it before the node does: the node ends then, and the next port is
-/// tried.
-pub fn start(platform: &Platform, change: impl Fn(&mut Value)) -> Node {
-    start_with(platform, None, change)
+/// Starts a node on an unused port. If another program takes the port before the node does, the node exits
+/// and the next port is tried.
+pub fn start_node(platform: &Platform, change: impl Fn(&mut Value)) -> Node {
+    start_node_with_holds(platform, None, change)
 }
 
-/// The same, with steps at which the node can be held.
-pub fn start_with(platform: &Platform, holds: Option<&Holds>, change: impl Fn(&mut Value)) -> Node {
-    let mut tries = (0..20).map(|_| start_at(platform, free(), holds, &change));
-    tries.find_map(|node| node).expect("the node does not become ready")
+/// Starts a node like [`start_node`], with steps at which the test can hold it.
+pub fn start_node_with_holds(
+    platform: &Platform,
+    holds: Option<&HoldPoints>,
+    change: impl Fn(&mut Value),
+) -> Node {
+    let mut attempts = (0..20).map(|_| try_start_node_at(platform, unused_address(), holds, &change));
+    attempts.find_map(|node| node).expect("the node does not become ready")
 }
 
-/// `None` where the node ends instead of becoming ready.
-pub fn start_at(
+/// Starts a node at this address. `None`: the node exits instead of becoming ready.
+pub fn try_start_node_at(
     platform: &Platform,
     addr: SocketAddr,
-    holds: Option<&Holds>,
+    holds: Option<&HoldPoints>,
     change: impl Fn(&mut Value),
 ) -> Option<Node> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -74,55 +83,60 @@
         .args(["--log-level", &std::env::var("NODE_LOG").unwrap_or("warn".into()), "node"])
         .env("PROXY_CONFIG", &path)
         .stdin(Stdio::null());
-    until_ready(Node { child: command.spawn().unwrap(), addr, config: path })
+    wait_until_ready(Node { child: command.spawn().unwrap(), addr, config: path })
 }
 
-/// `None` where the node ends instead of becoming ready.
-pub fn until_ready(mut node: Node) -> Option<Node> {
+/// Waits until a node is ready. `None`: the node exits instead.
+pub fn wait_until_ready(mut node: Node) -> Option<Node> {
     let addr = node.addr;
-    let mut ended = false;
+    let mut has_exited = false;
     let ready = || {
-        ended = node.child.try_wait().unwrap().is_some();
-        ended || Client::to(addr).is_some_and(|mut client| client.get("/-/ready") == Some(200))
+        has_exited = node.child.try_wait().unwrap().is_some();
+        has_exited || Client::connect(addr).is_some_and(|mut client| client.get("/-/ready") == Some(200))
     };
-    assert!(Platform::until(LONG, ready), "the node neither ends nor becomes ready");
-    (!ended).then_some(node)
+    assert!(Platform::until(LONG, ready), "the node neither exits nor becomes ready");
+    (!has_exited).then_some(node)
 }
 
 impl Node {
+    /// Sends it a signal.
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(done.unwrap().success());
     }
 
+    /// A new connection to it.
     pub fn client(&self) -> Client {
-        Client::to(self.addr).expect("the node accepts")
+        Client::connect(self.addr).expect("the node accepts")
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, trace: &str, class: &str) -> Answer {
+    /// Sends one request on a new connection and receives the answer.
+    pub fn request(&self, trace: &str, class: &str) -> Answer {
         let mut client = self.client();
         client.send(&chat(trace, class, 4000));
         client.answer()
     }
 }
 
+/// A scripted client: one connection to a node.
 pub struct Client {
     pub stream: TcpStream,
-    pub held: Vec<u8>,
+    /// Bytes that were received and not consumed yet.
+    pub received: Vec<u8>,
 }
 
-/// What a client got.
+/// A response as a client received it.
 #[derive(Debug)]
 pub struct Answer {
-    /// 0: the connection ended without one.
+    /// The status; 0 if the connection ended without a response.
     pub status: u16,
     pub head: Option<Response>,
     pub body: String,
-    /// The body came to its end.
-    pub whole: bool,
+    /// The body was received to its end.
+    pub is_complete: bool,
 }
 
+/// A chat request whose client waits for `expires_ms`.
 pub fn chat(trace: &str, class: &str, expires_ms: u64) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {trace}\r\nX-Qos: {class}\r\n\
@@ -133,85 +147,94 @@
 }
 
 impl Client {
-    pub fn to(addr: SocketAddr) -> Option<Client> {
+    /// Connects to a node; `None` if nothing listens there.
+    pub fn connect(addr: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(addr).ok()?;
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Some(Client { stream, held: Vec::new() })
+        Some(Client { stream, received: Vec::new() })
     }
 
+    /// Sends a text.
     pub fn send(&mut self, text: &str) {
-        // The node may have closed already: the answer tells.
+        // The node may have closed the connection already. The test sees that in the answer.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    pub fn more(&mut self) -> bool {
-        let mut some = [0; 16 << 10];
-        let n = self.stream.read(&mut some).unwrap_or(0);
-        self.held.extend_from_slice(&some[..n]);
+    /// Receives more bytes. `false`: the connection has ended.
+    pub fn receive_more(&mut self) -> bool {
+        let mut buffer = [0; 16 << 10];
+        let n = self.stream.read(&mut buffer).unwrap_or(0);
+        self.received.extend_from_slice(&buffer[..n]);
         n > 0
     }
 
+    /// Receives the next response.
     pub fn answer(&mut self) -> Answer {
-        let mut answer = Answer { status: 0, head: None, body: String::new(), whole: false };
+        let mut answer = Answer { status: 0, head: None, body: String::new(), is_complete: false };
         let head = loop {
-            if let Ok(Some((head, n))) = http::parse_response(&self.held, Limits::default()) {
-                self.held.drain(..n);
+            if let Ok(Some((head, n))) = http::parse_response(&self.received, Limits::default()) {
+                self.received.drain(..n);
                 break head;
             }
-            if !self.more() {
+            if !self.receive_more() {
                 return answer;
             }
         };
         let (mut body, mut out) = (Body::new(head.framing), Vec::new());
         while !body.done() {
-            if self.held.is_empty() && !self.more() {
+            if self.received.is_empty() && !self.receive_more() {
                 break;
             }
-            let Ok(n) = body.push(&self.held, &mut out) else { break };
-            self.held.drain(..n);
+            let Ok(n) = body.push(&self.received, &mut out) else { break };
+            self.received.drain(..n);
         }
         answer.status = head.status;
-        answer.whole = body.done();
+        answer.is_complete = body.done();
         answer.body = String::from_utf8_lossy(&out).into_owned();
         answer.head = Some(head);
         answer
     }
 
+    /// Sends a GET request and returns the status of its response.
     pub fn get(&mut self, path: &str) -> Option<u16> {
         self.send(&format!("GET {path} HTTP/1.1\r\nHost: backend.local\r\n\r\n"));
         Some(self.answer().status).filter(|status| *status > 0)
     }
 
-    /// Whether the node ends the connection.
-    pub fn is_closed(&mut self) -> bool {
-        while self.more() {}
+    /// Waits until the node closes the connection.
+    pub fn wait_until_closed(&mut self) -> bool {
+        while self.receive_more() {}
         true
     }
 }
 
-pub fn whole(answer: &Answer) -> bool {
-    answer.status == 200 && answer.whole && answer.body == whole_answer()
+/// Whether the answer is the complete stream of a stand-in engine.
+pub fn is_served(answer: &Answer) -> bool {
+    answer.status == 200 && answer.is_complete && answer.body == whole_answer()
 }
 
 impl Node {
-    /// Stops it where it is, as a machine that gives it no time: what happens meanwhile is all there when it goes on.
-    pub fn freeze(&self) {
+    /// Suspends the process, like a machine that gives it no CPU time. All events of that time are pending
+    /// when it resumes.
+    pub fn suspend(&self) {
         self.signal("STOP");
-        let stopped = || self.stat().is_some_and(|stat| stat.contains(") T "));
-        assert!(Platform::until(LONG, stopped), "the node is not stopped");
+        let is_stopped = || self.stat().is_some_and(|stat| stat.contains(") T "));
+        assert!(Platform::until(LONG, is_stopped), "the node is not suspended");
     }
 
-    pub fn thaw(&self) {
+    /// Resumes the suspended process.
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
+    /// Its `stat` file in `/proc`.
     fn stat(&self) -> Option<String> {
         std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()
     }
 
-    /// Waits until all that clients had sent and ended before has been taken into account: the answer to a request with no
-    /// time left comes behind it through the same queue.
-    pub fn settle(&self) {
+    /// Waits until the node has processed all events that came before. It sends a request with no time left,
+    /// whose events pass through the same queue behind them, and waits for the answer.
+    pub fn wait_until_processed(&self) {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let trace = format!("settle-{}", NEXT.fetch_add(1, Ordering::SeqCst));
         let mut client = self.client();
@@ -219,31 +242,31 @@
         assert_eq!(client.answer().status, 503);
     }
 
-    /// Waits until nobody can connect any more.
-    pub fn until_closed(&self) {
-        assert!(Platform::until(LONG, || Client::to(self.addr).is_none()), "the node still listens");
+    /// Waits until the node accepts no more connections.
+    pub fn wait_until_unreachable(&self) {
+        assert!(Platform::until(LONG, || Client::connect(self.addr).is_none()), "the node still listens");
     }
 
-    /// What a node of [`crate::bed::Bed::limited_node`] has written to its log.
-    pub fn said(&mut self) -> String {
+    /// The log of a node from [`crate::bed::TestBed::node_with_descriptor_limit`].
+    pub fn log_text(&mut self) -> String {
         std::fs::read_to_string(self.config.with_extension("log")).unwrap()
     }
 
-    /// Waits for its end; tells whether it ended well.
-    pub fn ends_well(&mut self) -> bool {
+    /// Waits until the process exits. `true`: it exited successfully.
+    pub fn exits_successfully(&mut self) -> bool {
         let mut status = None;
-        let ended = || {
+        let has_exited = || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         };
-        assert!(Platform::until(LONG, ended), "the node does not end");
+        assert!(Platform::until(LONG, has_exited), "the node does not exit");
         status.is_some_and(|status| status.success())
     }
 }
 
 impl Client {
-    /// Ends its sending; what the node still sends can be read.
-    pub fn end(&self) {
+    /// Shuts down its sending side. It can still receive.
+    pub fn shutdown_write(&self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 
@@ -252,11 +275,11 @@
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Reads up to the end, and tells how it ended: `true` in good order, `false` with a reset.
-    pub fn ends_in_order(&mut self) -> bool {
-        let mut some = [0; 16 << 10];
+    /// Receives up to the end of the connection. `true`: the connection was closed, `false`: it was reset.
+    pub fn ends_without_reset(&mut self) -> bool {
+        let mut buffer = [0; 16 << 10];
         loop {
-            match self.stream.read(&mut some) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(_) => return false,
