--- a/crates/cli/tests/node/bed.rs
+++ b/crates/cli/tests/node/bed.rs
@@ -60,14 +60,14 @@
 
     /// The entries of all engines, as running ones.
     pub fn hosts(&self) -> Vec<Value> {
-        let of = |role: &str, peers: &[Peer]| -> Vec<Value> {
+        let entries = |role: &str, peers: &[Peer]| -> Vec<Value> {
             peers
                 .iter()
                 .enumerate()
                 .map(|(n, peer)| host_entry(&format!("{role}-{n}"), peer, "SERVING"))
                 .collect()
         };
-        [of("reader", &self.readers), of("writer", &self.writers)].concat()
+        [entries("reader", &self.readers), entries("writer", &self.writers)].concat()
     }
 
     /// Checks that an ordinary request is served by the first reader and the first writer, and that it is the
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -54,7 +54,7 @@
 
 /// Why a client's connection is closed. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Close {
+enum CloseReason {
     /// The client has closed or reset it.
     Client,
     /// No request arrived in time.
@@ -86,55 +86,56 @@
 }
 
 /// Serves one request after the other until the connection is to be closed.
-fn serve_requests(shared: &Arc<Shared>, conn: &mut Conn, permit: &ConnectionPermit) -> Close {
+fn serve_requests(shared: &Arc<Shared>, conn: &mut Conn, permit: &ConnectionPermit) -> CloseReason {
     conn.limits = REQUEST_LIMITS;
     conn.set_write_timeout(Some(WRITE_TIMEOUT));
-    let accepted = Instant::now();
+    let accepted_at = Instant::now();
     let mut is_first = true;
     loop {
-        if let Err(reason) = wait_for_request(shared, conn, permit, is_first, accepted) {
+        if let Err(reason) = wait_for_request(shared, conn, permit, is_first, accepted_at) {
             return reason;
         }
         permit.mark_busy();
-        let until = if is_first { accepted + REQUEST_TIMEOUT } else { Instant::now() + REQUEST_TIMEOUT };
+        let deadline =
+            if is_first { accepted_at + REQUEST_TIMEOUT } else { Instant::now() + REQUEST_TIMEOUT };
         is_first = false;
-        conn.set_deadline(Some(until));
+        conn.set_deadline(Some(deadline));
         let head = match conn.request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => return reject(conn, error.status(), &error.to_string()),
             Err(NetError::TimedOut) => return reject(conn, 408, "the request did not arrive in time"),
-            Err(_) => return Close::Client,
+            Err(_) => return CloseReason::Client,
         };
         match ask::wanted(&head) {
             Ok(Wanted::Ready) => {
                 let status = if shared.is_ready.load(Ordering::SeqCst) { 200 } else { 503 };
-                let is_received = receive_body(shared, conn, &head, until).is_ok();
-                let keep = head.keep_alive && may_keep_open(shared, conn);
-                if !(is_received && write_response(conn, status, None, "", keep) && keep) {
-                    return Close::Answered;
+                let is_received = receive_body(shared, conn, &head, deadline).is_ok();
+                let keep_alive = head.keep_alive && may_keep_open(shared, conn);
+                if !(is_received && write_response(conn, status, None, "", keep_alive) && keep_alive) {
+                    return CloseReason::Answered;
                 }
             }
             Ok(Wanted::Chat) => {
-                if let Err(reason) = serve_chat(shared, conn, head, until) {
+                if let Err(reason) = serve_chat(shared, conn, head, deadline) {
                     return reason;
                 }
             }
             Err(error) => {
                 // The connection remains usable after an invalid head if no body follows.
-                let keep =
+                let keep_alive =
                     head.framing == Framing::Length(0) && head.keep_alive && may_keep_open(shared, conn);
-                if !keep {
+                if !keep_alive {
                     return reject(conn, error.status(), &error.to_string());
                 }
                 if !write_response(conn, error.status(), None, &error.to_string(), true) {
-                    return Close::Client;
+                    return CloseReason::Client;
                 }
             }
         }
         conn.shrink();
         permit.mark_idle();
         if shared.is_closing() && !conn.has_pending() {
-            return Close::Shutdown;
+            return CloseReason::Shutdown;
         }
     }
 }
@@ -152,8 +153,8 @@
     conn: &mut Conn,
     permit: &ConnectionPermit,
     is_first: bool,
-    accepted: Instant,
-) -> Result<(), Close> {
+    accepted_at: Instant,
+) -> Result<(), CloseReason> {
     let idle_since = Instant::now();
     loop {
         if conn.has_pending() {
@@ -162,35 +163,46 @@
         match conn.try_fill() {
             Ok(true) => return Ok(()),
             Ok(false) => {}
-            Err(_) => return Err(Close::Client),
+            Err(_) => return Err(CloseReason::Client),
         }
         let now = Instant::now();
-        let mut until = if is_first { accepted + FIRST_REQUEST_GRACE } else { idle_since + IDLE_TIMEOUT };
+        let mut deadline =
+            if is_first { accepted_at + FIRST_REQUEST_GRACE } else { idle_since + IDLE_TIMEOUT };
         if permit.connection.is_evicted() {
-            until = if is_first && shared.is_closing() {
-                until.min(accepted + SHUTDOWN_FIRST_REQUEST_TIMEOUT)
+            deadline = if is_first && shared.is_closing() {
+                deadline.min(accepted_at + SHUTDOWN_FIRST_REQUEST_TIMEOUT)
             } else {
                 now
             };
         }
-        if now >= until {
-            return Err(if permit.connection.is_evicted() { Close::Evicted } else { Close::Idle });
+        if now >= deadline {
+            return Err(if permit.connection.is_evicted() {
+                CloseReason::Evicted
+            } else {
+                CloseReason::Idle
+            });
         }
-        conn.pause(Some(until));
+        conn.pause(Some(deadline));
     }
 }
 
 /// Writes an error response to a request that cannot be served, and returns the reason to close the
 /// connection.
-fn reject(conn: &mut Conn, status: u16, why: &str) -> Close {
+fn reject(conn: &mut Conn, status: u16, why: &str) -> CloseReason {
     tracing::debug!(target: "refused", status, why);
     // The connection is closed anyway, so it does not matter whether the client receives the response.
     let _ = write_response(conn, status, None, why, false);
-    Close::BadRequest
+    CloseReason::BadRequest
 }
 
 /// Writes a response that is not a stream. `false`: the client has disconnected.
-fn write_response(conn: &mut Conn, status: u16, retry_after: Option<&str>, why: &str, keep: bool) -> bool {
+fn write_response(
+    conn: &mut Conn,
+    status: u16,
+    retry_after: Option<&str>,
+    why: &str,
+    keep_alive: bool,
+) -> bool {
     let mut out = Vec::with_capacity(256);
     let body = if why.is_empty() {
         String::new()
@@ -201,7 +213,7 @@
     if let Some(seconds) = retry_after {
         headers.push(("retry-after", seconds));
     }
-    http::write_response(status, &headers, body.as_bytes(), keep, &mut out);
+    http::write_response(status, &headers, body.as_bytes(), keep_alive, &mut out);
     conn.write(&out).is_ok()
 }
 
@@ -225,7 +237,7 @@
     shared: &Shared,
     conn: &mut Conn,
     head: &Request,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<ReceivedBody, (u16, String)> {
     let started = Instant::now();
     let max_bytes = match head.framing {
@@ -236,7 +248,7 @@
         if let Some(permit) = shared.body_memory.reserve(max_bytes.min(REQUEST_LIMITS.body)) {
             break permit;
         }
-        if Instant::now() + MEMORY_RETRY_INTERVAL >= until || conn.is_closed() {
+        if Instant::now() + MEMORY_RETRY_INTERVAL >= deadline || conn.is_closed() {
             return Err((503, "no memory is left for the request body".into()));
         }
         conn.pause(Some(Instant::now() + MEMORY_RETRY_INTERVAL));
@@ -256,22 +268,28 @@
 }
 
 /// Serves one chat request. `Err`: the connection is to be closed for this reason.
-fn serve_chat(shared: &Arc<Shared>, conn: &mut Conn, head: Request, until: Instant) -> Result<(), Close> {
+fn serve_chat(
+    shared: &Arc<Shared>,
+    conn: &mut Conn,
+    head: Request,
+    deadline: Instant,
+) -> Result<(), CloseReason> {
     let ReceivedBody { bytes: body, memory_permit, received_at } =
-        match receive_body(shared, conn, &head, until) {
+        match receive_body(shared, conn, &head, deadline) {
             Ok(received) => received,
             Err((status, why)) => return Err(reject(conn, status, &why)),
         };
-    let keep = head.keep_alive;
+    let keep_alive = head.keep_alive;
     let longest_wait = shared.longest_wait.load(Ordering::SeqCst);
     let parsed = Ask::read(&head, body.len(), &shared.names, longest_wait);
     let ask = match parsed {
         Ok(ask) if ask::is_object(&body) => ask,
         other => {
             let error = other.err().unwrap_or(ask::Refusal::Body);
-            let keep = keep && may_keep_open(shared, conn);
-            let kept = write_response(conn, error.status(), None, &error.to_string(), keep) && keep;
-            return if kept { Ok(()) } else { Err(Close::BadRequest) };
+            let keep_alive = keep_alive && may_keep_open(shared, conn);
+            let is_kept =
+                write_response(conn, error.status(), None, &error.to_string(), keep_alive) && keep_alive;
+            return if is_kept { Ok(()) } else { Err(CloseReason::BadRequest) };
         }
     };
     let header_lines = forward::fields(&head);
@@ -287,7 +305,7 @@
     let channel = ResponseChannel::new(request, conn.waker());
     let id = ReqId(shared.next_id.fetch_add(1, Ordering::Relaxed));
     shared.submit(Event::RequestReceived { id, ask, channel: channel.clone(), received_at });
-    let result = relay_response(shared, conn, &channel, id, keep);
+    let result = relay_response(shared, conn, &channel, id, keep_alive);
     channel.close();
     result
 }
@@ -342,9 +360,9 @@
     conn: &mut Conn,
     channel: &ResponseChannel,
     id: ReqId,
-    keep: bool,
-) -> Result<(), Close> {
-    let ok_if_kept = |kept: bool| if kept { Ok(()) } else { Err(Close::Answered) };
+    keep_alive: bool,
+) -> Result<(), CloseReason> {
+    let ok_if_kept = |is_kept: bool| if is_kept { Ok(()) } else { Err(CloseReason::Answered) };
     let (mut has_begun, mut out, mut read_ahead) = (false, Vec::new(), ReadAhead::default());
     loop {
         let mut is_complete = false;
@@ -365,22 +383,26 @@
                 ResponseEvent::Broken => {
                     // The missing last chunk tells the client that the stream is incomplete.
                     let _ = conn.write(&out);
-                    return Err(Close::StreamBroke);
+                    return Err(CloseReason::StreamBroke);
                 }
                 ResponseEvent::Final(last) => {
-                    let keep = keep && may_keep_open(shared, conn) && !read_ahead.has_discarded;
-                    let kept = match last {
+                    let keep_alive = keep_alive && may_keep_open(shared, conn) && !read_ahead.has_discarded;
+                    let is_kept = match last {
                         Last::Refused { retry_after: 0 } => {
-                            write_response(conn, 503, None, "turned away", keep)
+                            write_response(conn, 503, None, "the request was refused", keep_alive)
                         }
                         Last::Refused { retry_after } => {
                             let seconds = format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND);
-                            write_response(conn, 503, Some(&seconds), "turned away", keep)
+                            write_response(conn, 503, Some(&seconds), "the request was refused", keep_alive)
+                        }
+                        Last::Failed => {
+                            write_response(conn, 502, None, "the request failed and may have run", keep_alive)
+                        }
+                        Last::Open => {
+                            write_response(conn, 409, None, &ask::Refusal::Open.to_string(), keep_alive)
                         }
-                        Last::Failed => write_response(conn, 502, None, "failed; it may have run", keep),
-                        Last::Open => write_response(conn, 409, None, &ask::Refusal::Open.to_string(), keep),
                     };
-                    return ok_if_kept(kept && keep);
+                    return ok_if_kept(is_kept && keep_alive);
                 }
             }
         }
@@ -392,10 +414,10 @@
             channel.close();
             shared.submit(Event::HubInput(Input::Gone { id }));
             hold_at!("client-gone-{}", channel.request.trace);
-            return Err(Close::Client);
+            return Err(CloseReason::Client);
         }
         if is_complete {
-            return ok_if_kept(keep && may_keep_open(shared, conn) && !read_ahead.has_discarded);
+            return ok_if_kept(keep_alive && may_keep_open(shared, conn) && !read_ahead.has_discarded);
         }
         conn.pause(read_ahead.has_more.then(|| Instant::now() + DISCARD_PAUSE));
     }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -269,7 +269,7 @@
     (out, is_reusable)
 }
 
-/// Receives the response to a request that was written whole, and tells whether the connection can be reused.
+/// Receives the response to a completely written request, and tells whether the connection can be reused.
 fn receive_response(
     shared: &Arc<Shared>,
     connection: &mut PooledConnection,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -44,7 +44,7 @@
 
 /// An event with its time of submission. The time that it waits in the queue delays every request that the
 /// node serves.
-pub struct Submitted {
+pub struct SubmittedEvent {
     /// When the event was submitted.
     pub at: Instant,
     pub event: Event,
@@ -188,9 +188,9 @@
 }
 
 impl Machine for EventLoop {
-    type Event = Submitted;
+    type Event = SubmittedEvent;
 
-    fn handle(&mut self, now: Micros, submitted: Submitted) -> bool {
+    fn handle(&mut self, now: Micros, submitted: SubmittedEvent) -> bool {
         self.queue_wait.record(submitted.at.elapsed(), self.shared.inbox.waiting());
         match submitted.event {
             Event::RequestReceived { id, mut ask, channel, received_at } => {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -37,12 +37,12 @@
 
 use connections::{Admission, ClientConnections};
 use diagnosis::InFlightAttempts;
-use event_loop::{Event, EventLoop, Submitted};
+use event_loop::{Event, EventLoop, SubmittedEvent};
 use memory::MemoryBudget;
 use pool::Pool;
 use tally::{TallySlot, TallyWriter};
 
-/// A step at which tests can pause the node. Expands to nothing without the feature `hold`.
+/// A step at which tests can hold the node. Expands to nothing without the feature `hold`.
 macro_rules! hold_at {
     ($($step:tt)*) => {
         #[cfg(feature = "hold")]
@@ -53,12 +53,12 @@
 
 /// Capacity of the event loop's queue. A coroutine that submits to a full queue waits.
 const EVENT_QUEUE_CAPACITY: usize = 4096;
-/// Time after SIGTERM during which new connections are accepted. The platform's load balancer needs up to 0.4
-/// s to notice that the node shuts down.
+/// Time after SIGTERM during which new connections are accepted. The platform's load balancer needs up to
+/// 0.4 seconds to notice that the node shuts down.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(450);
-/// The platform kills a node after SIGTERM no sooner than the longest time that a client waits (at most
-/// `MAX_COUNTED_CLIENT_WAIT`) plus `KILL_DELAY`. Requests that are still running at that time, less
-/// `KILL_MARGIN`, are cut. The margin is left for responses on their way.
+/// After SIGTERM the platform waits at least for the longest time that a client waits, counted as no more
+/// than `MAX_COUNTED_CLIENT_WAIT`, plus `KILL_DELAY`. Then it kills the node. The node itself cuts requests
+/// that are still running `KILL_MARGIN` before that time, so that their last bytes can reach the clients.
 const MAX_COUNTED_CLIENT_WAIT: Duration = Duration::from_secs(3);
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const KILL_MARGIN: Duration = Duration::from_millis(150);
@@ -98,7 +98,7 @@
 pub(crate) struct Shared {
     names: Names,
     connect_timeout: Duration,
-    inbox: Inbox<Submitted>,
+    inbox: Inbox<SubmittedEvent>,
     pool: Arc<Pool>,
     client_connections: Arc<ClientConnections>,
     body_memory: Arc<MemoryBudget>,
@@ -126,7 +126,7 @@
     /// Submits an event to the event loop, and waits while its queue is full.
     fn submit(&self, event: Event) {
         // The event loop runs as long as the process, so the event is never refused.
-        self.inbox.send(Submitted { at: Instant::now(), event });
+        self.inbox.send(SubmittedEvent { at: Instant::now(), event });
     }
 
     /// Whether the node shuts down, so that connections are closed after their response.
@@ -213,7 +213,7 @@
     });
     let (watch_shared, started) = (shared.clone(), Instant::now());
     go(move || discovery::run_watch(&watch_shared, clock, seq));
-    let (mut sigterm_at, mut quiescent_since): (Option<Instant>, Option<Instant>) = (None, None);
+    let (mut shutdown_requested_at, mut quiescent_since): (Option<Instant>, Option<Instant>) = (None, None);
     let (mut last_cleanup, mut last_state_log) = (Instant::now(), Instant::now());
     loop {
         if !shared.is_ready.load(Ordering::SeqCst)
@@ -226,9 +226,9 @@
         for signal in signals.pending() {
             match signal {
                 SIGHUP => reload(&shared, &start, path, environment),
-                _ if sigterm_at.is_none() => {
+                _ if shutdown_requested_at.is_none() => {
                     tracing::info!(target: "node", "shutdown requested by a signal");
-                    sigterm_at = Some(Instant::now());
+                    shutdown_requested_at = Some(Instant::now());
                 }
                 _ => {}
             }
@@ -246,15 +246,15 @@
             last_state_log = Instant::now();
             shared.submit(Event::LogState);
         }
-        if let Some(at) = sigterm_at.filter(|at| at.elapsed() >= ACCEPT_AFTER_SIGTERM) {
-            // Called in each round until the listener has closed. It accepts the connections that already
-            // wait first.
+        if let Some(at) = shutdown_requested_at.filter(|at| at.elapsed() >= ACCEPT_AFTER_SIGTERM) {
+            // Called in each round until the listener has closed. The listener first accepts the connections
+            // that already wait.
             stop.stop_after_backlog();
             if !shared.is_closing.swap(true, Ordering::SeqCst) {
                 shared.client_connections.evict_idle();
                 let longest_wait = Duration::from_micros(shared.longest_wait.load(Ordering::SeqCst));
-                let kill_delay = longest_wait.min(MAX_COUNTED_CLIENT_WAIT) + KILL_DELAY;
-                let within = kill_delay.saturating_sub(at.elapsed() + KILL_MARGIN).as_micros() as u64;
+                let time_until_kill = longest_wait.min(MAX_COUNTED_CLIENT_WAIT) + KILL_DELAY;
+                let within = time_until_kill.saturating_sub(at.elapsed() + KILL_MARGIN).as_micros() as u64;
                 shared.submit(Event::HubInput(Input::Stopping { within }));
                 tracing::info!(target: "node", after_ms = at.elapsed().as_millis() as u64, "no longer accepts connections");
             }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -39,7 +39,7 @@
     max_idle: Duration,
     /// Idle connections by engine, the one idle longest first.
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
-    /// Whether idle connections can be trusted, learned from what came of reusing them.
+    /// Whether idle connections can be trusted, learned from the outcomes of reused ones.
     reuse_trust: Mutex<Kept>,
 }
 
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -11,7 +11,7 @@
 use elderstage_net::Waker;
 use elderstage_platform::hub::Last;
 
-/// Queued bytes from which on no more is received from the engine until the client has taken some.
+/// When this many bytes are queued, nothing more is received from the engine until the client has taken some.
 const MAX_QUEUED_BYTES: usize = 64 << 10;
 
 /// An event for the coroutine of the client's connection.
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -38,7 +38,7 @@
     }
 
     /// Writes the counts of the slot, if there are any since the last write. The first failure in a row is
-    /// logged. The next counts are written all the same.
+    /// logged. The next call tries again with new counts.
     pub fn write(&mut self, slot: &TallySlot, file: &Path) {
         let Some(tally) = slot.take() else { return };
         self.version += 1;
--- a/crates/tally/src/lib.rs
+++ b/crates/tally/src/lib.rs
@@ -11,14 +11,14 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use times::Times;
+pub use times::DurationHistogram;
 
 /// Maximum number of groups that one process counts separately. Classes times settings amount to a few dozen.
-/// Further groups are counted under [`Key::rest`], so that memory stays bounded in a service whose settings
-/// change every minute.
-pub const MOST_GROUPS: usize = 1024;
+/// Further groups are counted under [`Key::rest`], so that memory stays bounded in a service whose
+/// settings change every minute.
+pub const MAX_GROUPS: usize = 1024;
 /// Maximum length of a part of a key, in bytes. Digests have 64.
-pub const MOST_TEXT: usize = 128;
+pub const MAX_TEXT_BYTES: usize = 128;
 
 /// Identifies a group of requests that are counted together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,16 +38,16 @@
 }
 
 impl Key {
-    /// The key under which all groups beyond [`MOST_GROUPS`] are counted.
+    /// The key under which all groups beyond [`MAX_GROUPS`] are counted.
     pub fn rest() -> Key {
         Key { class: "(rest)".into(), ..Key::default() }
     }
 
-    /// Whether no part is longer than [`MOST_TEXT`].
-    pub fn fits(&self) -> bool {
+    /// Whether no part is longer than [`MAX_TEXT_BYTES`].
+    pub fn is_within_limits(&self) -> bool {
         [&self.class, &self.release, &self.settings, &self.checkpoint, &self.variant]
             .iter()
-            .all(|part| part.len() <= MOST_TEXT)
+            .all(|part| part.len() <= MAX_TEXT_BYTES)
     }
 }
 
@@ -70,9 +70,9 @@
     /// The client disconnected before it had an answer.
     pub gone: u64,
     /// Time from the arrival of a request to the first event that was sent to the client.
-    pub first_token: Times,
+    pub first_token: DurationHistogram,
     /// Mean time between the events of a stream, recorded once for each stream that was served completely.
-    pub token_gap: Times,
+    pub token_gap: DurationHistogram,
 }
 
 impl Counts {
@@ -109,7 +109,7 @@
     /// The counts of a group, created if missing.
     pub fn of(&mut self, key: &Key) -> &mut Counts {
         let key =
-            if self.0.len() >= MOST_GROUPS && !self.0.contains_key(key) { Key::rest() } else { key.clone() };
+            if self.0.len() >= MAX_GROUPS && !self.0.contains_key(key) { Key::rest() } else { key.clone() };
         self.0.entry(key).or_default()
     }
 
@@ -153,15 +153,15 @@
 impl<'de> Deserialize<'de> for Tally {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Tally, D::Error> {
         let groups: Vec<(Key, Counts)> = Vec::deserialize(deserializer)?;
-        if groups.len() > MOST_GROUPS + 1 {
+        if groups.len() > MAX_GROUPS + 1 {
             return Err(serde::de::Error::custom(format!(
-                "{} groups, expected {MOST_GROUPS} at most",
+                "{} groups, expected {MAX_GROUPS} at most",
                 groups.len()
             )));
         }
-        if let Some((key, _)) = groups.iter().find(|(key, _)| !key.fits()) {
+        if let Some((key, _)) = groups.iter().find(|(key, _)| !key.is_within_limits()) {
             return Err(serde::de::Error::custom(format!(
-                "class {:.40}: a part of the key is longer than {MOST_TEXT} bytes",
+                "class {:.40}: a part of the key is longer than {MAX_TEXT_BYTES} bytes",
                 key.class
             )));
         }
--- a/crates/tally/src/tests.rs
+++ b/crates/tally/src/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn groups_are_bounded_and_all_requests_are_counted() {
     let mut tally = Tally::default();
-    for n in 0..3 * MOST_GROUPS {
+    for n in 0..3 * MAX_GROUPS {
         tally.of(&Key { class: format!("c{n}"), ..Key::default() }).asked += 1;
     }
-    assert_eq!(tally.len(), MOST_GROUPS + 1);
-    assert_eq!(tally.sum().asked, 3 * MOST_GROUPS as u64);
+    assert_eq!(tally.len(), MAX_GROUPS + 1);
+    assert_eq!(tally.sum().asked, 3 * MAX_GROUPS as u64);
 }
--- a/crates/tally/src/times.rs
+++ b/crates/tally/src/times.rs
@@ -13,7 +13,7 @@
 /// A histogram: the number of durations in each bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Times(BTreeMap<u16, u64>);
+pub struct DurationHistogram(BTreeMap<u16, u64>);
 
 /// The bucket of a duration. The highest set bit selects the power of two, the two bits after it one of its
 /// four buckets.
@@ -32,7 +32,7 @@
     if power == 0 { part } else { (BUCKETS_PER_POWER + part) << (power - 1) }
 }
 
-impl Times {
+impl DurationHistogram {
     /// Counts a duration in microseconds.
     pub fn record(&mut self, micros: u64) {
         let count = self.0.entry(bucket(micros)).or_default();
@@ -40,7 +40,7 @@
     }
 
     /// Adds the counts of another histogram.
-    pub fn add(&mut self, other: &Times) {
+    pub fn add(&mut self, other: &DurationHistogram) {
         for (bucket, n) in &other.0 {
             let count = self.0.entry((*bucket).min(MAX_BUCKET)).or_default();
             *count = count.saturating_add(*n);
