--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -6,8 +6,8 @@
 
 use clap::Subcommand;
 use elderstage_fleet::name::Name;
-use elderstage_fleet::record::{Command, Order, Outcome, Phase, Proposer};
-use elderstage_fleet::wire::Shown;
+use elderstage_fleet::record::{Command, Operation, Outcome, Phase, Proposer};
+use elderstage_fleet::wire::FleetStatus;
 use elderstage_fleetd::ClientError;
 
 #[derive(Subcommand)]
@@ -62,9 +62,9 @@
 fn propose(file: &Path, to: &[SocketAddr], by: &Name, again: Option<u64>) -> Result<ExitCode, String> {
     let shown = file.display();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{shown}: {error}"))?;
-    let order = Order::parse(&text).map_err(|error| format!("{shown}: {error}"))?;
+    let operation = Operation::parse(&text).map_err(|error| format!("{shown}: {error}"))?;
     let run = again.unwrap_or_else(rand::random);
-    let command = Command { proposer: Proposer { name: by.clone(), run }, number: 1, order };
+    let command = Command { proposer: Proposer { name: by.clone(), run }, number: 1, operation };
     let mut last = None;
     for at in to {
         match elderstage_fleetd::propose(*at, command.clone()) {
@@ -85,7 +85,7 @@
                 eprintln!("elderstage: {error}");
                 return Ok(ExitCode::from(REFUSED));
             }
-            Err(error @ (ClientError::NotYet(_) | ClientError::Unreached { .. })) => {
+            Err(error @ (ClientError::Unconfirmed(_) | ClientError::Unreachable { .. })) => {
                 eprintln!("elderstage: {error}");
                 last = Some(error);
             }
@@ -93,7 +93,7 @@
         }
     }
     match last {
-        Some(ClientError::Unreached { .. }) if to.len() == 1 => Ok(ExitCode::from(2)),
+        Some(ClientError::Unreachable { .. }) if to.len() == 1 => Ok(ExitCode::from(2)),
         _ => {
             eprintln!("elderstage: to send the same proposal again: --as {by} --again {run}");
             Ok(ExitCode::from(NOT_YET))
@@ -112,32 +112,32 @@
 }
 
 /// What an operator reads first.
-fn page(shown: &Shown) -> String {
+fn page(shown: &FleetStatus) -> String {
     use std::fmt::Write;
     let mut page = String::new();
-    let standing = &shown.standing;
+    let status = &shown.status;
     let name = |number: u64| {
         let keeper = usize::try_from(number).ok().and_then(|n| shown.keepers.get(n.checked_sub(1)?));
         keeper.map_or("nobody", |keeper| keeper.as_str())
     };
     // Writing to a string can't fail.
-    let _ = writeln!(page, "fleet {}, seen by keeper {} ({:?})", shown.fleet, shown.keeper, standing.role);
+    let _ = writeln!(page, "fleet {}, seen by keeper {} ({:?})", shown.fleet, shown.keeper, status.role);
     let _ = writeln!(
         page,
         "record: {} leads in term {}, entry {} of {} applied, {} commands taken, digest {:.16}",
-        name(standing.leader),
-        standing.term,
-        standing.applied,
-        standing.last,
-        shown.taken,
+        name(status.leader),
+        status.term,
+        status.applied,
+        status.last,
+        shown.applied_commands,
         shown.digest
     );
-    for doubt in &shown.doubts {
+    for doubt in &shown.disk_faults {
         let _ = writeln!(page, "at its start the disk was not as it was left: {doubt}");
     }
-    let up = shown.members.iter().filter(|member| member.up).count();
+    let up = shown.members.iter().filter(|member| member.is_up).count();
     let _ = writeln!(page, "members: {up} up of {} known", shown.members.len());
-    for member in shown.members.iter().filter(|member| !member.up) {
+    for member in shown.members.iter().filter(|member| !member.is_up) {
         let _ = writeln!(page, "  down: {} in zone {}", member.identity.name, member.identity.zone);
     }
     let _ = writeln!(page, "counting: {} members, {} of them silent", shown.counting, shown.silent);
@@ -156,7 +156,7 @@
             counts.refused,
             counts.failed,
             counts.broken,
-            group.unheard,
+            group.unreported,
             group.members,
             group.silent
         );
@@ -166,7 +166,7 @@
             Phase::Waiting => "waits".to_owned(),
             Phase::Stopped { reason } => format!("stopped: {reason}"),
         };
-        let (number, scope, by) = (change.number, &change.proposal.scope, &change.by.name);
+        let (number, scope, by) = (change.number, &change.proposal.scope, &change.proposer.name);
         let _ = writeln!(page, "change {number} of {scope} by {by}: {phase}");
     }
     page
--- a/crates/cli/tests/fleet/links.rs
+++ b/crates/cli/tests/fleet/links.rs
@@ -9,19 +9,19 @@
 
 /// How a direction treats its frames.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    pub cut: bool,
+pub struct LinkFaults {
+    pub is_cut: bool,
     pub delay: Duration,
     /// Every so manieth frame is sent twice, or after the next one; 0 for none.
-    pub double_each: u64,
-    pub swap_each: u64,
+    pub duplicate_every: u64,
+    pub swap_every: u64,
 }
 
 #[derive(Default)]
 struct Inner {
     /// Where each process listens now.
-    at: HashMap<String, SocketAddr>,
-    ways: HashMap<(String, String), Way>,
+    addresses: HashMap<String, SocketAddr>,
+    faults: HashMap<(String, String), LinkFaults>,
     frames: HashMap<(String, String), u64>,
 }
 
@@ -30,89 +30,95 @@
 pub struct Links(Arc<Mutex<Inner>>);
 
 /// A frame is a length and so many bytes; a larger one is no frame.
-const MOST: usize = 32 << 20;
+const MAX_FRAME_BYTES: usize = 32 << 20;
 
 impl Links {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn is_at(&self, name: &str, at: SocketAddr) {
-        self.inner().at.insert(name.into(), at);
+    pub fn set_address(&self, name: &str, address: SocketAddr) {
+        self.inner().addresses.insert(name.into(), address);
     }
 
-    pub fn set(&self, from: &str, to: &str, way: Way) {
-        self.inner().ways.insert((from.into(), to.into()), way);
+    pub fn set(&self, from: &str, to: &str, faults: LinkFaults) {
+        self.inner().faults.insert((from.into(), to.into()), faults);
     }
 
     pub fn heal(&self) {
-        self.inner().ways.clear();
+        self.inner().faults.clear();
     }
 
-    fn way(&self, from: &str, to: &str) -> (Way, u64) {
+    fn next_frame(&self, from: &str, to: &str) -> (LinkFaults, u64) {
         let mut inner = self.inner();
         let key = (from.to_owned(), to.to_owned());
-        let n = inner.frames.entry(key.clone()).or_default();
-        *n += 1;
-        let n = *n;
-        (inner.ways.get(&key).copied().unwrap_or_default(), n)
+        let frame_number = inner.frames.entry(key.clone()).or_default();
+        *frame_number += 1;
+        let frame_number = *frame_number;
+        (inner.faults.get(&key).copied().unwrap_or_default(), frame_number)
     }
 
     /// A link that `from` reaches `to` by; it leads to wherever that listens at the time.
-    pub fn between(&self, from: &str, to: &str) -> SocketAddr {
+    pub fn open_link(&self, from: &str, to: &str) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let (links, from, to) = (self.clone(), from.to_owned(), to.to_owned());
         // Lives as long as the test's process: nobody can take its port.
         std::thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let at = links.inner().at.get(&to).copied();
-                let Some(far) = at.and_then(|at| TcpStream::connect(at).ok()) else { continue };
-                let (Ok(near_back), Ok(far_back)) = (near.try_clone(), far.try_clone()) else { continue };
-                links.clone().carry(near, far, from.clone(), to.clone());
-                links.clone().carry(far_back, near_back, to.clone(), from.clone());
+            for client in listener.incoming().flatten() {
+                let address = links.inner().addresses.get(&to).copied();
+                let Some(server) = address.and_then(|address| TcpStream::connect(address).ok()) else {
+                    continue;
+                };
+                let (Ok(client_writer), Ok(server_reader)) = (client.try_clone(), server.try_clone()) else {
+                    continue;
+                };
+                links.clone().forward_frames(client, server, from.clone(), to.clone());
+                links.clone().forward_frames(server_reader, client_writer, to.clone(), from.clone());
             }
         });
         addr
     }
 
-    fn carry(self, mut near: TcpStream, mut far: TcpStream, from: String, to: String) {
+    fn forward_frames(self, mut client: TcpStream, mut server: TcpStream, from: String, to: String) {
         std::thread::spawn(move || {
-            let mut first = true;
-            let mut held: Option<Vec<u8>> = None;
-            while let Some(frame) = read(&mut near) {
-                let (way, n) = self.way(&from, &to);
-                std::thread::sleep(way.delay);
-                if way.cut {
+            let mut is_first = true;
+            let mut held_frame: Option<Vec<u8>> = None;
+            while let Some(frame) = read_frame(&mut client) {
+                let (faults, frame_number) = self.next_frame(&from, &to);
+                std::thread::sleep(faults.delay);
+                if faults.is_cut {
                     continue;
                 }
                 // The first frame says who comes: it is neither doubled nor late.
-                let out = match held.take() {
-                    _ if first => vec![frame],
+                let outgoing = match held_frame.take() {
+                    _ if is_first => vec![frame],
                     Some(before) => vec![frame, before],
-                    None if way.swap_each > 0 && n % way.swap_each == 0 => {
-                        held = Some(frame);
+                    None if faults.swap_every > 0 && frame_number % faults.swap_every == 0 => {
+                        held_frame = Some(frame);
                         continue;
                     }
-                    None if way.double_each > 0 && n % way.double_each == 0 => vec![frame.clone(), frame],
+                    None if faults.duplicate_every > 0 && frame_number % faults.duplicate_every == 0 => {
+                        vec![frame.clone(), frame]
+                    }
                     None => vec![frame],
                 };
-                first = false;
-                if out.iter().any(|frame| far.write_all(frame).is_err()) {
+                is_first = false;
+                if outgoing.iter().any(|frame| server.write_all(frame).is_err()) {
                     break;
                 }
             }
-            let _ = far.shutdown(Shutdown::Both);
-            let _ = near.shutdown(Shutdown::Both);
+            let _ = server.shutdown(Shutdown::Both);
+            let _ = client.shutdown(Shutdown::Both);
         });
     }
 }
 
-fn read(from: &mut TcpStream) -> Option<Vec<u8>> {
+fn read_frame(from: &mut TcpStream) -> Option<Vec<u8>> {
     let mut head = [0; 4];
     from.read_exact(&mut head).ok()?;
     let length = u32::from_be_bytes(head) as usize;
-    if length > MOST {
+    if length > MAX_FRAME_BYTES {
         return None;
     }
     let mut frame = head.to_vec();
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -10,39 +10,39 @@
 use std::time::Duration;
 
 use elderstage_standin::platform::Platform;
-use links::Way;
-use processes::{Fleet, Front, PROGRAM, signal, until};
+use links::LinkFaults;
+use processes::{Fleet, Front, PROGRAM, signal, wait_until};
 use serde_json::Value;
 
-const CUT: Way = Way { cut: true, delay: Duration::ZERO, double_each: 0, swap_each: 0 };
+const CUT: LinkFaults = LinkFaults { is_cut: true, delay: Duration::ZERO, duplicate_every: 0, swap_every: 0 };
 
 /// Killed, stopped, cut off, answered late, twice and out of order: what was acknowledged is kept and taken once.
 #[test]
 fn acknowledged_changes_outlive_kills_pauses_and_cuts() {
     let mut fleet = Fleet::new(3, 0, 0);
     fleet.start_all();
-    let mut numbers = vec![fleet.propose_surely(0)];
+    let mut numbers = vec![fleet.propose_until_accepted(0)];
     // The leader is killed with a proposal on its way.
     let leader = fleet.leader();
     let file = fleet.proposal(1);
-    let doors: Vec<String> = fleet.doors.values().map(ToString::to_string).collect();
+    let client_addresses: Vec<String> = fleet.client_addresses.values().map(ToString::to_string).collect();
     let mut client = Command::new(PROGRAM);
-    client.args(["fleet", "propose"]).arg(&file).arg("--to").args(&doors);
+    client.args(["fleet", "propose"]).arg(&file).arg("--to").args(&client_addresses);
     let mut client = client.stdout(std::process::Stdio::piped()).spawn().unwrap();
     fleet.kill(&leader);
     let status = client.wait().unwrap();
-    let taken = status.code() == Some(0);
-    if taken {
-        let mut said = String::new();
-        client.stdout.take().unwrap().read_to_string(&mut said).unwrap();
-        numbers.push(said.split_whitespace().nth(1).unwrap().parse().unwrap());
+    let is_accepted = status.code() == Some(0);
+    if is_accepted {
+        let mut output = String::new();
+        client.stdout.take().unwrap().read_to_string(&mut output).unwrap();
+        numbers.push(output.split_whitespace().nth(1).unwrap().parse().unwrap());
     }
-    numbers.push(fleet.propose_surely(2));
+    numbers.push(fleet.propose_until_accepted(2));
     fleet.start(&leader);
     // The next leader stands still while others decide, and goes on.
     let leader = fleet.leader();
     signal(fleet.id(&leader), "STOP");
-    numbers.push(fleet.propose_surely(3));
+    numbers.push(fleet.propose_until_accepted(3));
     signal(fleet.id(&leader), "CONT");
     // Cut off one way only: it hears and can't speak.
     let leader = fleet.leader();
@@ -50,26 +50,26 @@
     for other in &others {
         fleet.links.set(&leader, other, CUT);
     }
-    numbers.push(fleet.propose_surely(4));
+    numbers.push(fleet.propose_until_accepted(4));
     fleet.links.heal();
     // Late, doubled and out of order.
     for from in &fleet.keepers {
         for to in &fleet.keepers {
             let delay = Duration::from_millis(5);
-            fleet.links.set(from, to, Way { cut: false, delay, double_each: 3, swap_each: 4 });
+            fleet.links.set(from, to, LinkFaults { is_cut: false, delay, duplicate_every: 3, swap_every: 4 });
         }
     }
     for n in 5..10 {
-        numbers.push(fleet.propose_surely(n));
+        numbers.push(fleet.propose_until_accepted(n));
     }
     fleet.links.heal();
     let all = fleet.show(&fleet.leader()).unwrap()["changes"].as_array().unwrap().len();
     // The proposal on its way may have been taken without a word to its client.
     assert!(
-        all == numbers.len() || (!taken && all == numbers.len() + 1),
+        all == numbers.len() || (!is_accepted && all == numbers.len() + 1),
         "{all} changes, {numbers:?} acknowledged"
     );
-    let kept = fleet.agree(all);
+    let kept = fleet.wait_for_agreement(all);
     assert!(numbers.iter().all(|number| kept.contains(number)), "{numbers:?} acknowledged, {kept:?} kept");
     let mut once = numbers.clone();
     once.dedup();
@@ -79,7 +79,7 @@
         fleet.kill(&name);
     }
     fleet.start_all();
-    assert_eq!(fleet.agree(all), kept);
+    assert_eq!(fleet.wait_for_agreement(all), kept);
     let doubts: Vec<Value> =
         fleet.keepers.iter().map(|name| fleet.show(name).unwrap()["doubts"].clone()).collect();
     assert!(doubts.iter().all(|of| of.as_array().unwrap().is_empty()), "a kill leaves no doubt: {doubts:?}");
@@ -90,8 +90,8 @@
 fn disks_that_fail_are_said_and_refused_and_nothing_is_forgotten() {
     let mut fleet = Fleet::new(3, 0, 0);
     fleet.start_all();
-    fleet.propose_surely(0);
-    fleet.agree(1);
+    fleet.propose_until_accepted(0);
+    fleet.wait_for_agreement(1);
     // The log goes back by some entries; the mark does not.
     let record = fleet.path("k2").join("record.redb");
     let old = fleet.path("old.redb");
@@ -99,47 +99,47 @@
     std::fs::copy(&record, &old).unwrap();
     fleet.start("k2");
     for n in 1..4 {
-        fleet.propose_surely(n);
+        fleet.propose_until_accepted(n);
     }
-    fleet.agree(4);
+    fleet.wait_for_agreement(4);
     fleet.kill("k2");
     std::fs::copy(&old, &record).unwrap();
     fleet.start("k2");
-    fleet.agree(4);
+    fleet.wait_for_agreement(4);
     let doubts = fleet.show("k2").unwrap()["doubts"].to_string();
     assert!(doubts.contains("the log ends at entry"), "{doubts}");
     // Bytes in the middle of an entry: found by its digest, or by the database itself.
     fleet.kill("k1");
     let record = fleet.path("k1").join("record.redb");
     let mut bytes = std::fs::read(&record).unwrap();
-    let spoilt = spoil(&mut bytes, b"{\"n\": 2}");
-    assert!(spoilt > 0, "the proposal's text is in the file");
+    let corrupted = corrupt_bytes(&mut bytes, b"{\"n\": 2}");
+    assert!(corrupted > 0, "the proposal's text is in the file");
     std::fs::write(&record, &bytes).unwrap();
-    if let Some(said) = fleet.start_or_hear("k1", None) {
-        assert!(said.contains("record.redb"), "refused in words: {said}");
+    if let Some(log_text) = fleet.try_start("k1", None) {
+        assert!(log_text.contains("record.redb"), "refused in words: {log_text}");
         // As it says: moved away, and the record comes from the others.
         std::fs::rename(&record, fleet.path("spoilt.redb")).unwrap();
         fleet.start("k1");
     }
-    fleet.agree(4);
+    fleet.wait_for_agreement(4);
     assert!(!fleet.show("k1").unwrap()["doubts"].as_array().unwrap().is_empty());
     // Wiped: it founds nothing, and takes the record.
     fleet.kill("k3");
     std::fs::remove_dir_all(fleet.path("k3")).unwrap();
     fleet.start("k3");
-    fleet.agree(4);
-    fleet.propose_surely(4);
-    fleet.agree(5);
+    fleet.wait_for_agreement(4);
+    fleet.propose_until_accepted(4);
+    fleet.wait_for_agreement(5);
 }
 
 /// Changes each place where these bytes stand.
-fn spoil(bytes: &mut [u8], text: &[u8]) -> usize {
-    let places: Vec<usize> =
+fn corrupt_bytes(bytes: &mut [u8], text: &[u8]) -> usize {
+    let offsets: Vec<usize> =
         (0..bytes.len().saturating_sub(text.len())).filter(|at| bytes[*at..].starts_with(text)).collect();
-    for at in &places {
+    for at in &offsets {
         bytes[at + 2] ^= 1;
     }
-    places.len()
+    offsets.len()
 }
 
 #[test]
@@ -150,26 +150,27 @@
     // In blocks of the shell's ulimit: enough to begin, too little for what follows.
     fleet.start_limited("k3", Some(8192));
     let big = "x".repeat(200 << 10);
-    let mut taken = 0;
+    let mut accepted = 0;
     let ended = (0..60).any(|n| {
         let file = fleet.proposal(n);
         let text = format!("{{\"n\": {n}, \"big\": \"{big}\"}}");
         let mut proposal: Value = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
-        proposal["what"]["settings"]["digest"] = elderstage_fleet::change::digest_of(text.as_bytes()).into();
+        proposal["what"]["settings"]["digest"] =
+            elderstage_fleet::change::content_digest(text.as_bytes()).into();
         proposal["what"]["settings"]["text"] = text.into();
         std::fs::write(&file, proposal.to_string()).unwrap();
         let out = fleet.propose(&file, &[]);
-        taken += usize::from(out.status.success());
-        fleet.up.get_mut("k3").unwrap().child.try_wait().unwrap().is_some()
+        accepted += usize::from(out.status.success());
+        fleet.running.get_mut("k3").unwrap().child.try_wait().unwrap().is_some()
     });
     assert!(ended, "the file's limit was never met");
-    let said = fleet.up["k3"].said();
-    assert!(said.contains("k3/record.redb") || said.contains("k3/mark"), "{said}");
+    let log_text = fleet.running["k3"].log_text();
+    assert!(log_text.contains("k3/record.redb") || log_text.contains("k3/mark"), "{log_text}");
     fleet.kill("k3");
     fleet.start("k3");
     let all = fleet.show(&fleet.leader()).unwrap()["changes"].as_array().unwrap().len();
-    assert!(all >= taken && taken > 0, "{all} of {taken} acknowledged");
-    fleet.agree(all);
+    assert!(all >= accepted && accepted > 0, "{all} of {accepted} acknowledged");
+    fleet.wait_for_agreement(all);
 }
 
 /// Strangers, garbled frames and a second fleet of the same name end their connection and nothing else.
@@ -177,8 +178,8 @@
 fn strangers_end_their_own_connection_and_nothing_else() {
     let mut fleet = Fleet::new(3, 0, 1);
     fleet.start_all();
-    fleet.propose_surely(0);
-    let at = fleet.doors["k1"];
+    fleet.propose_until_accepted(0);
+    let at = fleet.client_addresses["k1"];
     for bytes in [&b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"[..], &[0xff; 64], &[0, 0, 0, 20, 1, 2, 3], &[]] {
         let mut stream = TcpStream::connect(at).unwrap();
         let _ = stream.write_all(bytes);
@@ -196,9 +197,9 @@
     fleet.start("e1");
     let leader = "k1".to_owned();
     assert!(
-        until(|| fleet.up[&leader].has_said("of another fleet named shop")),
+        wait_until(|| fleet.running[&leader].log_contains("of another fleet named shop")),
         "{}",
-        fleet.up[&leader].said()
+        fleet.running[&leader].log_text()
     );
     std::fs::write(fleet.config("e1"), text).unwrap();
     fleet.kill("e1");
@@ -208,10 +209,10 @@
         let members = shown["members"].as_array().unwrap();
         members.iter().any(|member| member["identity"]["name"] == "e1" && member["up"] == true)
     };
-    assert!(until(|| seen(&fleet)));
-    fleet.propose_surely(1);
-    fleet.agree(2);
-    assert!(fleet.up.values_mut().all(|process| process.child.try_wait().unwrap().is_none()));
+    assert!(wait_until(|| seen(&fleet)));
+    fleet.propose_until_accepted(1);
+    fleet.wait_for_agreement(2);
+    assert!(fleet.running.values_mut().all(|process| process.child.try_wait().unwrap().is_none()));
 }
 
 /// Files that are wrong are one error that names key and reason; nothing changes.
@@ -227,12 +228,12 @@
         let mut config: Value = serde_json::from_str(&text).unwrap();
         config[key] = value;
         std::fs::write(fleet.config("k1"), config.to_string()).unwrap();
-        let said = fleet.start_in_vain("k1");
-        assert!(said.contains(reason) && said.contains("k1.json"), "{key}: {said}");
+        let log_text = fleet.start_expecting_exit("k1");
+        assert!(log_text.contains(reason) && log_text.contains("k1.json"), "{key}: {log_text}");
         std::fs::write(fleet.config("k1"), text).unwrap();
     }
     fleet.start_all();
-    fleet.propose_surely(0);
+    fleet.propose_until_accepted(0);
     let changes = fleet.show("k1").unwrap()["changes"].clone();
     for (at, value, reason) in [
         ("/stages/0/members", serde_json::json!({"count": 0}), "stages[0].members"),
@@ -255,19 +256,19 @@
     std::fs::write(&stop, "{\"stop\": {\"change\": 1, \"reason\": \"not today\"}}").unwrap();
     assert!(fleet.propose(&stop, &[]).status.success());
     let shown = Command::new(PROGRAM)
-        .args(["fleet", "show", "--to", &fleet.doors["k2"].to_string()])
+        .args(["fleet", "show", "--to", &fleet.client_addresses["k2"].to_string()])
         .output()
         .unwrap();
     let page = String::from_utf8_lossy(&shown.stdout).into_owned();
     assert!(
-        until(|| fleet.show("k2").unwrap()["changes"][0]["phase"].to_string().contains("not today")),
+        wait_until(|| fleet.show("k2").unwrap()["changes"][0]["phase"].to_string().contains("not today")),
         "{page}"
     );
     assert!(page.starts_with("fleet shop, seen by keeper k2"), "{page}");
 }
 
 /// Sum of a count over all groups, at a keeper.
-fn counted(fleet: &Fleet, keeper: &str, what: &str) -> u64 {
+fn count_at_keeper(fleet: &Fleet, keeper: &str, what: &str) -> u64 {
     let Some(shown) = fleet.show(keeper) else { return 0 };
     let groups = shown["groups"].as_array().unwrap();
     groups.iter().map(|group| group[1]["counts"][what].as_u64().unwrap()).sum()
@@ -283,24 +284,24 @@
     let mut fronts: Vec<Option<Front>> =
         (1..=8).map(|n| Some(Front::start(&fleet, &format!("f{n}"), &platform))).collect();
     let mut asked = 0u64;
-    let mut ask = |fronts: &[Option<Front>], round: u64| {
+    let mut ask_all = |fronts: &[Option<Front>], round: u64| {
         for (n, front) in fronts.iter().enumerate() {
             let Some(front) = front else { continue };
             for i in 0..3 {
-                assert_eq!(front.ask(&format!("served-{round}-{n}-{i}")), 200);
+                assert_eq!(front.request(&format!("served-{round}-{n}-{i}")), 200);
                 asked += 1;
             }
         }
         asked
     };
-    let all = ask(&fronts, 0);
+    let all = ask_all(&fronts, 0);
     for keeper in fleet.keepers.clone() {
         assert!(
-            until(|| counted(&fleet, &keeper, "in_time") == all),
+            wait_until(|| count_at_keeper(&fleet, &keeper, "in_time") == all),
             "{}",
-            counted(&fleet, &keeper, "in_time")
+            count_at_keeper(&fleet, &keeper, "in_time")
         );
-        assert_eq!(counted(&fleet, &keeper, "asked"), all);
+        assert_eq!(count_at_keeper(&fleet, &keeper, "asked"), all);
     }
     // A front and its agent are killed: their last report stays counted, and they are silent, not absent.
     fronts[0] = None;
@@ -310,47 +311,52 @@
         fleet.links.set(&format!("f{n}"), "k3", CUT);
     }
     fleet.kill("k1");
-    let all = ask(&fronts, 1);
-    assert!(until(|| counted(&fleet, "k2", "in_time") == all));
+    let all = ask_all(&fronts, 1);
+    assert!(wait_until(|| count_at_keeper(&fleet, "k2", "in_time") == all));
     fleet.start("k1");
     for keeper in fleet.keepers.clone() {
-        assert!(until(|| counted(&fleet, &keeper, "in_time") == all), "{keeper} hears of it from the others");
+        assert!(
+            wait_until(|| count_at_keeper(&fleet, &keeper, "in_time") == all),
+            "{keeper} hears of it from the others"
+        );
     }
     fleet.links.heal();
-    assert!(until(|| fleet.show("k2").is_some_and(|shown| shown["silent"] == 1 && shown["counting"] == 16)));
+    assert!(wait_until(|| fleet
+        .show("k2")
+        .is_some_and(|shown| shown["silent"] == 1 && shown["counting"] == 16)));
     let shown = fleet.show("k2").unwrap();
     let groups = shown["groups"].as_array().unwrap();
     assert_eq!(groups.len(), 1, "one class, one release, the same settings: {groups:?}");
     assert_eq!(groups[0][1]["silent"], 1, "the killed one counts as silent where it served");
-    let charged =
+    let has_unreported =
         || fleet.show("k2").is_some_and(|shown| shown["groups"][0][1]["unheard"].as_u64() > Some(0));
-    assert!(until(charged), "and is charged what it would have been asked");
+    assert!(wait_until(has_unreported), "and is charged what it would have been asked");
     // The same front again, and its agent: counted anew on top.
     fleet.start("f1");
     fronts[0] = Some(Front::start(&fleet, "f1", &platform));
-    let all = ask(&fronts, 2);
+    let all = ask_all(&fronts, 2);
     assert!(
-        until(|| counted(&fleet, "k3", "in_time") == all),
+        wait_until(|| count_at_keeper(&fleet, "k3", "in_time") == all),
         "{} of {all}",
-        counted(&fleet, "k3", "in_time")
+        count_at_keeper(&fleet, "k3", "in_time")
     );
     // All keepers dead, and then all agents too: fronts serve as before.
     for keeper in fleet.keepers.clone() {
         fleet.kill(&keeper);
     }
-    ask(&fronts, 3);
+    ask_all(&fronts, 3);
     for name in fleet.members.clone() {
         fleet.kill(&name);
     }
-    let all = ask(&fronts, 4);
+    let all = ask_all(&fronts, 4);
     // And with everything back nothing was lost of what fronts counted alone.
     fleet.start_all();
     for keeper in fleet.keepers.clone() {
         assert!(
-            until(|| counted(&fleet, &keeper, "in_time") == all),
+            wait_until(|| count_at_keeper(&fleet, &keeper, "in_time") == all),
             "{keeper}: {} of {all}",
-            counted(&fleet, &keeper, "in_time")
+            count_at_keeper(&fleet, &keeper, "in_time")
         );
     }
-    assert_eq!(counted(&fleet, "k1", "refused") + counted(&fleet, "k1", "failed"), 0);
+    assert_eq!(count_at_keeper(&fleet, "k1", "refused") + count_at_keeper(&fleet, "k1", "failed"), 0);
 }
--- a/crates/cli/tests/fleet/processes.rs
+++ b/crates/cli/tests/fleet/processes.rs
@@ -16,23 +16,23 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_elderstage");
 /// Far longer than anything that is waited for takes.
-pub const LONG: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until something holds.
-pub fn until(mut holds: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + LONG;
-    while Instant::now() < end {
-        if holds() {
+pub fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while Instant::now() < deadline {
+        if condition() {
             return true;
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    holds()
+    condition()
 }
 
 pub fn signal(id: u32, name: &str) {
-    let done = Command::new("kill").args([&format!("-{name}"), &id.to_string()]).status();
-    assert!(done.unwrap().success());
+    let status = Command::new("kill").args([&format!("-{name}"), &id.to_string()]).status();
+    assert!(status.unwrap().success());
 }
 
 /// A folder that goes with the test.
@@ -68,22 +68,22 @@
 }
 
 impl Process {
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    pub fn has_said(&self, what: &str) -> bool {
-        self.said().contains(what)
+    pub fn log_contains(&self, what: &str) -> bool {
+        self.log_text().contains(what)
     }
 
     /// Waits for its end.
-    pub fn end(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        let ended = until(|| {
+        let ended = wait_until(|| {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
-        assert!(ended, "it does not end: {}", self.said());
+        assert!(ended, "it does not end: {}", self.log_text());
         status.unwrap()
     }
 }
@@ -94,9 +94,9 @@
     pub links: Links,
     pub keepers: Vec<String>,
     /// Where clients ask each keeper, which is what the files call its place.
-    pub doors: BTreeMap<String, SocketAddr>,
+    pub client_addresses: BTreeMap<String, SocketAddr>,
     pub members: Vec<String>,
-    pub up: BTreeMap<String, Process>,
+    pub running: BTreeMap<String, Process>,
 }
 
 impl Fleet {
@@ -107,16 +107,16 @@
         let mut members = keepers.clone();
         members.extend((1..=fronts).map(|n| format!("f{n}")));
         members.extend((1..=engines).map(|n| format!("e{n}")));
-        let doors: BTreeMap<_, _> =
-            keepers.iter().map(|name| (name.clone(), links.between("client", name))).collect();
-        let fleet = Fleet { folder, links, keepers, doors, members, up: BTreeMap::new() };
+        let client_addresses: BTreeMap<_, _> =
+            keepers.iter().map(|name| (name.clone(), links.open_link("client", name))).collect();
+        let fleet = Fleet { folder, links, keepers, client_addresses, members, running: BTreeMap::new() };
         for (n, name) in fleet.members.iter().enumerate() {
             let mut config = json!({
                 "fleet": "shop", "name": name, "zone": format!("z{}", n % 3), "listen": "127.0.0.1:0",
                 "directory": fleet.path(name),
-                "keepers": fleet.doors.iter().map(|(name, at)| json!({"name": name, "at": at})).collect::<Vec<_>>(),
+                "keepers": fleet.client_addresses.iter().map(|(name, at)| json!({"name": name, "at": at})).collect::<Vec<_>>(),
                 "via": fleet.members.iter().filter(|other| *other != name)
-                    .map(|other| (other.clone(), json!(fleet.links.between(name, other))))
+                    .map(|other| (other.clone(), json!(fleet.links.open_link(name, other))))
                     .collect::<serde_json::Map<_, _>>(),
             });
             match &name[..1] {
@@ -160,17 +160,17 @@
     }
 
     pub fn start_limited(&mut self, name: &str, limit: Option<u64>) {
-        if let Some(said) = self.start_or_hear(name, limit) {
-            panic!("{name} does not start: {said}");
+        if let Some(log_text) = self.try_start(name, limit) {
+            panic!("{name} does not start: {log_text}");
         }
     }
 
     /// Starts a member; what it said if it ends instead of listening.
-    pub fn start_or_hear(&mut self, name: &str, limit: Option<u64>) -> Option<String> {
+    pub fn try_start(&mut self, name: &str, limit: Option<u64>) -> Option<String> {
         let mut process = self.spawn(name, limit);
         let mut at = None;
-        let ready = until(|| {
-            let log = process.said();
+        let ready = wait_until(|| {
+            let log = process.log_text();
             let lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
             let listen = lines
                 .filter(|line| line["message"] == "ready")
@@ -178,18 +178,18 @@
             at = listen;
             at.is_some() || process.child.try_wait().unwrap().is_some()
         });
-        assert!(ready, "{name} neither listens nor ends: {}", process.said());
-        let Some(at) = at else { return Some(process.said()) };
-        self.links.is_at(name, at);
-        self.up.insert(name.into(), process);
+        assert!(ready, "{name} neither listens nor ends: {}", process.log_text());
+        let Some(at) = at else { return Some(process.log_text()) };
+        self.links.set_address(name, at);
+        self.running.insert(name.into(), process);
         None
     }
 
     /// Starts a member that is to end by itself; what it said.
-    pub fn start_in_vain(&mut self, name: &str) -> String {
+    pub fn start_expecting_exit(&mut self, name: &str) -> String {
         let mut process = self.spawn(name, None);
-        assert!(!process.end().success(), "{}", process.said());
-        process.said()
+        assert!(!process.wait_for_exit().success(), "{}", process.log_text());
+        process.log_text()
     }
 
     pub fn start_all(&mut self) {
@@ -199,16 +199,16 @@
     }
 
     pub fn kill(&mut self, name: &str) {
-        drop(self.up.remove(name));
+        drop(self.running.remove(name));
     }
 
     pub fn id(&self, name: &str) -> u32 {
-        self.up[name].child.id()
+        self.running[name].child.id()
     }
 
     /// `fleet show --json` at a keeper.
     pub fn show(&self, keeper: &str) -> Option<Value> {
-        let at = self.doors[keeper].to_string();
+        let at = self.client_addresses[keeper].to_string();
         let out = Command::new(PROGRAM).args(["fleet", "show", "--json", "--to", &at]).output().unwrap();
         serde_json::from_slice(&out.stdout).ok().filter(|_| out.status.success())
     }
@@ -216,8 +216,8 @@
     /// The keeper that leads, by the word of one that is up.
     pub fn leader(&self) -> String {
         let mut leader = String::new();
-        let led = until(|| {
-            for name in self.keepers.iter().filter(|name| self.up.contains_key(*name)) {
+        let has_leader = wait_until(|| {
+            for name in self.keepers.iter().filter(|name| self.running.contains_key(*name)) {
                 let Some(shown) = self.show(name) else { continue };
                 if shown["standing"]["role"] == "Leader" {
                     leader = name.clone();
@@ -226,14 +226,14 @@
             }
             false
         });
-        assert!(led, "nobody leads");
+        assert!(has_leader, "nobody leads");
         leader
     }
 
     pub fn proposal(&self, n: u64) -> PathBuf {
         let path = self.path(&format!("proposal-{n}.json"));
         let text = format!("{{\"n\": {n}}}");
-        let digest = elderstage_fleet::change::digest_of(text.as_bytes());
+        let digest = elderstage_fleet::change::content_digest(text.as_bytes());
         let proposal = json!({
             "scope": "fronts", "what": {"settings": {"digest": digest, "text": text}},
             "stages": [{"members": {"count": 1}}, {"members": "all"}],
@@ -244,22 +244,23 @@
     }
 
     /// `fleet propose` to all keepers that are up, one after the other.
-    pub fn propose(&self, file: &Path, more: &[&str]) -> Output {
+    pub fn propose(&self, file: &Path, extra_args: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
-        command.args(["fleet", "propose"]).arg(file).args(more).arg("--to");
-        command.args(self.doors.values().map(SocketAddr::to_string));
+        command.args(["fleet", "propose"]).arg(file).args(extra_args).arg("--to");
+        command.args(self.client_addresses.values().map(SocketAddr::to_string));
         command.output().unwrap()
     }
 
     /// Proposes until it is taken; the number of the change. What is not known to be taken is sent again as the same.
-    pub fn propose_surely(&self, n: u64) -> u64 {
-        let (file, mut more) = (self.proposal(n), Vec::<String>::new());
+    pub fn propose_until_accepted(&self, n: u64) -> u64 {
+        let (file, mut extra_args) = (self.proposal(n), Vec::<String>::new());
         for _ in 0..10 {
-            let more_now: Vec<&str> = more.iter().map(String::as_str).collect();
-            let out = self.propose(&file, &more_now);
-            let (said, error) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+            let extra_args_now: Vec<&str> = extra_args.iter().map(String::as_str).collect();
+            let out = self.propose(&file, &extra_args_now);
+            let (output, error) =
+                (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
             match out.status.code() {
-                Some(0) => return said.split_whitespace().nth(1).unwrap().parse().unwrap(),
+                Some(0) => return output.split_whitespace().nth(1).unwrap().parse().unwrap(),
                 Some(3) => {
                     let run = error
                         .split("--again ")
@@ -267,29 +268,29 @@
                         .expect("it says how to send it again")
                         .trim()
                         .to_owned();
-                    more = vec!["--again".into(), run];
+                    extra_args = vec!["--again".into(), run];
                 }
-                _ => panic!("proposal {n}: {:?} {said} {error}", out.status),
+                _ => panic!("proposal {n}: {:?} {output} {error}", out.status),
             }
         }
         panic!("proposal {n} is not taken");
     }
 
     /// Waits until all keepers have the same record, of so many changes; gives their numbers.
-    pub fn agree(&self, changes: usize) -> Vec<u64> {
-        let (mut numbers, mut why) = (Vec::new(), String::new());
-        let same = until(|| {
+    pub fn wait_for_agreement(&self, changes: usize) -> Vec<u64> {
+        let (mut numbers, mut statuses) = (Vec::new(), String::new());
+        let all_agree = wait_until(|| {
             let shown: Vec<_> = self.keepers.iter().map(|name| self.show(name)).collect();
             let Some(shown) = shown.into_iter().collect::<Option<Vec<_>>>() else { return false };
-            why = shown.iter().map(|of| format!("{} {}\n", of["keeper"], of["standing"])).collect();
+            statuses = shown.iter().map(|of| format!("{} {}\n", of["keeper"], of["standing"])).collect();
             let digests: std::collections::BTreeSet<_> =
                 shown.iter().map(|of| of["digest"].to_string()).collect();
-            let voices = shown.iter().all(|of| of["standing"]["role"] != "Rejoining");
+            let all_can_vote = shown.iter().all(|of| of["standing"]["role"] != "Rejoining");
             let all = shown[0]["changes"].as_array().unwrap();
             numbers = all.iter().map(|change| change["number"].as_u64().unwrap()).collect();
-            digests.len() == 1 && voices && numbers.len() == changes
+            digests.len() == 1 && all_can_vote && numbers.len() == changes
         });
-        assert!(same, "keepers differ or have {numbers:?}\n{why}");
+        assert!(all_agree, "keepers differ or have {numbers:?}\n{statuses}");
         numbers
     }
 }
@@ -315,7 +316,7 @@
             let child = command.stdout(Stdio::null()).stderr(File::create(&log).unwrap()).spawn().unwrap();
             let mut front = Front { process: Process { child, log }, addr };
             let mut ended = false;
-            let ready = until(|| {
+            let ready = wait_until(|| {
                 ended = front.process.child.try_wait().unwrap().is_some();
                 ended || get(addr, "/-/ready") == Some(200)
             });
@@ -327,7 +328,7 @@
     }
 
     /// One request; its status, 0 where none came.
-    pub fn ask(&self, trace: &str) -> u16 {
+    pub fn request(&self, trace: &str) -> u16 {
         let body = "{\"model\":\"chat\",\"stream\":true,\"messages\":[]}";
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {trace}\r\nX-Qos: plain\r\n\
@@ -346,7 +347,7 @@
 /// Sends a request and reads the answer to its end.
 fn exchange(at: SocketAddr, text: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).ok()?;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
--- a/crates/fleet/examples/fleet-size.rs
+++ b/crates/fleet/examples/fleet-size.rs
@@ -5,11 +5,11 @@
 mod world;
 
 use elderstage_fleet::SECOND;
-use world::World;
+use world::Simulation;
 
 /// Simulated time of the measurement, after the fleet has found itself.
-const SETTLE: u64 = 60;
-const SPAN: u64 = 60;
+const SETTLE_SECONDS: u64 = 60;
+const MEASURED_SECONDS: u64 = 60;
 
 /// Resident memory of this process, in MB, from the system (Linux).
 fn resident_mb() -> f64 {
@@ -28,33 +28,34 @@
         let keepers = 5;
         let (fronts, engines) = (size * 4 / 5, size - size * 4 / 5);
         let before = resident_mb();
-        let mut world = World::new(1, keepers, fronts, engines);
-        let mut play = |seconds: u64| {
+        let mut simulation = Simulation::new(1, keepers, fronts, engines);
+        let mut simulate_seconds = |seconds: u64| {
             for _ in 0..seconds {
-                for of in keepers..keepers + fronts {
-                    world.count(of, 10, 9);
+                for member in keepers..keepers + fronts {
+                    simulation.count_requests(member, 10, 9);
                 }
-                world.run(SECOND);
+                simulation.run(SECOND);
             }
-            world.sent.clone()
+            simulation.sent.clone()
         };
-        let from = play(SETTLE);
-        let to = play(SPAN);
+        let from = simulate_seconds(SETTLE_SECONDS);
+        let to = simulate_seconds(MEASURED_SECONDS);
         let rate = |range: std::ops::Range<usize>| {
-            let n = range.len() as f64 * SPAN as f64;
-            let sum = |part: fn(&(u64, u64)) -> u64| -> f64 {
-                range.clone().map(|of| part(&to[of]) - part(&from[of])).sum::<u64>() as f64 / n
+            let n = range.len() as f64 * MEASURED_SECONDS as f64;
+            let sum = |select: fn(&(u64, u64)) -> u64| -> f64 {
+                range.clone().map(|member| select(&to[member]) - select(&from[member])).sum::<u64>() as f64
+                    / n
             };
             (sum(|sent| sent.0), sum(|sent| sent.1))
         };
-        let (agents, keeping) = (rate(keepers..keepers + size), rate(0..keepers));
-        let held = world.keeper(0).map_or(0, |keeper| keeper.store().versions().len());
+        let (agent_rates, keeper_rates) = (rate(keepers..keepers + size), rate(0..keepers));
+        let versions_held = simulation.keeper(0).map_or(0, |keeper| keeper.store().versions().len());
         println!(
-            "{size:7} | {:7.1} {:9.0} | {:8.1} {:10.0} | {held:6} | {:7.0}",
-            agents.0,
-            agents.1,
-            keeping.0,
-            keeping.1,
+            "{size:7} | {:7.1} {:9.0} | {:8.1} {:10.0} | {versions_held:6} | {:7.0}",
+            agent_rates.0,
+            agent_rates.1,
+            keeper_rates.0,
+            keeper_rates.1,
             resident_mb() - before
         );
     }
--- a/crates/fleet/src/change/mod.rs
+++ b/crates/fleet/src/change/mod.rs
@@ -6,4 +6,6 @@
 
 mod proposal;
 
-pub use proposal::{BadProposal, MOST_TEXT, Part, Proposal, Stage, What, digest_of};
+pub use proposal::{
+    BadProposal, ChangeContent, MAX_SETTINGS_TEXT_BYTES, MemberShare, Proposal, Stage, content_digest,
+};
--- a/crates/fleet/src/change/proposal.rs
+++ b/crates/fleet/src/change/proposal.rs
@@ -6,15 +6,15 @@
 use crate::name::Name;
 
 /// Longest text of settings, in bytes.
-pub const MOST_TEXT: usize = 256 << 10;
+pub const MAX_SETTINGS_TEXT_BYTES: usize = 256 << 10;
 /// Stages of one change at most.
-const MOST_STAGES: usize = 32;
+const MAX_STAGES: usize = 32;
 /// Longest time of one stage: a day, in seconds.
-const MOST_SECONDS: u64 = 86_400;
+const MAX_STAGE_SECONDS: u64 = 86_400;
 /// Longest path, in bytes (PATH_MAX of common systems).
-const MOST_PATH: usize = 4096;
+const MAX_PATH_BYTES: usize = 4096;
 /// Hexadecimal digits of a BLAKE3 digest.
-const DIGITS: usize = 64;
+const DIGEST_HEX_DIGITS: usize = 64;
 
 /// What is to be changed, where and how.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,8 @@
 pub struct Proposal {
     /// Changes of one scope go one after the other.
     pub scope: Name,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub content: ChangeContent,
     pub stages: Vec<Stage>,
     /// Ended requests, of each class judged, that a stage needs before it may advance.
     pub least_evidence: u64,
@@ -32,7 +33,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum ChangeContent {
     /// The text of a settings file, and its BLAKE3 digest.
     Settings { digest: String, text: String },
     /// A release: where every member finds the program, and the program's BLAKE3 digest.
@@ -43,12 +44,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    pub members: Part,
+    pub members: MemberShare,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Part {
+pub enum MemberShare {
     Count(u32),
     /// Hundredths of the fleet.
     Percent(u32),
@@ -63,23 +64,23 @@
     pub reason: String,
 }
 
-fn bad<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, BadProposal> {
+fn invalid<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, BadProposal> {
     Err(BadProposal { key: key.into(), reason: reason.into() })
 }
 
 /// The digest by which settings and programs are known.
-pub fn digest_of(bytes: &[u8]) -> String {
+pub fn content_digest(bytes: &[u8]) -> String {
     blake3::hash(bytes).to_hex().to_string()
 }
 
 impl Proposal {
     /// Reads a proposal's file: whole, or one error.
     pub fn parse(text: &str) -> Result<Proposal, BadProposal> {
-        if text.len() > 2 * MOST_TEXT {
-            return bad("file", format!("{} bytes, {} at most", text.len(), 2 * MOST_TEXT));
+        if text.len() > 2 * MAX_SETTINGS_TEXT_BYTES {
+            return invalid("file", format!("{} bytes, {} at most", text.len(), 2 * MAX_SETTINGS_TEXT_BYTES));
         }
         let proposal: Proposal = serde_json::from_str(text).or_else(|error| {
-            bad(format!("line {} column {}", error.line(), error.column()), error.to_string())
+            invalid(format!("line {} column {}", error.line(), error.column()), error.to_string())
         })?;
         proposal.check()?;
         Ok(proposal)
@@ -87,67 +88,71 @@
 
     /// Whether it holds in itself. Checked again by every keeper: a proposal may come from any program.
     pub fn check(&self) -> Result<(), BadProposal> {
-        let digits = |digest: &str| digest.len() == DIGITS && digest.bytes().all(|c| c.is_ascii_hexdigit());
-        match &self.what {
-            What::Settings { digest, text } => {
-                if text.len() > MOST_TEXT {
-                    return bad("what.settings.text", format!("{} bytes, {MOST_TEXT} at most", text.len()));
+        let is_hex_digest =
+            |digest: &str| digest.len() == DIGEST_HEX_DIGITS && digest.bytes().all(|c| c.is_ascii_hexdigit());
+        match &self.content {
+            ChangeContent::Settings { digest, text } => {
+                if text.len() > MAX_SETTINGS_TEXT_BYTES {
+                    return invalid(
+                        "what.settings.text",
+                        format!("{} bytes, {MAX_SETTINGS_TEXT_BYTES} at most", text.len()),
+                    );
                 }
-                let found = digest_of(text.as_bytes());
+                let found = content_digest(text.as_bytes());
                 if !digest.eq_ignore_ascii_case(&found) {
-                    return bad(
+                    return invalid(
                         "what.settings.digest",
                         format!("{digest:.80} is not the text's, which is {found}"),
                     );
                 }
             }
-            What::Program { digest, path } => {
-                if !digits(digest) {
-                    return bad(
+            ChangeContent::Program { digest, path } => {
+                if !is_hex_digest(digest) {
+                    return invalid(
                         "what.program.digest",
-                        format!("{digest:.80} is not {DIGITS} hexadecimal digits"),
+                        format!("{digest:.80} is not {DIGEST_HEX_DIGITS} hexadecimal digits"),
                     );
                 }
-                if !path.starts_with('/') || path.len() > MOST_PATH || path.contains('\0') {
-                    return bad("what.program.path", "is no absolute path");
+                if !path.starts_with('/') || path.len() > MAX_PATH_BYTES || path.contains('\0') {
+                    return invalid("what.program.path", "is no absolute path");
                 }
             }
         }
-        if self.stages.is_empty() || self.stages.len() > MOST_STAGES {
-            return bad("stages", format!("{} stages, 1 to {MOST_STAGES} wanted", self.stages.len()));
+        if self.stages.is_empty() || self.stages.len() > MAX_STAGES {
+            return invalid("stages", format!("{} stages, 1 to {MAX_STAGES} wanted", self.stages.len()));
         }
-        let mut before: Option<Part> = None;
+        let mut previous: Option<MemberShare> = None;
         for (n, stage) in self.stages.iter().enumerate() {
             let key = format!("stages[{n}].members");
-            match (before, stage.members) {
-                (_, Part::Count(0)) => return bad(key, "0 members is no stage"),
-                (_, Part::Percent(0)) | (_, Part::Percent(101..)) => {
-                    return bad(key, "is not 1 to 100 percent");
+            match (previous, stage.members) {
+                (_, MemberShare::Count(0)) => return invalid(key, "0 members is no stage"),
+                (_, MemberShare::Percent(0)) | (_, MemberShare::Percent(101..)) => {
+                    return invalid(key, "is not 1 to 100 percent");
                 }
-                (Some(Part::All), _) => return bad(key, "nothing comes after all members"),
-                (Some(Part::Count(last)), Part::Count(now)) if now <= last => {
-                    return bad(key, format!("{now} after {last}: stages grow"));
+                (Some(MemberShare::All), _) => return invalid(key, "nothing comes after all members"),
+                (Some(MemberShare::Count(last)), MemberShare::Count(now)) if now <= last => {
+                    return invalid(key, format!("{now} after {last}: stages grow"));
                 }
-                (Some(Part::Percent(last)), Part::Percent(now)) if now <= last => {
-                    return bad(key, format!("{now} percent after {last}: stages grow"));
+                (Some(MemberShare::Percent(last)), MemberShare::Percent(now)) if now <= last => {
+                    return invalid(key, format!("{now} percent after {last}: stages grow"));
                 }
-                (Some(Part::Percent(_)), Part::Count(_)) => {
-                    return bad(key, "a count after a part of the fleet: whether it grows can't be told");
+                (Some(MemberShare::Percent(_)), MemberShare::Count(_)) => {
+                    return invalid(key, "a count after a part of the fleet: whether it grows can't be told");
                 }
                 _ => {}
             }
-            before = Some(stage.members);
+            previous = Some(stage.members);
         }
-        if before != Some(Part::All) {
-            return bad("stages", "the last one is not all members");
+        if previous != Some(MemberShare::All) {
+            return invalid("stages", "the last one is not all members");
         }
         if self.least_evidence == 0 {
-            return bad("least_evidence", "0: a stage may not advance on nothing");
+            return invalid("least_evidence", "0: a stage may not advance on nothing");
         }
-        if !(1..=MOST_SECONDS).contains(&self.longest_stage_s) {
-            return bad(
+        if !(1..=MAX_STAGE_SECONDS).contains(&self.longest_stage_s) {
+            return invalid(
                 "longest_stage_s",
-                format!("{} is not 1 to {MOST_SECONDS} seconds", self.longest_stage_s),
+                format!("{} is not 1 to {MAX_STAGE_SECONDS} seconds", self.longest_stage_s),
             );
         }
         Ok(())
--- a/crates/fleet/src/change/proposal/tests.rs
+++ b/crates/fleet/src/change/proposal/tests.rs
@@ -3,7 +3,7 @@
 fn good() -> serde_json::Value {
     serde_json::json!({
         "scope": "fronts",
-        "what": {"settings": {"digest": digest_of(b"{}"), "text": "{}"}},
+        "what": {"settings": {"digest": content_digest(b"{}"), "text": "{}"}},
         "stages": [{"members": {"count": 1}}, {"members": {"percent": 25}}, {"members": "all"}],
         "least_evidence": 200,
         "longest_stage_s": 600
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -7,13 +7,13 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::members::Kind;
+use crate::members::MemberKind;
 use crate::name::Name;
-use crate::record::KEEPERS;
+use crate::record::KEEPER_COUNTS;
 use crate::wire::FleetKey;
 
 /// Largest file, in bytes.
-const MOST: usize = 1 << 20;
+const MAX_FILE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{key}: {reason}")]
@@ -22,7 +22,7 @@
     pub reason: String,
 }
 
-fn bad<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, BadConfig> {
+fn invalid<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, BadConfig> {
     Err(BadConfig { key: key.into(), reason: reason.into() })
 }
 
@@ -40,25 +40,27 @@
     #[serde(default)]
     pub beyond_loopback: bool,
     /// Three or five, the same in every file of the fleet.
-    pub keepers: Vec<KeeperAt>,
+    pub keepers: Vec<KeeperAddress>,
     /// Other ways to members, by name, where the one they tell does not lead there.
     #[serde(default)]
-    pub via: BTreeMap<Name, SocketAddr>,
+    #[serde(rename = "via")]
+    pub address_overrides: BTreeMap<Name, SocketAddr>,
     /// What an agent stands beside.
     #[serde(default)]
-    pub beside: Option<Beside>,
+    #[serde(rename = "beside")]
+    pub monitored: Option<MonitoredProcess>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KeeperAt {
+pub struct KeeperAddress {
     pub name: Name,
     pub at: SocketAddr,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Beside {
+pub enum MonitoredProcess {
     /// A front, which writes its counts to this file.
     Front {
         tally: PathBuf,
@@ -68,11 +70,11 @@
 
 impl Config {
     pub fn parse(text: &str) -> Result<Config, BadConfig> {
-        if text.len() > MOST {
-            return bad("file", format!("{} bytes, {MOST} at most", text.len()));
+        if text.len() > MAX_FILE_BYTES {
+            return invalid("file", format!("{} bytes, {MAX_FILE_BYTES} at most", text.len()));
         }
         let mut config: Config = serde_json::from_str(text).or_else(|error| {
-            bad(format!("line {} column {}", error.line(), error.column()), error.to_string())
+            invalid(format!("line {} column {}", error.line(), error.column()), error.to_string())
         })?;
         config.keepers.sort_by(|one, other| one.name.cmp(&other.name));
         config.check()?;
@@ -80,20 +82,25 @@
     }
 
     fn check(&self) -> Result<(), BadConfig> {
-        if !KEEPERS.contains(&self.keepers.len()) {
-            return bad(
+        if !KEEPER_COUNTS.contains(&self.keepers.len()) {
+            return invalid(
                 "keepers",
-                format!("{} keepers, {} or {} wanted", self.keepers.len(), KEEPERS[0], KEEPERS[1]),
+                format!(
+                    "{} keepers, {} or {} wanted",
+                    self.keepers.len(),
+                    KEEPER_COUNTS[0],
+                    KEEPER_COUNTS[1]
+                ),
             );
         }
         for pair in self.keepers.windows(2) {
             if pair[0].name == pair[1].name {
-                return bad("keepers", format!("{} is there twice", pair[0].name));
+                return invalid("keepers", format!("{} is there twice", pair[0].name));
             }
         }
         for (n, keeper) in self.keepers.iter().enumerate() {
             if let Some(other) = self.keepers[..n].iter().find(|other| other.at == keeper.at) {
-                return bad(
+                return invalid(
                     "keepers",
                     format!("{} and {} are both at {}", other.name, keeper.name, keeper.at),
                 );
@@ -102,11 +109,13 @@
         if !self.listen.ip().is_loopback() && !self.beyond_loopback {
             let reason =
                 format!("{} can be reached by other machines; say so by beyond_loopback", self.listen);
-            return bad("listen", reason);
+            return invalid("listen", reason);
         }
-        match (self.is_keeper(), &self.beside) {
-            (true, Some(_)) => bad("beside", "a keeper stands beside nothing"),
-            (false, None) => bad("beside", format!("{} is no keeper: front or engine is missing", self.name)),
+        match (self.is_keeper(), &self.monitored) {
+            (true, Some(_)) => invalid("beside", "a keeper stands beside nothing"),
+            (false, None) => {
+                invalid("beside", format!("{} is no keeper: front or engine is missing", self.name))
+            }
             _ => Ok(()),
         }
     }
@@ -115,11 +124,11 @@
         self.keepers.iter().any(|keeper| keeper.name == self.name)
     }
 
-    pub fn kind(&self) -> Kind {
-        match &self.beside {
-            None => Kind::Keeper,
-            Some(Beside::Front { .. }) => Kind::Front,
-            Some(Beside::Engine {}) => Kind::Engine,
+    pub fn kind(&self) -> MemberKind {
+        match &self.monitored {
+            None => MemberKind::Keeper,
+            Some(MonitoredProcess::Front { .. }) => MemberKind::Front,
+            Some(MonitoredProcess::Engine {}) => MemberKind::Engine,
         }
     }
 
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -1,153 +1,154 @@
-//! A keeper: its part in the record, the members it sees, the reports it holds, and clients' questions.
+//! State machine of a keeper: its replica of the record, its membership view, its reports and the requests of clients.
+//!
+//! Does no I/O. Invariant: outputs are carried out in order, and a write is on disk before any output after it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use crate::evidence::{Report, Store, Summary};
-use crate::members::{Identity, Kind, Members, Send as SwimSend};
+use crate::evidence::{EvidenceSummary, Report, ReportStore};
+use crate::members::{Identity, MemberKind, Members, OutgoingMessage};
 use crate::name::Name;
 use crate::record::{
-    Command, MOST_COMMAND, Order, Outcome, Proposer, RecordError, Replica, Role, Seal, Step, Stored, TICK,
-    Trust, Write, open, seal,
+    BlockKind, Command, DiskWrite, MAX_COMMAND_BYTES, Operation, Outcome, Participation, Proposer,
+    RecordError, Replica, ReplicaOutput, Role, StoredBlocks, TICK_INTERVAL, decode_block, encode_block,
 };
-use crate::wire::{Answer, Ask, Body, Shown};
-use crate::{MILLI, SECOND, Time};
+use crate::wire::{ClientRequest, ClientResponse, FleetStatus, MemberMessage};
+use crate::{MILLISECOND, Micros, SECOND};
 
-/// A command that has no place yet is sent again after so long.
-const AGAIN: Time = 500 * MILLI;
-/// A client hears that its command is not known to be taken after so long.
-const PATIENCE: Time = 30 * SECOND;
-/// Commands of clients that wait at most.
-const MOST_WAITING: usize = 1024;
-/// One other keeper is told what reports are held after so long; newer ones come back, so many bytes at a time.
-const SYNC: Time = 2 * SECOND;
-const SYNC_BYTES: usize = 1 << 20;
-/// Reports that are newer than on disk are written after so long.
-const KEEP: Time = 5 * SECOND;
-/// Pause of a keeper that has nothing between two questions to the others.
-const FOUND: Time = 250 * MILLI;
+/// Interval at which a command that is not applied yet is proposed again.
+const PROPOSE_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
+/// Time after which a client is told that its command is not confirmed.
+const COMMAND_TIMEOUT: Micros = 30 * SECOND;
+/// Maximum number of client commands that wait.
+const MAX_WAITING_COMMANDS: usize = 1024;
+/// Interval at which one other keeper gets the versions of the held reports; it returns newer ones, up to this many bytes.
+const REPORT_SYNC_INTERVAL: Micros = 2 * SECOND;
+const MAX_REPORT_SYNC_BYTES: usize = 1 << 20;
+/// Interval at which new reports are written to disk.
+const REPORT_STORE_INTERVAL: Micros = 5 * SECOND;
+/// Interval at which a keeper with a blank disk queries the other keepers.
+const BOOTSTRAP_QUERY_INTERVAL: Micros = 250 * MILLISECOND;
 
-/// What has happened.
+/// An event for a keeper.
 #[derive(Clone, Debug)]
-pub enum In {
-    /// A member of this fleet said something.
-    From { peer: Name, body: Body },
-    /// A client asks on this connection.
-    Asked { conn: u64, ask: Ask },
-    /// That connection is gone.
-    Left { conn: u64 },
+pub enum Input {
+    /// A message from a member of this fleet.
+    PeerMessage { peer: Name, body: MemberMessage },
+    /// A client request on this connection.
+    ClientRequest { conn: u64, request: ClientRequest },
+    /// The connection of a client has closed.
+    ClientDisconnected { conn: u64 },
 }
 
-/// What is to be done, in this order.
+/// What the caller does next, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// On disk before anything after it is done.
-    Write(Box<Write>),
-    /// Reports for the disk, by key; nothing waits for them.
-    Keep(Vec<(u64, Vec<u8>)>),
-    /// `at`: where the member listens, if this is known here and not by the file.
-    Send {
-        to: Name,
-        at: Option<SocketAddr>,
-        body: Body,
-    },
-    Answer {
-        conn: u64,
-        answer: Box<Answer>,
-    },
-    /// Something the operator may want to know.
-    Note(Note),
+pub enum Output {
+    /// Must be on disk before any later output is carried out.
+    Write(Box<DiskWrite>),
+    /// Reports for the disk, by key; no other output depends on them.
+    StoreReports(Vec<(u64, Vec<u8>)>),
+    /// A message to a member. `at` is its listen address if membership provides it; else the configuration does.
+    Send { to: Name, at: Option<SocketAddr>, body: MemberMessage },
+    /// A response to a client.
+    ClientResponse { conn: u64, response: Box<ClientResponse> },
+    /// An event for the operator.
+    Notice(Notice),
 }
 
+/// An event that the operator may want to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
-    /// The disk was not as it was left.
-    Doubt(String),
-    Founded,
+pub enum Notice {
+    /// A fault found on the disk at start.
+    DiskFault(String),
+    /// A new record was started.
+    Bootstrapped,
+    /// This keeper again has all entries that it may have acknowledged.
     Rejoined,
-    /// This keeper leads from now on, or another one, by its name.
-    Leads(Option<Name>),
-    Decided {
-        command: Box<Command>,
-        outcome: Outcome,
-    },
-    /// A report on disk that can't be read.
-    ReportSpoilt(u64),
-    Unread {
-        peer: Name,
-    },
+    /// The leader is now this keeper or another one; `None` if no leader is known.
+    LeaderChanged(Option<Name>),
+    /// A command was applied.
+    CommandApplied { command: Box<Command>, outcome: Outcome },
+    /// A report on disk is corrupt; by its key.
+    CorruptReport(u64),
+    /// A message of this member was malformed or not permitted.
+    RejectedMessage { peer: Name },
 }
 
-struct Waiting {
+/// A client command that is not applied yet, and the connections that wait for it.
+struct WaitingCommand {
     command: Box<Command>,
-    conns: BTreeSet<u64>,
-    until: Time,
-    again: Time,
+    connections: BTreeSet<u64>,
+    expires_at: Micros,
+    retry_at: Micros,
 }
 
-/// How a keeper is set up.
-pub struct Setup {
+/// Parameters of a keeper.
+pub struct KeeperSetup {
     pub fleet: Name,
     pub keepers: Vec<Name>,
     pub me: Identity,
     pub seeds: Vec<Identity>,
-    /// Drawn for this start; feeds what need not be foreseen.
+    /// Random for this start; seeds membership.
     pub seed: u64,
 }
 
+/// A keeper.
 pub struct Keeper {
     fleet: Name,
     keepers: Vec<Name>,
     name: Name,
     replica: Replica,
     members: Members,
-    store: Store,
-    /// Reports not on disk yet, by member and boot.
-    unkept: BTreeSet<(Name, u64)>,
-    waiting: BTreeMap<(Proposer, u64), Waiting>,
+    store: ReportStore,
+    /// Reports that are not on disk yet, by member and boot.
+    unsaved_reports: BTreeSet<(Name, u64)>,
+    waiting: BTreeMap<(Proposer, u64), WaitingCommand>,
     leader: u64,
-    founding: bool,
-    tick: Time,
-    sync: Time,
-    synced: usize,
-    keep: Time,
-    found: Time,
+    is_bootstrapping: bool,
+    next_tick: Micros,
+    next_sync: Micros,
+    sync_count: usize,
+    next_report_store: Micros,
+    next_bootstrap_query: Micros,
 }
 
-/// Where a report lies on disk.
-fn place(member: &Name, boot: u64) -> u64 {
+/// Key of a report on disk: a digest of member and boot.
+fn report_key(member: &Name, boot: u64) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(member.as_str().as_bytes()).update(&boot.to_le_bytes());
-    let mut place = [0; 8];
-    hasher.finalize_xof().fill(&mut place);
-    u64::from_le_bytes(place)
+    let mut key = [0; 8];
+    hasher.finalize_xof().fill(&mut key);
+    u64::from_le_bytes(key)
 }
 
 impl Keeper {
+    /// Starts a keeper from its disk.
     pub fn new(
-        setup: Setup,
-        stored: &Stored,
+        setup: KeeperSetup,
+        stored: &StoredBlocks,
         reports: &[(u64, Vec<u8>)],
-        now: Time,
-        out: &mut Vec<Out>,
+        now: Micros,
+        out: &mut Vec<Output>,
     ) -> Result<Keeper, RecordError> {
         let name = setup.me.name.clone();
         let number = setup.keepers.iter().position(|keeper| *keeper == name).map_or(0, |n| n as u64 + 1);
         let voters: Vec<u64> = (1..=setup.keepers.len() as u64).collect();
         let replica = Replica::new(&setup.fleet, &name, number, &voters, stored, setup.me.boot)?;
-        out.extend(replica.doubts().iter().map(|doubt| Out::Note(Note::Doubt(doubt.clone()))));
-        let mut store = Store::default();
+        out.extend(
+            replica.disk_faults().iter().map(|fault| Output::Notice(Notice::DiskFault(fault.clone()))),
+        );
+        let mut store = ReportStore::default();
         for (key, block) in reports {
-            let report =
-                open(Seal::Report(*key), block).and_then(|bytes| postcard::from_bytes::<Report>(bytes).ok());
+            let report = decode_block(BlockKind::Report(*key), block)
+                .and_then(|bytes| postcard::from_bytes::<Report>(bytes).ok());
             match report {
                 Some(report) => {
                     store.take(now, &report);
                 }
-                None => out.push(Out::Note(Note::ReportSpoilt(*key))),
+                None => out.push(Output::Notice(Notice::CorruptReport(*key))),
             }
         }
-        let founding = matches!(replica.trust(), Trust::Blank { .. });
+        let is_bootstrapping = matches!(replica.participation(), Participation::Blank { .. });
         let members = Members::new(setup.me, setup.seeds, setup.seed, now);
         let mut keeper = Keeper {
             fleet: setup.fleet,
@@ -156,272 +157,326 @@
             replica,
             members,
             store,
-            unkept: BTreeSet::new(),
+            unsaved_reports: BTreeSet::new(),
             waiting: BTreeMap::new(),
             leader: 0,
-            founding,
-            tick: now + TICK,
-            sync: now + SYNC,
-            synced: 0,
-            keep: now + KEEP,
-            found: now,
+            is_bootstrapping,
+            next_tick: now + TICK_INTERVAL,
+            next_sync: now + REPORT_SYNC_INTERVAL,
+            sync_count: 0,
+            next_report_store: now + REPORT_STORE_INTERVAL,
+            next_bootstrap_query: now,
         };
-        keeper.settle(now, out)?;
+        keeper.process_replica_outputs(now, out)?;
         Ok(keeper)
     }
 
+    /// The replica of the record.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    pub fn store(&self) -> &Store {
+    /// The held reports.
+    pub fn store(&self) -> &ReportStore {
         &self.store
     }
 
+    /// The membership view.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    pub fn next_timer(&self) -> Time {
-        let waiting = self.waiting.values().map(|waiting| waiting.again.min(waiting.until));
-        let founding = self.founding.then_some(self.found);
-        let all =
-            waiting.chain(founding).chain(self.members.next_timer()).chain([self.tick, self.sync, self.keep]);
-        all.min().unwrap_or(self.tick)
+    /// When [`Self::wake`] is due next.
+    pub fn next_timer(&self) -> Micros {
+        let waiting = self.waiting.values().map(|waiting| waiting.retry_at.min(waiting.expires_at));
+        let is_bootstrapping = self.is_bootstrapping.then_some(self.next_bootstrap_query);
+        let all = waiting.chain(is_bootstrapping).chain(self.members.next_timer()).chain([
+            self.next_tick,
+            self.next_sync,
+            self.next_report_store,
+        ]);
+        all.min().unwrap_or(self.next_tick)
     }
 
-    pub fn handle(&mut self, now: Time, input: In, out: &mut Vec<Out>) -> Result<(), RecordError> {
+    /// Processes one input.
+    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) -> Result<(), RecordError> {
         match input {
-            In::From { peer, body } => self.from(now, peer, body, out)?,
-            In::Asked { conn, ask: Ask::Show } => {
-                let answer = Box::new(Answer::Shown(Box::new(self.shown(now))));
-                out.push(Out::Answer { conn, answer });
+            Input::PeerMessage { peer, body } => self.handle_peer_message(now, peer, body, out)?,
+            Input::ClientRequest { conn, request: ClientRequest::Show } => {
+                let response = Box::new(ClientResponse::Status(Box::new(self.status(now))));
+                out.push(Output::ClientResponse { conn, response });
             }
-            In::Asked { conn, ask: Ask::Propose(command) } => self.asked(now, conn, command, out),
-            In::Left { conn } => self.waiting.retain(|_, waiting| {
-                waiting.conns.remove(&conn);
-                !waiting.conns.is_empty()
+            Input::ClientRequest { conn, request: ClientRequest::Propose(command) } => {
+                self.handle_client_command(now, conn, command, out)
+            }
+            Input::ClientDisconnected { conn } => self.waiting.retain(|_, waiting| {
+                waiting.connections.remove(&conn);
+                !waiting.connections.is_empty()
             }),
         }
-        self.settle(now, out)
+        self.process_replica_outputs(now, out)
     }
 
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Out>) -> Result<(), RecordError> {
-        // After a pause the ticks that were missed are not made up for: the others have gone on.
-        if now >= self.tick {
-            self.tick = now + TICK;
+    /// Runs all timers that are due.
+    pub fn wake(&mut self, now: Micros, out: &mut Vec<Output>) -> Result<(), RecordError> {
+        // Ticks missed during a pause are not made up for: the other keepers have gone on.
+        if now >= self.next_tick {
+            self.next_tick = now + TICK_INTERVAL;
             self.replica.tick();
         }
         let mut sends = Vec::new();
         self.members.wake(now, &mut sends);
-        self.gossip(sends, out);
-        if self.founding && now >= self.found {
-            self.found = now + FOUND;
-            let holds = self.replica.holds();
-            self.to_keepers(|_| Body::Holds { holds, ask: true }, out);
+        self.send_gossip(sends, out);
+        if self.is_bootstrapping && now >= self.next_bootstrap_query {
+            self.next_bootstrap_query = now + BOOTSTRAP_QUERY_INTERVAL;
+            let status = self.replica.log_status();
+            self.send_to_keepers(|_| MemberMessage::LogStatus { status, wants_reply: true }, out);
         }
-        if now >= self.sync {
-            self.sync = now + SYNC;
-            self.tell_versions(out);
+        if now >= self.next_sync {
+            self.next_sync = now + REPORT_SYNC_INTERVAL;
+            self.send_report_versions(out);
         }
-        if now >= self.keep {
-            self.keep = now + KEEP;
-            self.keep_reports(out);
+        if now >= self.next_report_store {
+            self.next_report_store = now + REPORT_STORE_INTERVAL;
+            self.store_reports(out);
         }
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (key, waiting) in &mut self.waiting {
-            if now >= waiting.until {
-                over.push(key.clone());
-            } else if now >= waiting.again {
-                waiting.again = now + AGAIN;
+            if now >= waiting.expires_at {
+                expired.push(key.clone());
+            } else if now >= waiting.retry_at {
+                waiting.retry_at = now + PROPOSE_RETRY_INTERVAL;
                 self.replica.propose(&waiting.command);
             }
         }
-        for waiting in over.iter().filter_map(|key| self.waiting.remove(key)) {
-            let what = if self.replica.standing().leader == 0 {
-                "no leader is known here"
+        for waiting in expired.iter().filter_map(|key| self.waiting.remove(key)) {
+            let reason = if self.replica.status().leader == 0 {
+                "this keeper knows no leader"
             } else {
-                "no majority has it"
+                "no majority has confirmed it"
             };
-            for conn in waiting.conns {
-                out.push(Out::Answer { conn, answer: Box::new(Answer::NotYet(what.into())) });
+            for conn in waiting.connections {
+                out.push(Output::ClientResponse {
+                    conn,
+                    response: Box::new(ClientResponse::Unconfirmed(reason.into())),
+                });
             }
         }
-        self.settle(now, out)
+        self.process_replica_outputs(now, out)
     }
 
-    fn number_of(&self, keeper: &Name) -> Option<u64> {
+    fn keeper_number(&self, keeper: &Name) -> Option<u64> {
         self.keepers.iter().position(|name| name == keeper).map(|n| n as u64 + 1)
     }
 
-    fn to_keepers(&self, body: impl Fn(&Name) -> Body, out: &mut Vec<Out>) {
+    fn send_to_keepers(&self, body: impl Fn(&Name) -> MemberMessage, out: &mut Vec<Output>) {
         for to in self.keepers.iter().filter(|name| **name != self.name) {
-            out.push(Out::Send { to: to.clone(), at: None, body: body(to) });
+            out.push(Output::Send { to: to.clone(), at: None, body: body(to) });
         }
     }
 
-    fn from(&mut self, now: Time, peer: Name, body: Body, out: &mut Vec<Out>) -> Result<(), RecordError> {
-        let number = self.number_of(&peer);
-        let mut unread = false;
+    fn handle_peer_message(
+        &mut self,
+        now: Micros,
+        peer: Name,
+        body: MemberMessage,
+        out: &mut Vec<Output>,
+    ) -> Result<(), RecordError> {
+        let number = self.keeper_number(&peer);
+        let mut is_rejected = false;
         match (body, number) {
-            (Body::Record(message), Some(_)) => match self.replica.step(&message) {
-                Err(RecordError::Garbled) => unread = true,
+            (MemberMessage::Raft(message), Some(_)) => match self.replica.step(&message) {
+                Err(RecordError::MalformedMessage) => is_rejected = true,
                 done => done?,
             },
-            (Body::Holds { holds, ask }, Some(number)) => {
-                self.replica.heard(number, holds);
-                if ask {
-                    let body = Body::Holds { holds: self.replica.holds(), ask: false };
-                    out.push(Out::Send { to: peer.clone(), at: None, body });
+            (MemberMessage::LogStatus { status, wants_reply }, Some(number)) => {
+                self.replica.record_peer_status(number, status);
+                if wants_reply {
+                    let body =
+                        MemberMessage::LogStatus { status: self.replica.log_status(), wants_reply: false };
+                    out.push(Output::Send { to: peer.clone(), at: None, body });
                 }
             }
-            (Body::Versions(theirs), Some(_)) => {
-                let newer = self.store.newer_than(&theirs, SYNC_BYTES);
+            (MemberMessage::ReportVersions(peer_versions), Some(_)) => {
+                let newer = self.store.newer_than(&peer_versions, MAX_REPORT_SYNC_BYTES);
                 if !newer.is_empty() {
-                    out.push(Out::Send { to: peer.clone(), at: None, body: Body::Reports(newer) });
+                    out.push(Output::Send {
+                        to: peer.clone(),
+                        at: None,
+                        body: MemberMessage::Reports(newer),
+                    });
                 }
             }
-            (Body::Reports(reports), Some(_)) => reports.iter().for_each(|report| self.report(now, report)),
-            (Body::Swim(message), _) => {
+            (MemberMessage::Reports(reports), Some(_)) => {
+                reports.iter().for_each(|report| self.take_report(now, report))
+            }
+            (MemberMessage::Swim(message), _) => {
                 let mut sends = Vec::new();
-                unread = !self.members.handle(now, &message, &mut sends);
-                self.gossip(sends, out);
+                is_rejected = !self.members.handle(now, &message, &mut sends);
+                self.send_gossip(sends, out);
             }
-            // A member speaks for itself.
-            (Body::Report(report), _) if report.member == peer && report.kind != Kind::Keeper => {
-                self.report(now, &report);
-                let body = Body::Heard { taken: self.replica.state().taken() };
-                out.push(Out::Send { to: peer.clone(), at: None, body });
+            // A member reports only its own counts.
+            (MemberMessage::Report(report), _)
+                if report.member == peer && report.kind != MemberKind::Keeper =>
+            {
+                self.take_report(now, &report);
+                let body =
+                    MemberMessage::ReportAck { applied_commands: self.replica.state().applied_commands() };
+                out.push(Output::Send { to: peer.clone(), at: None, body });
             }
-            _ => unread = true,
+            _ => is_rejected = true,
         }
-        if unread {
-            out.push(Out::Note(Note::Unread { peer }));
+        if is_rejected {
+            out.push(Output::Notice(Notice::RejectedMessage { peer }));
         }
         Ok(())
     }
 
-    fn report(&mut self, now: Time, report: &Report) {
+    fn take_report(&mut self, now: Micros, report: &Report) {
         if self.store.take(now, report) {
-            self.unkept.insert((report.member.clone(), report.boot));
+            self.unsaved_reports.insert((report.member.clone(), report.boot));
         }
     }
 
-    fn gossip(&self, sends: Vec<SwimSend>, out: &mut Vec<Out>) {
-        for SwimSend { to, message } in sends {
-            out.push(Out::Send { to: to.name, at: Some(to.at), body: Body::Swim(message) });
+    fn send_gossip(&self, sends: Vec<OutgoingMessage>, out: &mut Vec<Output>) {
+        for OutgoingMessage { to, message } in sends {
+            out.push(Output::Send { to: to.name, at: Some(to.at), body: MemberMessage::Swim(message) });
         }
     }
 
-    /// One other keeper after the other hears which reports are held here.
-    fn tell_versions(&mut self, out: &mut Vec<Out>) {
+    /// Sends the versions of the held reports to one other keeper, each in turn.
+    fn send_report_versions(&mut self, out: &mut Vec<Output>) {
         let others: Vec<&Name> = self.keepers.iter().filter(|name| **name != self.name).collect();
-        let to = others[self.synced % others.len()].clone();
-        self.synced += 1;
-        out.push(Out::Send { to, at: None, body: Body::Versions(self.store.versions()) });
+        let to = others[self.sync_count % others.len()].clone();
+        self.sync_count += 1;
+        out.push(Output::Send { to, at: None, body: MemberMessage::ReportVersions(self.store.versions()) });
     }
 
-    fn keep_reports(&mut self, out: &mut Vec<Out>) {
-        let unkept = std::mem::take(&mut self.unkept);
+    fn store_reports(&mut self, out: &mut Vec<Output>) {
+        let unsaved_reports = std::mem::take(&mut self.unsaved_reports);
         let mut blocks = Vec::new();
         for (name, held) in self.store.members() {
-            let new = held.boots.keys().filter(|boot| unkept.contains(&(name.clone(), **boot)));
+            let new = held.boots.keys().filter(|boot| unsaved_reports.contains(&(name.clone(), **boot)));
             for report in new.filter_map(|boot| held.report(name, *boot)) {
-                let key = place(name, report.boot);
+                let key = report_key(name, report.boot);
                 if let Ok(bytes) = postcard::to_stdvec(&report) {
-                    blocks.push((key, seal(Seal::Report(key), &bytes)));
+                    blocks.push((key, encode_block(BlockKind::Report(key), &bytes)));
                 }
             }
         }
         if !blocks.is_empty() {
-            out.push(Out::Keep(blocks));
+            out.push(Output::StoreReports(blocks));
         }
     }
 
-    fn asked(&mut self, now: Time, conn: u64, command: Box<Command>, out: &mut Vec<Out>) {
-        let answer = |answer| Out::Answer { conn, answer: Box::new(answer) };
+    fn handle_client_command(
+        &mut self,
+        now: Micros,
+        conn: u64,
+        command: Box<Command>,
+        out: &mut Vec<Output>,
+    ) {
+        let response = |response| Output::ClientResponse { conn, response: Box::new(response) };
         let refused = |key: &str, reason: &str| {
-            answer(Answer::Refused(crate::change::BadProposal { key: key.into(), reason: reason.into() }))
+            response(ClientResponse::Refused(crate::change::BadProposal {
+                key: key.into(),
+                reason: reason.into(),
+            }))
         };
-        match &command.order {
-            Order::Propose(proposal) => {
+        match &command.operation {
+            Operation::Propose(proposal) => {
                 if let Err(error) = proposal.check() {
-                    return out.push(answer(Answer::Refused(error)));
+                    return out.push(response(ClientResponse::Refused(error)));
                 }
             }
-            Order::Stop { .. } => {}
-            Order::Rejoin { .. } => return out.push(refused("order", "only a keeper rejoins")),
+            Operation::Stop { .. } => {}
+            Operation::Rejoin { .. } => {
+                return out.push(refused("order", "only a keeper may propose a rejoin"));
+            }
         }
-        if postcard::to_stdvec(&command).map_or(true, |bytes| bytes.len() > MOST_COMMAND) {
-            return out.push(refused("command", &format!("over {MOST_COMMAND} bytes")));
+        if postcard::to_stdvec(&command).map_or(true, |bytes| bytes.len() > MAX_COMMAND_BYTES) {
+            return out.push(refused("command", &format!("larger than {MAX_COMMAND_BYTES} bytes")));
         }
         let key = (command.proposer.clone(), command.number);
-        if !self.waiting.contains_key(&key) && self.waiting.len() >= MOST_WAITING {
-            return out.push(answer(Answer::NotYet(format!("{MOST_WAITING} commands wait here already"))));
+        if !self.waiting.contains_key(&key) && self.waiting.len() >= MAX_WAITING_COMMANDS {
+            return out.push(response(ClientResponse::Unconfirmed(format!(
+                "{MAX_WAITING_COMMANDS} commands are waiting at this keeper already"
+            ))));
         }
         self.replica.propose(&command);
-        let new = Waiting { command, conns: BTreeSet::new(), until: now + PATIENCE, again: now + AGAIN };
-        self.waiting.entry(key).or_insert(new).conns.insert(conn);
+        let new = WaitingCommand {
+            command,
+            connections: BTreeSet::new(),
+            expires_at: now + COMMAND_TIMEOUT,
+            retry_at: now + PROPOSE_RETRY_INTERVAL,
+        };
+        self.waiting.entry(key).or_insert(new).connections.insert(conn);
     }
 
-    /// Carries out what the record gives.
-    fn settle(&mut self, _now: Time, out: &mut Vec<Out>) -> Result<(), RecordError> {
-        let mut steps = Vec::new();
-        self.replica.steps(&mut steps)?;
-        for step in steps {
-            match step {
-                Step::Write(write) => out.push(Out::Write(write)),
-                Step::Send { to, message } => {
+    /// Turns the outputs of the replica into outputs of the keeper.
+    fn process_replica_outputs(&mut self, _now: Micros, out: &mut Vec<Output>) -> Result<(), RecordError> {
+        let mut outputs = Vec::new();
+        self.replica.take_outputs(&mut outputs)?;
+        for output in outputs {
+            match output {
+                ReplicaOutput::Write(write) => out.push(Output::Write(write)),
+                ReplicaOutput::Send { to, message } => {
                     if let Some(name) = self.keepers.get((to as usize).wrapping_sub(1)) {
-                        out.push(Out::Send { to: name.clone(), at: None, body: Body::Record(message) });
+                        out.push(Output::Send {
+                            to: name.clone(),
+                            at: None,
+                            body: MemberMessage::Raft(message),
+                        });
                     }
                 }
-                Step::Applied { command, outcome } => {
+                ReplicaOutput::Applied { command, outcome } => {
                     let waiting = self.waiting.remove(&(command.proposer.clone(), command.number));
-                    for conn in waiting.into_iter().flat_map(|waiting| waiting.conns) {
-                        let answer = match &outcome {
-                            Outcome::Refused(error) => Answer::Refused(error.clone()),
-                            outcome => Answer::Done(outcome.clone()),
+                    for conn in waiting.into_iter().flat_map(|waiting| waiting.connections) {
+                        let response = match &outcome {
+                            Outcome::Refused(error) => ClientResponse::Refused(error.clone()),
+                            outcome => ClientResponse::Applied(outcome.clone()),
                         };
-                        out.push(Out::Answer { conn, answer: Box::new(answer) });
+                        out.push(Output::ClientResponse { conn, response: Box::new(response) });
                     }
-                    out.push(Out::Note(Note::Decided { command, outcome }));
+                    out.push(Output::Notice(Notice::CommandApplied { command, outcome }));
                 }
-                Step::Restored => {}
-                Step::Rejoined => out.push(Out::Note(Note::Rejoined)),
+                ReplicaOutput::Restored => {}
+                ReplicaOutput::Rejoined => out.push(Output::Notice(Notice::Rejoined)),
             }
         }
-        if self.founding && !matches!(self.replica.trust(), Trust::Blank { .. }) {
-            self.founding = false;
-            if self.replica.trust().has_voice() {
-                out.push(Out::Note(Note::Founded));
+        if self.is_bootstrapping && !matches!(self.replica.participation(), Participation::Blank { .. }) {
+            self.is_bootstrapping = false;
+            if self.replica.participation().can_vote() {
+                out.push(Output::Notice(Notice::Bootstrapped));
             }
         }
-        let standing = self.replica.standing();
-        if standing.leader != self.leader {
-            self.leader = standing.leader;
-            let name = self.keepers.get((standing.leader as usize).wrapping_sub(1)).cloned();
-            out.push(Out::Note(Note::Leads(name)));
+        let status = self.replica.status();
+        if status.leader != self.leader {
+            self.leader = status.leader;
+            let name = self.keepers.get((status.leader as usize).wrapping_sub(1)).cloned();
+            out.push(Output::Notice(Notice::LeaderChanged(name)));
         }
         Ok(())
     }
 
-    pub fn leads(&self) -> bool {
-        self.replica.standing().role == Role::Leader
+    /// Whether this keeper considers itself the leader.
+    pub fn is_leader(&self) -> bool {
+        self.replica.status().role == Role::Leader
     }
 
-    pub fn shown(&self, now: Time) -> Shown {
-        let summary = Summary::of(&self.store, now);
-        Shown {
+    /// The state of the fleet as this keeper sees it.
+    pub fn status(&self, now: Micros) -> FleetStatus {
+        let summary = EvidenceSummary::of(&self.store, now);
+        FleetStatus {
             fleet: self.fleet.clone(),
             keeper: self.name.clone(),
             keepers: self.keepers.clone(),
-            standing: self.replica.standing(),
-            doubts: self.replica.doubts().to_vec(),
-            taken: self.replica.state().taken(),
+            status: self.replica.status(),
+            disk_faults: self.replica.disk_faults().to_vec(),
+            applied_commands: self.replica.state().applied_commands(),
             digest: self.replica.state().digest(),
             changes: self.replica.state().changes().cloned().collect(),
-            members: self.members.seen(),
+            members: self.members.statuses(),
             counting: summary.members,
             silent: summary.silent,
             groups: summary.groups.into_iter().collect(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,19 @@
-//! What the processes of a fleet decide together, free of I/O, clocks and threads.
+//! Coordination of the processes of a fleet: a replicated log, membership and request counts. Without I/O, clocks and
+//! threads.
 //!
-//! - [`record`]: a small, durable, ordered record of decisions, kept by three or five *keepers*.
-//! - [`members`]: who is there, by SWIM.
-//! - [`evidence`]: what members count, cumulative by member and boot.
-//! - [`change`]: what can be proposed; how a change is staged is to come.
-//! - [`wire`]: what processes say to each other.
-//! - [`keeper`] and [`agent`]: the two kinds of process. They are told what happened and the time, and give what is
-//!   to be done, in order: what is to be written is on disk before what follows it is sent.
+//! - [`record`]: a small, durable, replicated log of decisions on three or five *keepers*.
+//! - [`members`]: membership by SWIM.
+//! - [`evidence`]: request counts, cumulative by member and boot.
+//! - [`change`]: what can be proposed. Carrying a change out in stages is not implemented yet.
+//! - [`wire`]: the messages between processes.
+//! - [`keeper`] and [`agent`]: the state machines of the two kinds of process. They take inputs with the time and return
+//!   outputs in order.
 //!
-//! The same core runs on sockets (`crates/fleetd`) and in simulated time (`tests/`). Wall clocks decide nothing: times
-//! are microseconds of the process's own clock. Fronts never need any of this: they serve on with what they have.
+//! Invariant: a write is on disk before any output after it is sent.
+//!
+//! The same state machines run on sockets (`crates/fleetd`) and in simulated time (`tests/`). Nothing depends on wall
+//! clocks: times are microseconds of the process's own clock. Fronts do not depend on this crate's processes: they keep
+//! serving without them.
 
 pub mod agent;
 pub mod change;
@@ -22,6 +26,8 @@
 pub mod wire;
 
 /// Microseconds of a process's own clock.
-pub type Time = u64;
-pub const SECOND: Time = 1_000_000;
-pub const MILLI: Time = 1_000;
+pub type Micros = u64;
+/// One second in microseconds.
+pub const SECOND: Micros = 1_000_000;
+/// One millisecond in microseconds.
+pub const MILLISECOND: Micros = 1_000;
--- a/crates/fleet/src/members/identity.rs
+++ b/crates/fleet/src/members/identity.rs
@@ -1,4 +1,4 @@
-//! A member, as the others know it.
+//! The identity by which members know each other.
 
 use std::net::SocketAddr;
 
@@ -6,9 +6,10 @@
 
 use crate::name::Name;
 
+/// Kind of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum MemberKind {
     Keeper,
     /// An agent beside a front.
     Front,
@@ -16,25 +17,26 @@
     Engine,
 }
 
-/// Known by its name; of two with the same name the later start prevails.
+/// A member, identified by its name. Of two identities with the same name the later start prevails.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
     pub name: Name,
-    pub kind: Kind,
+    pub kind: MemberKind,
     pub zone: Name,
-    /// Where it listens.
+    /// Listen address.
     pub at: SocketAddr,
-    /// Its start: a count in the upper half, drawn below.
+    /// Boot ID: a start count in the upper 32 bits, a random number in the lower 32.
     pub boot: u64,
-    /// Rises when it is taken for down and says that it is not.
-    pub turn: u32,
+    /// SWIM incarnation: increases each time the member refutes that it is down.
+    #[serde(rename = "turn")]
+    pub incarnation: u32,
 }
 
 impl foca::Identity for Identity {
     type Addr = Name;
 
     fn renew(&self) -> Option<Identity> {
-        Some(Identity { turn: self.turn.wrapping_add(1), ..self.clone() })
+        Some(Identity { incarnation: self.incarnation.wrapping_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> Name {
@@ -42,6 +44,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Identity) -> bool {
-        (self.boot, self.turn) > (other.boot, other.turn)
+        (self.boot, self.incarnation) > (other.boot, other.incarnation)
     }
 }
--- a/crates/fleet/src/members/swim.rs
+++ b/crates/fleet/src/members/swim.rs
@@ -1,4 +1,4 @@
-//! The library, driven with one clock reading a time: what it wants sent and when it wants to be woken.
+//! Drives the `foca` library with explicit times: collects the messages it sends and keeps its timers. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -12,176 +12,197 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::identity::Identity;
-use crate::Time;
+use crate::Micros;
 use crate::name::Name;
 
-/// One question a second; an answer within half of it, else three others ask.
-const PERIOD: Duration = Duration::from_secs(1);
-const ANSWER: Duration = Duration::from_millis(500);
-const OTHERS: usize = 3;
-/// A suspect is down after so long: three periods in which anybody may hear of it.
-const DOWN_AFTER: Duration = Duration::from_secs(3);
-/// A member that is down is remembered for an hour, so that late news does not bring it back.
-const REMEMBER: Duration = Duration::from_secs(3600);
-/// News is told so often by each: 4 log10(1,000) as memberlist's rule for local networks has it.
-const TOLD: u8 = 12;
-/// Largest message in bytes: some 60 members' news.
-const PACKET: usize = 8 << 10;
-/// Members known at most; what is beyond is not taken in. Guards against a flood of made-up names.
-const MOST: usize = 4096;
-/// A member that knows nobody says hello again after so long.
-const HELLO: Time = 2_000_000;
+/// One probe a second. Without an answer within half a second, three other members probe indirectly.
+const PROBE_PERIOD: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+const INDIRECT_PROBES: usize = 3;
+/// A suspect is down after this time: three probe periods in which the suspicion can spread.
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A member that is down is remembered for an hour, so that a late update does not bring it back.
+const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(3600);
+/// How often each member forwards an update: 4 log10(1,000), the rule of memberlist for local networks.
+const MAX_GOSSIP_TRANSMISSIONS: u8 = 12;
+/// Largest message: updates of about 60 members.
+const MAX_PACKET_BYTES: usize = 8 << 10;
+/// Maximum number of known members; further ones are ignored. Protects against a flood of made-up names.
+const MAX_MEMBERS: usize = 4096;
+/// Interval at which a member that knows no other announces itself to a seed.
+const ANNOUNCE_INTERVAL: Micros = 2_000_000;
 
 /// A message to a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct OutgoingMessage {
     pub to: Identity,
     pub message: Vec<u8>,
 }
 
-/// How a member is seen.
+/// State of a member, as this member sees it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Seen {
+pub struct MemberStatus {
     pub identity: Identity,
-    pub up: bool,
+    #[serde(rename = "up")]
+    pub is_up: bool,
 }
 
+/// This member's view of the membership.
 pub struct Members {
-    swim: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
-    timers: BTreeMap<(Time, u64), Timer<Identity>>,
-    next: u64,
-    /// Whom to say hello to.
+    foca: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
+    timers: BTreeMap<(Micros, u64), Timer<Identity>>,
+    next_timer_id: u64,
+    /// Members to announce to.
     seeds: Vec<Identity>,
-    hello: Time,
-    hellos: usize,
-    /// The last that was known of each, down ones too.
-    last: BTreeMap<Name, Identity>,
+    next_announce: Micros,
+    announce_count: usize,
+    /// Last known identity of each member, including those that are down.
+    last_known: BTreeMap<Name, Identity>,
     up: BTreeSet<Name>,
 }
 
 impl Members {
-    pub fn new(me: Identity, seeds: Vec<Identity>, seed: u64, now: Time) -> Members {
+    /// Starts the membership of `me`. `seed` seeds the random choice of probe targets.
+    pub fn new(me: Identity, seeds: Vec<Identity>, seed: u64, now: Micros) -> Members {
         let announce = |seconds, members| {
             let frequency = Duration::from_secs(seconds);
             NonZeroUsize::new(members).map(|num_members| PeriodicParams { frequency, num_members })
         };
         let config = Config {
-            probe_period: PERIOD,
-            probe_rtt: ANSWER,
-            num_indirect_probes: NonZeroUsize::new(OTHERS).unwrap_or(NonZeroUsize::MIN),
-            max_transmissions: NonZeroU8::new(TOLD).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: DOWN_AFTER,
-            remove_down_after: Some(REMEMBER),
-            max_packet_size: NonZeroUsize::new(PACKET).unwrap_or(NonZeroUsize::MIN),
+            probe_period: PROBE_PERIOD,
+            probe_rtt: PROBE_TIMEOUT,
+            num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(NonZeroUsize::MIN),
+            max_transmissions: NonZeroU8::new(MAX_GOSSIP_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: SUSPECT_TIMEOUT,
+            remove_down_after: Some(DOWN_MEMBER_RETENTION),
+            max_packet_size: NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
-            // Halves of a fleet that a cut has parted find each other again by these.
+            // These reunite the two sides of a network partition.
             periodic_announce: announce(30, 1),
             periodic_announce_to_down_members: announce(15, 2),
             periodic_gossip: None,
         };
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let last = BTreeMap::from([(me.name.clone(), me.clone())]);
-        let seeds = seeds.into_iter().filter(|of| of.name != me.name).collect();
-        let swim = Foca::new(me, config, rng, PostcardCodec);
+        let last_known = BTreeMap::from([(me.name.clone(), me.clone())]);
+        let seeds = seeds.into_iter().filter(|member| member.name != me.name).collect();
+        let foca = Foca::new(me, config, rng, PostcardCodec);
         Members {
-            swim,
+            foca,
             timers: BTreeMap::new(),
-            next: 0,
+            next_timer_id: 0,
             seeds,
-            hello: now,
-            hellos: 0,
-            last,
+            next_announce: now,
+            announce_count: 0,
+            last_known,
             up: BTreeSet::new(),
         }
     }
 
+    /// This member's own identity.
     pub fn me(&self) -> &Identity {
-        self.swim.identity()
+        self.foca.identity()
     }
 
-    pub fn next_timer(&self) -> Option<Time> {
+    /// When [`Self::wake`] is due next.
+    pub fn next_timer(&self) -> Option<Micros> {
         let timer = self.timers.keys().next().map(|(at, _)| *at);
-        timer.into_iter().chain((!self.seeds.is_empty()).then_some(self.hello)).min()
+        timer.into_iter().chain((!self.seeds.is_empty()).then_some(self.next_announce)).min()
     }
 
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Send>) {
+    /// Runs all timers that are due.
+    pub fn wake(&mut self, now: Micros, out: &mut Vec<OutgoingMessage>) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             let timer = entry.remove();
             let mut runtime = AccumulatingRuntime::new();
-            // Its errors speak of what others sent, or of an identity that was left: nothing to be done.
-            let _ = self.swim.handle_timer(timer, &mut runtime);
-            self.take(now, runtime, out);
+            // Errors concern messages of other members or an identity no longer in use: nothing to do.
+            let _ = self.foca.handle_timer(timer, &mut runtime);
+            self.process_runtime(now, runtime, out);
         }
-        if now >= self.hello && !self.seeds.is_empty() {
-            self.hello = now + HELLO;
-            if self.swim.num_members() == 0 {
-                let seed = self.seeds[self.hellos % self.seeds.len()].clone();
-                self.hellos += 1;
+        if now >= self.next_announce && !self.seeds.is_empty() {
+            self.next_announce = now + ANNOUNCE_INTERVAL;
+            if self.foca.num_members() == 0 {
+                let seed = self.seeds[self.announce_count % self.seeds.len()].clone();
+                self.announce_count += 1;
                 let mut runtime = AccumulatingRuntime::new();
-                let _ = self.swim.announce(seed, &mut runtime);
-                self.take(now, runtime, out);
+                let _ = self.foca.announce(seed, &mut runtime);
+                self.process_runtime(now, runtime, out);
             }
         }
     }
 
-    /// A message of another member. `false`: it can't be read.
-    pub fn handle(&mut self, now: Time, message: &[u8], out: &mut Vec<Send>) -> bool {
-        if message.len() > PACKET || self.last.len() >= MOST {
-            return message.len() <= PACKET;
+    /// Processes a message of another member. `false` if it is malformed.
+    pub fn handle(&mut self, now: Micros, message: &[u8], out: &mut Vec<OutgoingMessage>) -> bool {
+        if message.len() > MAX_PACKET_BYTES || self.last_known.len() >= MAX_MEMBERS {
+            return message.len() <= MAX_PACKET_BYTES;
         }
         let mut runtime = AccumulatingRuntime::new();
-        let good = self.swim.handle_data(message, &mut runtime);
-        self.take(now, runtime, out);
-        !matches!(good, Err(foca::Error::Decode(_) | foca::Error::MalformedPacket | foca::Error::DataTooBig))
+        let result = self.foca.handle_data(message, &mut runtime);
+        self.process_runtime(now, runtime, out);
+        !matches!(
+            result,
+            Err(foca::Error::Decode(_) | foca::Error::MalformedPacket | foca::Error::DataTooBig)
+        )
     }
 
-    fn take(&mut self, now: Time, mut runtime: AccumulatingRuntime<Identity>, out: &mut Vec<Send>) {
+    /// Collects messages, timers and notifications of the library.
+    fn process_runtime(
+        &mut self,
+        now: Micros,
+        mut runtime: AccumulatingRuntime<Identity>,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         while let Some((to, message)) = runtime.to_send() {
-            out.push(Send { to, message: message.to_vec() });
+            out.push(OutgoingMessage { to, message: message.to_vec() });
         }
         while let Some((after, timer)) = runtime.to_schedule() {
-            let at = now + u64::try_from(after.as_micros()).unwrap_or(Time::MAX / 2);
-            self.next += 1;
-            self.timers.insert((at, self.next), timer);
+            let at = now + u64::try_from(after.as_micros()).unwrap_or(Micros::MAX / 2);
+            self.next_timer_id += 1;
+            self.timers.insert((at, self.next_timer_id), timer);
         }
-        while let Some(news) = runtime.to_notify() {
-            match news {
-                OwnedNotification::MemberUp(of) | OwnedNotification::Rename(_, of) => {
-                    self.up.insert(of.name.clone());
-                    self.last.insert(of.name.clone(), of);
+        while let Some(notification) = runtime.to_notify() {
+            match notification {
+                OwnedNotification::MemberUp(member) | OwnedNotification::Rename(_, member) => {
+                    self.up.insert(member.name.clone());
+                    self.last_known.insert(member.name.clone(), member);
                 }
-                OwnedNotification::MemberDown(of) => {
-                    // Guards against late news of a start before the one that is up.
-                    if self.last.get(&of.name).is_none_or(|last| last.boot <= of.boot) {
-                        self.up.remove(&of.name);
+                OwnedNotification::MemberDown(member) => {
+                    // Ignores a late update about a start before the current one.
+                    if self
+                        .last_known
+                        .get(&member.name)
+                        .is_none_or(|last_known| last_known.boot <= member.boot)
+                    {
+                        self.up.remove(&member.name);
                     }
-                    self.last.entry(of.name.clone()).or_insert(of);
+                    self.last_known.entry(member.name.clone()).or_insert(member);
+                }
+                OwnedNotification::Rejoin(member) => {
+                    drop(self.last_known.insert(member.name.clone(), member))
                 }
-                OwnedNotification::Rejoin(of) => drop(self.last.insert(of.name.clone(), of)),
                 OwnedNotification::Active | OwnedNotification::Idle | OwnedNotification::Defunct => {}
             }
         }
     }
 
-    /// All that were ever known to this process, by name; this one is up.
-    pub fn seen(&self) -> Vec<Seen> {
-        let me = &self.swim.identity().name;
-        let seen = |(name, identity): (&Name, &Identity)| Seen {
+    /// All members that this process has ever known, by name. This member itself is up.
+    pub fn statuses(&self) -> Vec<MemberStatus> {
+        let me = &self.foca.identity().name;
+        let statuses = |(name, identity): (&Name, &Identity)| MemberStatus {
             identity: identity.clone(),
-            up: name == me || self.up.contains(name),
+            is_up: name == me || self.up.contains(name),
         };
-        self.last.iter().map(seen).collect()
+        self.last_known.iter().map(statuses).collect()
     }
 
-    /// Where a member was last known to listen.
-    pub fn find(&self, name: &Name) -> Option<&Identity> {
-        self.last.get(name)
+    /// Last known identity of a member.
+    pub fn last_identity(&self, name: &Name) -> Option<&Identity> {
+        self.last_known.get(name)
     }
 
-    /// Says that this member leaves by its own will.
-    pub fn leave(&mut self, now: Time, out: &mut Vec<Send>) {
+    /// Announces that this member leaves.
+    pub fn leave(&mut self, now: Micros, out: &mut Vec<OutgoingMessage>) {
         let mut runtime = AccumulatingRuntime::new();
-        let _ = self.swim.leave_cluster(&mut runtime);
-        self.take(now, runtime, out);
+        let _ = self.foca.leave_cluster(&mut runtime);
+        self.process_runtime(now, runtime, out);
     }
 }
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// Longest name, in bytes: a host name's label (RFC 1035, section 2.3.4).
-pub const MOST: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// 1 to 63 lower-case letters, digits, `-`, `_` and `.`, the first a letter or digit.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
 pub struct Name(Box<str>);
 
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{0:?} is no name: 1 to {MOST} of a-z, 0-9, '-', '_' and '.', the first a letter or digit")]
+#[error("{0:?} is no name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_' and '.', the first a letter or digit")]
 pub struct BadName(String);
 
 impl Name {
@@ -27,12 +27,12 @@
     type Error = BadName;
 
     fn try_from(text: String) -> Result<Name, BadName> {
-        let good = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit();
-        let all = text.bytes().all(|c| good(c) || b"-_.".contains(&c));
-        if (1..=MOST).contains(&text.len()) && all && good(text.as_bytes()[0]) {
+        let is_alphanumeric = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit();
+        let all_allowed = text.bytes().all(|c| is_alphanumeric(c) || b"-_.".contains(&c));
+        if (1..=MAX_NAME_BYTES).contains(&text.len()) && all_allowed && is_alphanumeric(text.as_bytes()[0]) {
             Ok(Name(text.into()))
         } else {
-            Err(BadName(text.chars().take(MOST + 1).collect()))
+            Err(BadName(text.chars().take(MAX_NAME_BYTES + 1).collect()))
         }
     }
 }
--- a/crates/fleet/src/record/log.rs
+++ b/crates/fleet/src/record/log.rs
@@ -1,72 +1,77 @@
-//! The log as the library reads it: all that is not in the snapshot, in memory. The record is small: it is compacted
-//! after [`super::replica`]'s bounds.
+//! The in-memory log that the `raft` library reads: all entries after the snapshot. It does not write to disk. It stays
+//! small because [`super::replica`] compacts it at fixed bounds.
 
-use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
+use raft::eraftpb::{ConfState, Entry, HardState as RaftHardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-use super::stored::{Found, Hard};
+use super::stored::{HardState, RecoveredLog};
 
+/// Raft log, hard state and last snapshot of one keeper.
 pub struct Log {
-    mem: MemStorage,
+    storage: MemStorage,
     snapshot: Option<Snapshot>,
 }
 
 impl Log {
-    /// The log of a keeper among these, from what was on its disk.
-    pub fn new(voters: &[u64], found: &Found) -> raft::Result<Log> {
-        let mem = MemStorage::new_with_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
-        let snapshot = found.snapshot.as_ref().map(|(snapshot, _)| snapshot.clone());
+    /// Builds the log of a keeper of this voter set from the content of its disk.
+    pub fn new(voters: &[u64], recovered: &RecoveredLog) -> raft::Result<Log> {
+        let storage = MemStorage::new_with_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
+        let snapshot = recovered.snapshot.as_ref().map(|(snapshot, _)| snapshot.clone());
         {
-            let mut core = mem.wl();
+            let mut core = storage.wl();
             if let Some(snapshot) = &snapshot {
                 core.apply_snapshot(snapshot.clone())?;
             }
-            core.append(&found.entries)?;
+            core.append(&recovered.entries)?;
         }
-        let mut log = Log { mem, snapshot };
-        log.set_hard(found.hard);
+        let mut log = Log { storage, snapshot };
+        log.set_hard_state(recovered.hard_state);
         Ok(log)
     }
 
-    pub fn set_hard(&mut self, hard: Hard) {
-        let mut state = HardState::default();
-        (state.term, state.vote, state.commit) = (hard.term, hard.vote, hard.commit);
-        self.mem.wl().set_hardstate(state);
+    /// Replaces term, vote and commit index.
+    pub fn set_hard_state(&mut self, hard_state: HardState) {
+        let mut state = RaftHardState::default();
+        (state.term, state.vote, state.commit) = (hard_state.term, hard_state.vote, hard_state.commit);
+        self.storage.wl().set_hardstate(state);
     }
 
-    pub fn hard(&self) -> Hard {
-        let core = self.mem.rl();
+    /// Term, vote and commit index.
+    pub fn hard_state(&self) -> HardState {
+        let core = self.storage.rl();
         let state = core.hard_state();
-        Hard { term: state.term, vote: state.vote, commit: state.commit }
+        HardState { term: state.term, vote: state.vote, commit: state.commit }
     }
 
+    /// Appends entries; they replace existing ones from the first index on.
     pub fn append(&mut self, entries: &[Entry]) -> raft::Result<()> {
-        self.mem.wl().append(entries)
+        self.storage.wl().append(entries)
     }
 
+    /// Replaces the log by a snapshot from another keeper.
     pub fn apply_snapshot(&mut self, snapshot: &Snapshot) -> raft::Result<()> {
-        self.mem.wl().apply_snapshot(snapshot.clone())?;
+        self.storage.wl().apply_snapshot(snapshot.clone())?;
         self.snapshot = Some(snapshot.clone());
         Ok(())
     }
 
-    /// Replaces the entries before `first` by a snapshot that covers them and more.
+    /// Drops the entries before `first`; `snapshot` covers them and possibly later ones.
     pub fn compact(&mut self, snapshot: Snapshot, first: u64) -> raft::Result<()> {
         self.snapshot = Some(snapshot);
-        self.mem.wl().compact(first)
+        self.storage.wl().compact(first)
     }
 
-    /// Position and term of the last entry, or of the snapshot.
-    pub fn last(&self) -> super::stored::Position {
-        let index = self.mem.last_index().unwrap_or(0);
-        super::stored::Position { index, term: self.mem.term(index).unwrap_or(0) }
+    /// Index and term of the last entry, or of the snapshot if there is no entry.
+    pub fn last(&self) -> super::stored::LogPosition {
+        let index = self.storage.last_index().unwrap_or(0);
+        super::stored::LogPosition { index, term: self.storage.term(index).unwrap_or(0) }
     }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        self.mem.initial_state()
+        self.storage.initial_state()
     }
 
     fn entries(
@@ -76,19 +81,19 @@
         max_size: impl Into<Option<u64>>,
         context: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        self.mem.entries(low, high, max_size, context)
+        self.storage.entries(low, high, max_size, context)
     }
 
     fn term(&self, idx: u64) -> raft::Result<u64> {
-        self.mem.term(idx)
+        self.storage.term(idx)
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        self.mem.first_index()
+        self.storage.first_index()
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        self.mem.last_index()
+        self.storage.last_index()
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
--- a/crates/fleet/src/record/mod.rs
+++ b/crates/fleet/src/record/mod.rs
@@ -1,13 +1,14 @@
-//! The record: decisions in one order, kept by a majority of the keepers.
+//! The record: the replicated log of decisions, and the state that its commands build.
 //!
-//! Consensus is `raft`'s (see `docs/fleet.md` for why that library); nothing of it is written again here.
-//! - [`Command`] is what goes in, known by its proposer and number; [`State`] is what all of them together come to. It
-//!   is deterministic and takes each command once, however often it is sent.
-//! - [`Replica`] drives the library for one keeper and says what is to be written and sent.
-//! - [`Stored`] is what a keeper finds on its disk; it is read with suspicion.
-//! - [`Trust`] decides what a keeper may do that can't be sure of its disk.
+//! Consensus is the `raft` library's (`docs/fleet.md` says why that library); this module implements none of it.
+//! - [`Command`] is an entry of the log, identified by its proposer and number. [`RecordState`] is the state machine. It
+//!   is deterministic and applies each command once, however often the command is sent.
+//! - [`Replica`] drives the library for one keeper and lists what to write and send.
+//! - [`StoredBlocks`] is the content of a keeper's disk, which is verified before use.
+//! - [`Participation`] limits what a keeper may do while its disk may lack acknowledged entries.
 //!
-//! What happens at each cut is in `docs/fleet.md`.
+//! Invariant: a command is acknowledged only after a majority of the keepers has it on disk. `docs/fleet.md` describes
+//! what happens at each possible interruption.
 
 mod command;
 mod log;
@@ -16,11 +17,16 @@
 mod stored;
 mod trust;
 
-pub use command::{Command, Order, Proposer};
-pub use replica::{MOST_COMMAND, RecordError, Replica, Role, Standing, Step, TICK};
-pub use state::{Change, Outcome, Phase, State};
-pub use stored::{Found, Hard, Mark, Position, Seal, Stored, Write, open, seal};
-pub use trust::{Holds, Trust};
+pub use command::{Command, Operation, Proposer};
+pub use replica::{
+    MAX_COMMAND_BYTES, RecordError, Replica, ReplicaOutput, ReplicaStatus, Role, TICK_INTERVAL,
+};
+pub use state::{Change, Outcome, Phase, RecordState};
+pub use stored::{
+    BlockKind, DiskWrite, HardState, LogPosition, RecoveredLog, StoredBlocks, Watermark, decode_block,
+    encode_block,
+};
+pub use trust::{LogStatus, Participation};
 
-/// Keepers of a record: three bear the loss of one, five of two. More only cost.
-pub const KEEPERS: [usize; 2] = [3, 5];
+/// Permitted numbers of keepers: three tolerate the loss of one, five the loss of two. More keepers only add cost.
+pub const KEEPER_COUNTS: [usize; 2] = [3, 5];
--- a/crates/fleet/src/record/replica.rs
+++ b/crates/fleet/src/record/replica.rs
@@ -1,4 +1,6 @@
-//! One keeper's part in the record: drives the library, and says what is to be written, sent and answered, in order.
+//! Drives the `raft` library for one keeper and lists in order what to write, send and answer. Does no I/O.
+//!
+//! Invariant: a write comes before every message that depends on it.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
@@ -6,74 +8,78 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::command::{Command, Order};
+use super::command::{Command, Operation};
 use super::log::Log;
-use super::state::{Outcome, State};
-use super::stored::{Found, Hard, Mark, Seal, Stored, Write, seal};
-use super::trust::{Holds, Trust};
+use super::state::{Outcome, RecordState};
+use super::stored::{BlockKind, DiskWrite, HardState, RecoveredLog, StoredBlocks, Watermark, encode_block};
+use super::trust::{LogStatus, Participation};
 use crate::name::Name;
 
-/// Ticks between a leader's heartbeats, and without one before an election; a tick is [`TICK`].
-const HEARTBEAT: usize = 2;
-const ELECTION: usize = 20;
-/// Ticks by which the elections of two keepers differ, so that two rarely stand at the same time. Fixed and not
-/// drawn: the library draws from the thread's random numbers, which could not be replayed.
-const APART: usize = 5;
-/// Time of a tick, in microseconds: a leader is missed after 1.25 to 2.25 s, far over the longest delay between machines of
-/// one fleet, and a pause of a busy machine.
-pub const TICK: crate::Time = 50_000;
-/// A snapshot is made after so many entries or bytes; so many entries before it stay for keepers a little behind.
-const COMPACT_AFTER: u64 = 1024;
-const COMPACT_BYTES: usize = 4 << 20;
-const KEEP: u64 = 128;
-/// Largest message of entries, and entries in flight to one keeper.
-const MESSAGE_BYTES: u64 = 1 << 20;
-const IN_FLIGHT: usize = 64;
-/// Largest command: a proposal's text and room for the rest.
-pub const MOST_COMMAND: usize = crate::change::MOST_TEXT + (16 << 10);
+/// Ticks between two heartbeats of a leader, and ticks without one before an election; a tick is [`TICK_INTERVAL`].
+const HEARTBEAT_TICKS: usize = 2;
+const ELECTION_TICKS: usize = 20;
+/// Ticks by which the election timeouts of two keepers differ, so that two rarely stand at the same time. Fixed instead
+/// of random: the library would use the thread's random numbers, which a test could not replay.
+const ELECTION_STAGGER_TICKS: usize = 5;
+/// Length of a tick: an election starts 1.25 to 2.25 s after the last heartbeat, far above the longest delay between
+/// machines of one fleet and a pause of a busy machine.
+pub const TICK_INTERVAL: crate::Micros = 50_000;
+/// A snapshot is made after this many entries or bytes. The last entries before it stay for keepers slightly behind.
+const COMPACT_AFTER_ENTRIES: u64 = 1024;
+const COMPACT_AFTER_BYTES: usize = 4 << 20;
+const ENTRIES_KEPT_BEFORE_SNAPSHOT: u64 = 128;
+/// Maximum bytes of entries in one message, and messages in flight to one keeper.
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
+const MAX_IN_FLIGHT_MESSAGES: usize = 64;
+/// Largest command: a settings text and space for the other fields.
+pub const MAX_COMMAND_BYTES: usize = crate::change::MAX_SETTINGS_TEXT_BYTES + (16 << 10);
 
+/// Why a replica cannot go on, or why it rejects a message.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// The disk can't be used; in words for the operator.
+    /// The content of the disk can't be used; the text is for the operator.
     #[error("{0}")]
     Disk(String),
-    #[error("the record: {0}")]
+    /// An error of the consensus library.
+    #[error("consensus error: {0}")]
     Raft(#[from] raft::Error),
-    #[error("a message that can't be read")]
-    Garbled,
+    /// A message that is malformed or not for this keeper.
+    #[error("malformed consensus message")]
+    MalformedMessage,
 }
 
-/// What is to be done, in this order.
+/// What the caller does next, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// On the disk before anything after it.
-    Write(Box<Write>),
-    /// To the keeper with this number.
+pub enum ReplicaOutput {
+    /// Must be on disk before any later output is carried out.
+    Write(Box<DiskWrite>),
+    /// A message to the keeper with this number.
     Send { to: u64, message: Vec<u8> },
-    /// A command has its place in the record.
+    /// A command was committed and applied.
     Applied { command: Box<Command>, outcome: Outcome },
-    /// The state has come whole from another keeper.
+    /// The state was replaced by another keeper's snapshot.
     Restored,
-    /// This keeper can be sure of its record again.
+    /// This keeper again has all entries it may have acknowledged.
     Rejoined,
 }
 
+/// Role of a keeper in the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Nothing is known yet.
+    /// The disk was blank and the other keepers have not answered yet.
     Blank,
-    /// Has no voice until it has rejoined.
+    /// Does not vote until it has rejoined.
     Rejoining,
     Follower,
     Candidate,
     Leader,
 }
 
-/// How the record stands at this keeper.
+/// State of the replicated log at one keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct ReplicaStatus {
     pub role: Role,
-    /// The leader's number; 0 where none is known.
+    /// The leader's number; 0 if no leader is known.
     pub leader: u64,
     pub term: u64,
     pub commit: u64,
@@ -81,89 +87,95 @@
     pub last: u64,
 }
 
+/// One keeper's replica of the record.
 pub struct Replica {
-    me: u64,
+    id: u64,
     keeper: Name,
     fleet: Name,
     voters: Vec<u64>,
-    /// Number of this start; part of this keeper's rejoin.
+    /// Boot ID of this start; part of this keeper's rejoin command.
     boot: u64,
-    starts: u64,
-    raw: RawNode<Log>,
-    state: State,
-    trust: Trust,
-    /// What was wrong with the disk.
-    doubts: Vec<String>,
-    /// Position of the last snapshot, and bytes of entries since.
-    snapshot: u64,
-    bytes: usize,
-    /// The mark is to be written though the log has not changed.
-    mark_due: bool,
-    rejoins: u64,
+    start_count: u64,
+    node: RawNode<Log>,
+    state: RecordState,
+    participation: Participation,
+    /// Faults found on the disk at start.
+    disk_faults: Vec<String>,
+    /// Index of the last snapshot, and bytes of entries since.
+    snapshot_index: u64,
+    bytes_since_snapshot: usize,
+    /// The watermark must be written although the log has not changed.
+    needs_watermark_write: bool,
+    rejoin_ticks: u64,
 }
 
 impl Replica {
-    /// A keeper with this number among `voters` (1 and up), from its disk. `boot` tells this start from all others.
+    /// Starts the keeper with number `id` among `voters` (numbered from 1) from its disk. `boot` identifies this start.
     pub fn new(
         fleet: &Name,
         keeper: &Name,
-        me: u64,
+        id: u64,
         voters: &[u64],
-        stored: &Stored,
+        stored: &StoredBlocks,
         boot: u64,
     ) -> Result<Replica, RecordError> {
-        let found = stored.read(fleet, keeper).map_err(RecordError::Disk)?;
-        let trust = match (found.blank, found.doubts.is_empty()) {
-            (true, _) => Trust::Blank { heard: Default::default() },
-            (_, true) => Trust::Sure,
-            (_, false) => Trust::Waits { least_term: found.hard.term },
+        let recovered = stored.recover(fleet, keeper).map_err(RecordError::Disk)?;
+        let participation = match (recovered.is_blank, recovered.disk_faults.is_empty()) {
+            (true, _) => Participation::Blank { empty_peers: Default::default() },
+            (_, true) => Participation::Full,
+            (_, false) => Participation::AwaitingTerm { min_term: recovered.hard_state.term },
         };
-        let snapshot = found.snapshot.as_ref().map_or(0, |(snapshot, _)| snapshot.get_metadata().index);
-        let state =
-            found.snapshot.as_ref().map_or_else(|| State::new(fleet.clone()), |(_, state)| state.clone());
-        let bytes = found.entries.iter().map(|entry| entry.data.len()).sum();
-        let raw = start(me, voters, &found, snapshot)?;
+        let snapshot = recovered.snapshot.as_ref().map_or(0, |(snapshot, _)| snapshot.get_metadata().index);
+        let state = recovered
+            .snapshot
+            .as_ref()
+            .map_or_else(|| RecordState::new(fleet.clone()), |(_, state)| state.clone());
+        let bytes = recovered.entries.iter().map(|entry| entry.data.len()).sum();
+        let node = start_raw_node(id, voters, &recovered, snapshot)?;
         Ok(Replica {
-            me,
+            id,
             keeper: keeper.clone(),
             fleet: fleet.clone(),
             voters: voters.to_vec(),
             boot,
-            starts: found.starts + 1,
-            raw,
+            start_count: recovered.start_count + 1,
+            node,
             state,
-            trust,
-            doubts: found.doubts,
-            snapshot,
-            bytes,
-            mark_due: true,
-            rejoins: 0,
+            participation,
+            disk_faults: recovered.disk_faults,
+            snapshot_index: snapshot,
+            bytes_since_snapshot: bytes,
+            needs_watermark_write: true,
+            rejoin_ticks: 0,
         })
     }
 
-    pub fn state(&self) -> &State {
+    /// The state after all applied commands.
+    pub fn state(&self) -> &RecordState {
         &self.state
     }
 
-    /// What was wrong with the disk, for the operator.
-    pub fn doubts(&self) -> &[String] {
-        &self.doubts
+    /// Faults found on the disk at start, for the operator.
+    pub fn disk_faults(&self) -> &[String] {
+        &self.disk_faults
     }
 
-    pub fn trust(&self) -> &Trust {
-        &self.trust
+    /// How far this keeper takes part.
+    pub fn participation(&self) -> &Participation {
+        &self.participation
     }
 
-    pub fn standing(&self) -> Standing {
-        let raft = &self.raw.raft;
-        let role = match (&self.trust, raft.state) {
-            (Trust::Blank { .. }, _) => Role::Blank,
-            (Trust::Waits { .. } | Trust::Rejoining, _) => Role::Rejoining,
+    /// Role, leader and log indexes, for the operator.
+    pub fn status(&self) -> ReplicaStatus {
+        let raft = &self.node.raft;
+        let role = match (&self.participation, raft.state) {
+            (Participation::Blank { .. }, _) => Role::Blank,
+            (Participation::AwaitingTerm { .. } | Participation::Rejoining, _) => Role::Rejoining,
             (_, StateRole::Leader) => Role::Leader,
             (_, StateRole::Follower) => Role::Follower,
             _ => Role::Candidate,
         };
-        Standing {
+        ReplicaStatus {
             role,
             leader: raft.leader_id,
             term: raft.term,
@@ -173,92 +185,96 @@
         }
     }
 
-    /// What this keeper says of its own record to one that has nothing.
-    pub fn holds(&self) -> Holds {
-        let raft = &self.raw.raft;
-        let nothing = matches!(self.trust, Trust::Blank { .. } | Trust::Sure)
+    /// What this keeper reports of its log to a keeper with a blank disk.
+    pub fn log_status(&self) -> LogStatus {
+        let raft = &self.node.raft;
+        let nothing = matches!(self.participation, Participation::Blank { .. } | Participation::Full)
             && raft.raft_log.last_index() == 0
             && raft.term == 0;
-        if nothing { Holds::Nothing } else { Holds::Something }
+        if nothing { LogStatus::Empty } else { LogStatus::NonEmpty }
     }
 
-    /// Another keeper's word on its record.
-    pub fn heard(&mut self, from: u64, holds: Holds) {
-        let before = self.trust.clone();
-        self.trust.heard(from, holds, self.voters.len() - 1);
-        self.mark_due |= before != self.trust;
+    /// Takes the log status that another keeper reported.
+    pub fn record_peer_status(&mut self, from: u64, log_status: LogStatus) {
+        let before = self.participation.clone();
+        self.participation.record_peer_status(from, log_status, self.voters.len() - 1);
+        self.needs_watermark_write |= before != self.participation;
     }
 
+    /// Advances the time by one tick.
     pub fn tick(&mut self) {
-        if self.trust.has_voice() {
-            self.raw.tick();
+        if self.participation.can_vote() {
+            self.node.tick();
         }
-        if self.trust == Trust::Rejoining {
-            self.rejoin();
+        if self.participation == Participation::Rejoining {
+            self.propose_rejoin();
         }
     }
 
-    /// Says again that it begins anew, until it comes back.
-    fn rejoin(&mut self) {
-        self.rejoins += 1;
-        if self.rejoins % ELECTION as u64 == 1 && self.raw.raft.leader_id != 0 {
+    /// Proposes the rejoin command again, every `ELECTION_TICKS` ticks, until it is applied.
+    fn propose_rejoin(&mut self) {
+        self.rejoin_ticks += 1;
+        if self.rejoin_ticks % ELECTION_TICKS as u64 == 1 && self.node.raft.leader_id != 0 {
             let proposer = super::Proposer { name: self.keeper.clone(), run: self.boot };
-            let order = Order::Rejoin { keeper: self.keeper.clone(), boot: self.boot };
-            self.propose(&Command { proposer, number: 1, order });
+            let operation = Operation::Rejoin { keeper: self.keeper.clone(), boot: self.boot };
+            self.propose(&Command { proposer, number: 1, operation });
         }
     }
 
-    /// A message of another keeper.
+    /// Processes a message of another keeper.
     pub fn step(&mut self, message: &[u8]) -> Result<(), RecordError> {
-        let message = Message::parse_from_bytes(message).map_err(|_| RecordError::Garbled)?;
-        if !self.voters.contains(&message.from) || message.to != self.me || message.from == self.me {
-            return Err(RecordError::Garbled);
+        let message = Message::parse_from_bytes(message).map_err(|_| RecordError::MalformedMessage)?;
+        if !self.voters.contains(&message.from) || message.to != self.id || message.from == self.id {
+            return Err(RecordError::MalformedMessage);
         }
-        if let Trust::Waits { least_term } = self.trust {
-            self.begin_above(least_term.max(message.term))?;
+        if let Participation::AwaitingTerm { min_term } = self.participation {
+            self.restart_above_term(min_term.max(message.term))?;
         }
-        let asks = matches!(message.msg_type, MessageType::MsgRequestVote | MessageType::MsgRequestPreVote);
-        if !self.trust.takes_part() || (asks && !self.trust.has_voice()) {
+        let requests_vote =
+            matches!(message.msg_type, MessageType::MsgRequestVote | MessageType::MsgRequestPreVote);
+        if !self.participation.can_replicate() || (requests_vote && !self.participation.can_vote()) {
             return Ok(());
         }
         if raft::raw_node::is_local_msg(message.msg_type) {
-            return Err(RecordError::Garbled);
+            return Err(RecordError::MalformedMessage);
         }
-        match self.raw.step(message) {
+        match self.node.step(message) {
             Ok(()) | Err(raft::Error::StepPeerNotFound | raft::Error::ProposalDropped) => Ok(()),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Begins in the term after this one, so that a leader that counts on what is lost here steps down.
-    fn begin_above(&mut self, term: u64) -> Result<(), RecordError> {
-        let log = self.raw.store();
-        let mut hard = log.hard();
-        (hard.term, hard.vote) = (term + 1, 0);
-        let store = self.raw.mut_store();
-        store.set_hard(hard);
-        // The library keeps a copy of the term: start it anew over the same log.
-        let applied = self.raw.raft.raft_log.applied;
-        let fresh = Log::new(&self.voters, &Found::default())?;
-        let log = std::mem::replace(self.raw.mut_store(), fresh);
-        self.raw = begin(self.me, log, applied)?;
-        self.trust = Trust::Rejoining;
-        self.mark_due = true;
+    /// Restarts in the term after `term`, so that a leader that counts on entries lost here steps down.
+    fn restart_above_term(&mut self, term: u64) -> Result<(), RecordError> {
+        let log = self.node.store();
+        let mut hard_state = log.hard_state();
+        (hard_state.term, hard_state.vote) = (term + 1, 0);
+        let store = self.node.mut_store();
+        store.set_hard_state(hard_state);
+        // The library caches the term: create a new node over the same log.
+        let applied = self.node.raft.raft_log.applied;
+        let empty_log = Log::new(&self.voters, &RecoveredLog::default())?;
+        let log = std::mem::replace(self.node.mut_store(), empty_log);
+        self.node = new_raw_node(self.id, log, applied)?;
+        self.participation = Participation::Rejoining;
+        self.needs_watermark_write = true;
         Ok(())
     }
 
-    /// Brings a command on its way: `false` where no leader is known. It may still be lost: it is sent again until it
-    /// has its place.
+    /// Proposes a command; `false` if no leader is known. The command may still be lost: the caller proposes it again until
+    /// it is applied.
     pub fn propose(&mut self, command: &Command) -> bool {
         let Ok(bytes) = postcard::to_stdvec(command) else { return false };
-        bytes.len() <= MOST_COMMAND && self.trust.takes_part() && self.raw.propose(Vec::new(), bytes).is_ok()
+        bytes.len() <= MAX_COMMAND_BYTES
+            && self.participation.can_replicate()
+            && self.node.propose(Vec::new(), bytes).is_ok()
     }
 
-    /// All that is to be done now.
-    pub fn steps(&mut self, out: &mut Vec<Step>) -> Result<(), RecordError> {
-        while self.raw.has_ready() {
-            let mut ready = self.raw.ready();
-            let mut write = Write::default();
+    /// Appends everything that is to be done now to `out`.
+    pub fn take_outputs(&mut self, out: &mut Vec<ReplicaOutput>) -> Result<(), RecordError> {
+        while self.node.has_ready() {
+            let mut ready = self.node.ready();
+            let mut write = DiskWrite::default();
             let mut restored = false;
             let snapshot = ready.snapshot();
             if !snapshot.is_empty() {
@@ -267,151 +283,169 @@
             }
             let entries = ready.take_entries();
             if let Some(first) = entries.first() {
-                write.cut_from = Some(first.index);
-                self.raw.mut_store().append(&entries)?;
-                self.bytes += entries.iter().map(|entry| entry.data.len()).sum::<usize>();
+                write.truncate_from = Some(first.index);
+                self.node.mut_store().append(&entries)?;
+                self.bytes_since_snapshot += entries.iter().map(|entry| entry.data.len()).sum::<usize>();
                 for entry in &entries {
-                    let bytes = entry.write_to_bytes().map_err(|_| RecordError::Garbled)?;
-                    write.entries.push((entry.index, seal(Seal::Entry(entry.index), &bytes)));
+                    let bytes = entry.write_to_bytes().map_err(|_| RecordError::MalformedMessage)?;
+                    write.entries.push((entry.index, encode_block(BlockKind::Entry(entry.index), &bytes)));
                 }
             }
-            if let Some(hard) = ready.hs() {
-                let hard = Hard { term: hard.term, vote: hard.vote, commit: hard.commit };
-                self.raw.mut_store().set_hard(hard);
+            if let Some(hard_state) = ready.hs() {
+                let hard_state =
+                    HardState { term: hard_state.term, vote: hard_state.vote, commit: hard_state.commit };
+                self.node.mut_store().set_hard_state(hard_state);
             }
-            let must = ready.must_sync() || restored || self.mark_due;
-            if must {
+            let must_write = ready.must_sync() || restored || self.needs_watermark_write;
+            if must_write {
                 self.write(write, out);
             }
             if restored {
-                out.push(Step::Restored);
+                out.push(ReplicaOutput::Restored);
             }
             let (mut messages, after) = (ready.take_messages(), ready.take_persisted_messages());
             messages.extend(after);
             self.send(messages, out);
             let committed = ready.take_committed_entries();
             self.apply(committed, out);
-            let mut light = self.raw.advance(ready);
-            if let Some(commit) = light.commit_index() {
-                let hard = self.raw.store().hard();
-                self.raw.mut_store().set_hard(Hard { commit, ..hard });
+            let mut light_ready = self.node.advance(ready);
+            if let Some(commit) = light_ready.commit_index() {
+                let hard_state = self.node.store().hard_state();
+                self.node.mut_store().set_hard_state(HardState { commit, ..hard_state });
             }
-            self.send(light.take_messages(), out);
-            let committed = light.take_committed_entries();
+            self.send(light_ready.take_messages(), out);
+            let committed = light_ready.take_committed_entries();
             self.apply(committed, out);
-            self.raw.advance_apply();
+            self.node.advance_apply();
             self.compact(out)?;
         }
-        if self.mark_due {
-            self.write(Write::default(), out);
+        if self.needs_watermark_write {
+            self.write(DiskWrite::default(), out);
         }
-        self.settle(out);
+        self.finish_rejoin(out);
         Ok(())
     }
 
-    fn write(&mut self, mut write: Write, out: &mut Vec<Step>) {
-        let (hard, last) = (self.raw.store().hard(), self.raw.store().last());
-        let of = |value: postcard::Result<Vec<u8>>| value.unwrap_or_default();
-        write.hard = Some(seal(Seal::Hard, &of(postcard::to_stdvec(&hard))));
-        let mark = Mark {
+    /// Adds hard state and watermark to a write and emits it.
+    fn write(&mut self, mut write: DiskWrite, out: &mut Vec<ReplicaOutput>) {
+        let (hard_state, last) = (self.node.store().hard_state(), self.node.store().last());
+        let or_empty = |value: postcard::Result<Vec<u8>>| value.unwrap_or_default();
+        write.hard_state =
+            Some(encode_block(BlockKind::HardState, &or_empty(postcard::to_stdvec(&hard_state))));
+        let watermark = Watermark {
             fleet: self.fleet.clone(),
             keeper: self.keeper.clone(),
-            starts: self.starts,
-            term: hard.term,
-            vote: hard.vote,
-            last,
-            doubt: matches!(self.trust, Trust::Waits { .. } | Trust::Rejoining),
+            start_count: self.start_count,
+            term: hard_state.term,
+            vote: hard_state.vote,
+            last_position: last,
+            is_rejoining: matches!(
+                self.participation,
+                Participation::AwaitingTerm { .. } | Participation::Rejoining
+            ),
         };
-        // Nothing is vouched for on a blank disk: it must be found blank again.
-        if matches!(self.trust, Trust::Blank { .. }) {
-            self.mark_due = false;
+        // A blank disk must stay blank: nothing has been acknowledged.
+        if matches!(self.participation, Participation::Blank { .. }) {
+            self.needs_watermark_write = false;
             return;
         }
-        write.mark = seal(Seal::Mark, &of(postcard::to_stdvec(&mark)));
-        self.mark_due = false;
-        out.push(Step::Write(Box::new(write)));
+        write.watermark = encode_block(BlockKind::Watermark, &or_empty(postcard::to_stdvec(&watermark)));
+        self.needs_watermark_write = false;
+        out.push(ReplicaOutput::Write(Box::new(write)));
     }
 
-    fn send(&self, messages: Vec<Message>, out: &mut Vec<Step>) {
+    fn send(&self, messages: Vec<Message>, out: &mut Vec<ReplicaOutput>) {
         for message in messages {
             if let Ok(bytes) = message.write_to_bytes() {
-                out.push(Step::Send { to: message.to, message: bytes });
+                out.push(ReplicaOutput::Send { to: message.to, message: bytes });
             }
         }
     }
 
-    fn apply(&mut self, entries: Vec<Entry>, out: &mut Vec<Step>) {
+    fn apply(&mut self, entries: Vec<Entry>, out: &mut Vec<ReplicaOutput>) {
         for entry in entries {
             if entry.get_entry_type() != EntryType::EntryNormal || entry.data.is_empty() {
                 continue;
             }
-            // What does not read is the same at every keeper: it changes nothing anywhere.
+            // A malformed command is the same at every keeper; all of them skip it.
             let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else { continue };
             let outcome = self.state.apply(entry.index, &command);
-            out.push(Step::Applied { command: Box::new(command), outcome });
+            out.push(ReplicaOutput::Applied { command: Box::new(command), outcome });
         }
     }
 
-    /// Whether what it may have forgotten has come back.
-    fn settle(&mut self, out: &mut Vec<Step>) {
-        if self.trust == Trust::Rejoining && self.state.has_rejoined(&self.keeper, self.boot) {
-            self.trust = Trust::Sure;
-            self.write(Write::default(), out);
-            out.push(Step::Rejoined);
+    /// Ends the rejoin once this keeper's own command has been applied.
+    fn finish_rejoin(&mut self, out: &mut Vec<ReplicaOutput>) {
+        if self.participation == Participation::Rejoining && self.state.has_rejoined(&self.keeper, self.boot)
+        {
+            self.participation = Participation::Full;
+            self.write(DiskWrite::default(), out);
+            out.push(ReplicaOutput::Rejoined);
         }
     }
 
-    fn restore(&mut self, snapshot: Snapshot, write: &mut Write) -> Result<(), RecordError> {
-        self.state = State::decode(snapshot.get_data()).ok_or(RecordError::Garbled)?;
-        self.snapshot = snapshot.get_metadata().index;
-        self.bytes = 0;
-        let bytes = snapshot.write_to_bytes().map_err(|_| RecordError::Garbled)?;
-        write.snapshot = Some(seal(Seal::Snapshot, &bytes));
-        // All entries are older than the snapshot, or do not follow it.
-        write.cut_from = Some(0);
-        self.raw.mut_store().apply_snapshot(&snapshot)?;
+    /// Replaces state and log by a snapshot.
+    fn restore(&mut self, snapshot: Snapshot, write: &mut DiskWrite) -> Result<(), RecordError> {
+        self.state = RecordState::decode(snapshot.get_data()).ok_or(RecordError::MalformedMessage)?;
+        self.snapshot_index = snapshot.get_metadata().index;
+        self.bytes_since_snapshot = 0;
+        let bytes = snapshot.write_to_bytes().map_err(|_| RecordError::MalformedMessage)?;
+        write.snapshot = Some(encode_block(BlockKind::Snapshot, &bytes));
+        // Every existing entry is older than the snapshot or does not follow it.
+        write.truncate_from = Some(0);
+        self.node.mut_store().apply_snapshot(&snapshot)?;
         Ok(())
     }
 
-    fn compact(&mut self, out: &mut Vec<Step>) -> Result<(), RecordError> {
-        let applied = self.raw.raft.raft_log.applied;
-        if applied <= self.snapshot + KEEP {
+    /// Makes a snapshot and drops old entries once a bound is reached.
+    fn compact(&mut self, out: &mut Vec<ReplicaOutput>) -> Result<(), RecordError> {
+        let applied = self.node.raft.raft_log.applied;
+        if applied <= self.snapshot_index + ENTRIES_KEPT_BEFORE_SNAPSHOT {
             return Ok(());
         }
-        if applied < self.snapshot + COMPACT_AFTER && self.bytes < COMPACT_BYTES {
+        if applied < self.snapshot_index + COMPACT_AFTER_ENTRIES
+            && self.bytes_since_snapshot < COMPACT_AFTER_BYTES
+        {
             return Ok(());
         }
         let mut snapshot = Snapshot::default();
         snapshot.set_data(self.state.encode().into());
         let meta = snapshot.mut_metadata();
         meta.index = applied;
-        meta.term = self.raw.raft.raft_log.term(applied)?;
+        meta.term = self.node.raft.raft_log.term(applied)?;
         meta.mut_conf_state().voters = self.voters.clone();
-        let bytes = snapshot.write_to_bytes().map_err(|_| RecordError::Garbled)?;
-        let first = applied - KEEP + 1;
-        self.raw.mut_store().compact(snapshot, first)?;
-        (self.snapshot, self.bytes) = (applied, 0);
-        let snapshot = Some(seal(Seal::Snapshot, &bytes));
-        self.write(Write { snapshot, first: Some(first), ..Write::default() }, out);
+        let bytes = snapshot.write_to_bytes().map_err(|_| RecordError::MalformedMessage)?;
+        let first = applied - ENTRIES_KEPT_BEFORE_SNAPSHOT + 1;
+        self.node.mut_store().compact(snapshot, first)?;
+        (self.snapshot_index, self.bytes_since_snapshot) = (applied, 0);
+        let snapshot = Some(encode_block(BlockKind::Snapshot, &bytes));
+        self.write(DiskWrite { snapshot, first_index: Some(first), ..DiskWrite::default() }, out);
         Ok(())
     }
 }
 
-fn start(me: u64, voters: &[u64], found: &Found, applied: u64) -> Result<RawNode<Log>, RecordError> {
-    Ok(begin(me, Log::new(voters, found)?, applied)?)
+/// Creates the library's node from a recovered disk.
+fn start_raw_node(
+    id: u64,
+    voters: &[u64],
+    recovered: &RecoveredLog,
+    applied: u64,
+) -> Result<RawNode<Log>, RecordError> {
+    Ok(new_raw_node(id, Log::new(voters, recovered)?, applied)?)
 }
 
-fn begin(me: u64, log: Log, applied: u64) -> raft::Result<RawNode<Log>> {
+/// Creates the library's node over a log.
+fn new_raw_node(id: u64, log: Log, applied: u64) -> raft::Result<RawNode<Log>> {
     let config = Config {
-        id: me,
-        election_tick: ELECTION,
-        heartbeat_tick: HEARTBEAT,
-        // Drawn from a range that holds one.
-        min_election_tick: ELECTION + APART * me as usize,
-        max_election_tick: ELECTION + APART * me as usize + 1,
+        id,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        // A range of one value makes the timeout fixed.
+        min_election_tick: ELECTION_TICKS + ELECTION_STAGGER_TICKS * id as usize,
+        max_election_tick: ELECTION_TICKS + ELECTION_STAGGER_TICKS * id as usize + 1,
         applied,
-        max_size_per_msg: MESSAGE_BYTES,
-        max_inflight_msgs: IN_FLIGHT,
+        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_inflight_msgs: MAX_IN_FLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
--- a/crates/fleet/src/record/state.rs
+++ b/crates/fleet/src/record/state.rs
@@ -1,88 +1,96 @@
-//! What the record comes to: a state that every keeper has alike after the same commands.
+//! The state machine of the record. Deterministic: all keepers have equal state after the same commands.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::command::{Command, MOST_REASON, Order, Proposer};
+use super::command::{Command, MAX_STOP_REASON_BYTES, Operation, Proposer};
 use crate::change::{BadProposal, Proposal};
 use crate::name::Name;
 
-/// Proposers whose last outcome is kept. Guards against growth without end; a proposer that comes back after so many
-/// others with an old command would be taken anew.
-const MOST_PROPOSERS: usize = 4096;
-/// Changes that wait or are under way at most.
-const MOST_OPEN: usize = 256;
-/// Bytes of all proposals that are kept. Guards against a snapshot over the largest frame: a keeper far behind could never
-/// be brought up again.
-const MOST_BYTES: usize = 8 << 20;
-/// Ended changes that are still shown.
-const MOST_ENDED: usize = 64;
-/// Scopes at most.
-const MOST_SCOPES: usize = 1024;
-
-/// What came of a command.
+/// Proposers whose last outcome is kept, which bounds the state. An old command of a proposer is applied again if it
+/// arrives after this many other proposers.
+const MAX_PROPOSERS: usize = 4096;
+/// Maximum number of changes that wait or are in progress.
+const MAX_WAITING_CHANGES: usize = 256;
+/// Maximum size of all kept proposals. Keeps a snapshot below the largest frame; otherwise a keeper that is far behind
+/// could never catch up.
+const MAX_PROPOSAL_BYTES: usize = 8 << 20;
+/// Ended changes that are still listed.
+const MAX_ENDED_CHANGES: usize = 64;
+/// Maximum number of scopes with waiting changes.
+const MAX_SCOPES: usize = 1024;
+
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The change has this number.
+    /// The change was queued under this number.
     Queued {
         change: u64,
-        /// How many of its scope go before it.
+        /// Number of waiting changes of the same scope before it.
         behind: u64,
     },
     Stopped {
         change: u64,
     },
     Rejoined,
-    /// It holds not against what the record has; nothing has changed.
+    /// The command conflicts with the state; nothing has changed.
     Refused(BadProposal),
-    /// An older command than the proposer's last: its outcome is no longer known.
+    /// The proposer has since had a later command applied; the outcome of this one is no longer known.
     Outdated,
 }
 
+/// Progress of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     Waiting,
     Stopped { reason: String },
 }
 
+/// A proposal in the record, with its number and phase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     pub number: u64,
-    pub by: Proposer,
+    #[serde(rename = "by")]
+    pub proposer: Proposer,
     pub proposal: Proposal,
     pub phase: Phase,
 }
 
+/// A proposer's latest command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Last {
+struct LastCommand {
     number: u64,
     outcome: Outcome,
-    /// Position of the command, to forget the oldest.
-    at: u64,
+    /// Log index of the command; the proposer with the lowest one is evicted first.
+    #[serde(rename = "at")]
+    log_index: u64,
 }
 
-/// The record's content.
+/// The replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct RecordState {
     fleet: Name,
-    /// Commands taken, each counted once.
-    taken: u64,
-    /// Commands that came again and changed nothing.
-    again: u64,
+    /// Number of distinct commands applied.
+    #[serde(rename = "taken")]
+    applied_commands: u64,
+    /// Number of repeated commands, which changed nothing.
+    #[serde(rename = "again")]
+    duplicates: u64,
     changes: BTreeMap<u64, Change>,
     next_change: u64,
-    proposers: BTreeMap<Proposer, Last>,
-    /// By keeper, the boot that rejoined last.
+    proposers: BTreeMap<Proposer, LastCommand>,
+    /// By keeper: boot ID of its latest rejoin.
     rejoined: BTreeMap<Name, u64>,
 }
 
-impl State {
-    pub fn new(fleet: Name) -> State {
-        State {
+impl RecordState {
+    /// The empty state of a new record.
+    pub fn new(fleet: Name) -> RecordState {
+        RecordState {
             fleet,
-            taken: 0,
-            again: 0,
+            applied_commands: 0,
+            duplicates: 0,
             changes: BTreeMap::new(),
             next_change: 1,
             proposers: BTreeMap::new(),
@@ -90,134 +98,148 @@
         }
     }
 
+    /// Name of the fleet.
     pub fn fleet(&self) -> &Name {
         &self.fleet
     }
 
-    pub fn taken(&self) -> u64 {
-        self.taken
+    /// Number of distinct commands applied.
+    pub fn applied_commands(&self) -> u64 {
+        self.applied_commands
     }
 
+    /// Changes in ascending order of their numbers.
     pub fn changes(&self) -> impl Iterator<Item = &Change> {
         self.changes.values()
     }
 
-    /// Whether this boot of a keeper is in the record.
+    /// Whether this boot of a keeper is the latest that rejoined.
     pub fn has_rejoined(&self, keeper: &Name, boot: u64) -> bool {
         self.rejoined.get(keeper) == Some(&boot)
     }
 
-    /// Takes the command at this position of the log.
-    pub fn apply(&mut self, at: u64, command: &Command) -> Outcome {
+    /// Applies the command at this log index. A repeated command returns its earlier outcome.
+    pub fn apply(&mut self, log_index: u64, command: &Command) -> Outcome {
         let last = self.proposers.get(&command.proposer);
         if let Some(last) = last.filter(|last| command.number <= last.number) {
-            self.again += 1;
+            self.duplicates += 1;
             let same = command.number == last.number;
             return if same { last.outcome.clone() } else { Outcome::Outdated };
         }
-        self.taken += 1;
-        let outcome = self.carry_out(command);
-        if self.proposers.len() >= MOST_PROPOSERS && !self.proposers.contains_key(&command.proposer) {
-            let oldest = self.proposers.iter().min_by_key(|(_, last)| last.at).map(|(of, _)| of.clone());
-            oldest.and_then(|of| self.proposers.remove(&of));
+        self.applied_commands += 1;
+        let outcome = self.execute(command);
+        if self.proposers.len() >= MAX_PROPOSERS && !self.proposers.contains_key(&command.proposer) {
+            let oldest = self
+                .proposers
+                .iter()
+                .min_by_key(|(_, last)| last.log_index)
+                .map(|(proposer, _)| proposer.clone());
+            oldest.and_then(|proposer| self.proposers.remove(&proposer));
         }
-        let last = Last { number: command.number, outcome: outcome.clone(), at };
+        let last = LastCommand { number: command.number, outcome: outcome.clone(), log_index };
         self.proposers.insert(command.proposer.clone(), last);
         outcome
     }
 
-    fn carry_out(&mut self, command: &Command) -> Outcome {
+    fn execute(&mut self, command: &Command) -> Outcome {
         let refused = |key: &str, reason: String| Outcome::Refused(BadProposal { key: key.into(), reason });
-        match &command.order {
-            Order::Propose(proposal) => {
+        match &command.operation {
+            Operation::Propose(proposal) => {
                 if let Err(error) = proposal.check() {
                     return Outcome::Refused(error);
                 }
-                let open = self.changes.values().filter(|change| change.phase == Phase::Waiting);
-                let (mut all, mut behind, mut scopes) = (0, 0, std::collections::BTreeSet::new());
-                for change in open {
-                    all += 1;
+                let waiting = self.changes.values().filter(|change| change.phase == Phase::Waiting);
+                let (mut total, mut behind, mut scopes) = (0, 0, std::collections::BTreeSet::new());
+                for change in waiting {
+                    total += 1;
                     behind += u64::from(change.proposal.scope == proposal.scope);
                     scopes.insert(&change.proposal.scope);
                 }
-                if all >= MOST_OPEN {
-                    return refused("queue", format!("{MOST_OPEN} changes wait already"));
+                if total >= MAX_WAITING_CHANGES {
+                    return refused("queue", format!("{MAX_WAITING_CHANGES} changes wait already"));
                 }
-                if scopes.len() >= MOST_SCOPES && !scopes.contains(&proposal.scope) {
-                    return refused("scope", format!("{MOST_SCOPES} scopes have changes already"));
+                if scopes.len() >= MAX_SCOPES && !scopes.contains(&proposal.scope) {
+                    return refused("scope", format!("{MAX_SCOPES} scopes have changes already"));
                 }
-                if !self.make_room(proposal) {
+                if !self.free_proposal_space(proposal) {
                     return refused(
                         "queue",
-                        format!("the changes that wait hold {MOST_BYTES} bytes already"),
+                        format!("the changes that wait hold {MAX_PROPOSAL_BYTES} bytes already"),
                     );
                 }
                 let change = self.next_change;
                 self.next_change += 1;
                 let new = Change {
                     number: change,
-                    by: command.proposer.clone(),
+                    proposer: command.proposer.clone(),
                     proposal: (**proposal).clone(),
                     phase: Phase::Waiting,
                 };
                 self.changes.insert(change, new);
                 Outcome::Queued { change, behind }
             }
-            Order::Stop { change, reason } => {
-                if reason.len() > MOST_REASON {
-                    return refused("reason", format!("{} bytes, {MOST_REASON} at most", reason.len()));
+            Operation::Stop { change, reason } => {
+                if reason.len() > MAX_STOP_REASON_BYTES {
+                    return refused(
+                        "reason",
+                        format!("{} bytes, {MAX_STOP_REASON_BYTES} at most", reason.len()),
+                    );
                 }
-                let Some(of) = self.changes.get_mut(change) else {
+                let Some(existing) = self.changes.get_mut(change) else {
                     return refused("change", format!("there is no change {change}"));
                 };
-                if of.phase != Phase::Waiting {
+                if existing.phase != Phase::Waiting {
                     return refused("change", format!("change {change} has ended"));
                 }
-                of.phase = Phase::Stopped { reason: reason.clone() };
-                self.forget_ended();
+                existing.phase = Phase::Stopped { reason: reason.clone() };
+                self.remove_old_ended_changes();
                 Outcome::Stopped { change: *change }
             }
-            Order::Rejoin { keeper, boot } => {
+            Operation::Rejoin { keeper, boot } => {
                 self.rejoined.insert(keeper.clone(), *boot);
                 Outcome::Rejoined
             }
         }
     }
 
-    /// Whether there is room for one more, ended ones forgotten where it takes that.
-    fn make_room(&mut self, new: &Proposal) -> bool {
-        let size = |of: &Proposal| postcard::to_stdvec(of).map_or(MOST_BYTES, |bytes| bytes.len());
-        let mut all = size(new) + self.changes.values().map(|change| size(&change.proposal)).sum::<usize>();
-        while all > MOST_BYTES {
+    /// Removes ended changes, oldest first, until `new` fits; `false` if it does not fit.
+    fn free_proposal_space(&mut self, new: &Proposal) -> bool {
+        let size = |proposal: &Proposal| {
+            postcard::to_stdvec(proposal).map_or(MAX_PROPOSAL_BYTES, |bytes| bytes.len())
+        };
+        let mut total = size(new) + self.changes.values().map(|change| size(&change.proposal)).sum::<usize>();
+        while total > MAX_PROPOSAL_BYTES {
             let ended = self.changes.values().find(|change| change.phase != Phase::Waiting);
             let Some((number, bytes)) = ended.map(|change| (change.number, size(&change.proposal))) else {
                 break;
             };
             self.changes.remove(&number);
-            all -= bytes;
+            total -= bytes;
         }
-        all <= MOST_BYTES
+        total <= MAX_PROPOSAL_BYTES
     }
 
-    fn forget_ended(&mut self) {
+    fn remove_old_ended_changes(&mut self) {
         let ended = |change: &&Change| change.phase != Phase::Waiting;
         let ended: Vec<u64> = self.changes.values().filter(ended).map(|change| change.number).collect();
-        for number in ended.iter().take(ended.len().saturating_sub(MOST_ENDED)) {
+        for number in ended.iter().take(ended.len().saturating_sub(MAX_ENDED_CHANGES)) {
             self.changes.remove(number);
         }
     }
 
-    /// A digest of all of it: equal at keepers that have taken the same commands.
+    /// Digest of the whole state: equal at keepers that applied the same commands.
     pub fn digest(&self) -> String {
         blake3::hash(&self.encode()).to_hex().to_string()
     }
 
+    /// Serializes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain data of bounded size: there is nothing in it that could not be written.
+        // Serializing plain data of bounded size does not fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn decode(bytes: &[u8]) -> Option<State> {
+    /// Reads the state of a snapshot; `None` if it is malformed.
+    pub fn decode(bytes: &[u8]) -> Option<RecordState> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/fleet/src/record/trust.rs
+++ b/crates/fleet/src/record/trust.rs
@@ -1,66 +1,69 @@
-//! What a keeper may do that can't be sure of its disk.
+//! What a keeper may do while its disk may lack entries that it acknowledged.
 //!
-//! A keeper that has acknowledged an entry and lost it must not help to elect a leader that lacks the entry: it would
-//! be forgotten though a majority had it. So it neither votes nor stands for election until it has again all it may
-//! have acknowledged. It knows that when a command of its own, [`Order::Rejoin`](super::Order::Rejoin), proposed
-//! after its start, comes back to it: whoever leads was elected without its vote or while it was whole, has all that
-//! was decided, and puts the command behind that.
+//! A keeper that acknowledged an entry and lost it must not help to elect a leader that lacks the entry: the entry would
+//! be forgotten although a majority had it. So the keeper neither votes nor stands for election until it again has
+//! everything it may have acknowledged. It knows that it has when its own command
+//! [`Operation::Rejoin`](super::Operation::Rejoin), proposed after its start, is applied here: the current leader was
+//! elected without this keeper's vote or while its disk was complete, has all committed entries, and appends the command
+//! behind them.
 //!
-//! The leader at its start may still count on entries that are lost here. So it begins in a term above that leader's:
-//! the leader steps down when it hears of it, and whoever is elected then asks anew what this keeper has.
+//! The leader at the time of the start may still count on entries that are lost here. So the keeper starts in a term
+//! above that leader's: the leader steps down when it learns of the term, and the next leader asks again which entries
+//! this keeper has.
 //!
-//! A disk on which nothing ever was is that of a new fleet, or one that was wiped. It founds a new record only when
-//! all other keepers say that theirs is as new.
+//! A blank disk belongs either to a new fleet or to a keeper whose disk was wiped. Its keeper starts a new record only
+//! when all other keepers say that theirs is empty too.
 
 use std::collections::BTreeSet;
 
-/// Where a keeper stands.
+/// How far a keeper takes part in the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trust {
-    /// Nothing was found: waits for the others. Holds who has said that it has nothing either.
-    Blank {
-        heard: BTreeSet<u64>,
-    },
-    /// Not all that was acknowledged may be here. Silent until it has heard a term to begin above.
-    Waits {
-        least_term: u64,
-    },
-    /// Takes entries, but has no voice in elections until it has rejoined.
+pub enum Participation {
+    /// The disk was blank: waits for the other keepers. Holds the numbers of those that reported an empty log.
+    Blank { empty_peers: BTreeSet<u64> },
+    /// Acknowledged entries may be missing. Sends nothing until a message shows a term to start above.
+    AwaitingTerm { min_term: u64 },
+    /// Accepts entries, but neither votes nor stands for election until it has rejoined.
     Rejoining,
-    Sure,
+    /// Votes and stands for election.
+    Full,
 }
 
-/// What another keeper says of its own record.
+/// What a keeper reports of its own log to a keeper with a blank disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Holds {
-    /// Nothing: blank, or founded and without a vote or an entry since.
-    Nothing,
-    Something,
+pub enum LogStatus {
+    /// A blank disk, or a new record without a vote or an entry so far.
+    #[serde(rename = "Nothing")]
+    Empty,
+    /// Any other state.
+    #[serde(rename = "Something")]
+    NonEmpty,
 }
 
-impl Trust {
-    /// What is heard from another keeper while nothing is here. `others`: how many keepers there are beside this one.
-    pub fn heard(&mut self, from: u64, holds: Holds, others: usize) {
-        let Trust::Blank { heard } = self else { return };
-        match holds {
-            Holds::Something => *self = Trust::Waits { least_term: 0 },
-            Holds::Nothing => {
-                heard.insert(from);
-                if heard.len() >= others {
-                    *self = Trust::Sure;
+impl Participation {
+    /// Takes the log status that keeper `from` reported; has an effect only while the disk is blank. `other_keepers` is
+    /// the number of keepers besides this one.
+    pub fn record_peer_status(&mut self, from: u64, status: LogStatus, other_keepers: usize) {
+        let Participation::Blank { empty_peers } = self else { return };
+        match status {
+            LogStatus::NonEmpty => *self = Participation::AwaitingTerm { min_term: 0 },
+            LogStatus::Empty => {
+                empty_peers.insert(from);
+                if empty_peers.len() >= other_keepers {
+                    *self = Participation::Full;
                 }
             }
         }
     }
 
-    /// May vote, and stand for election.
-    pub fn has_voice(&self) -> bool {
-        *self == Trust::Sure
+    /// Whether this keeper may vote and stand for election.
+    pub fn can_vote(&self) -> bool {
+        *self == Participation::Full
     }
 
-    /// Takes part in the record at all.
-    pub fn takes_part(&self) -> bool {
-        matches!(self, Trust::Sure | Trust::Rejoining)
+    /// Whether this keeper accepts entries and sends messages.
+    pub fn can_replicate(&self) -> bool {
+        matches!(self, Participation::Full | Participation::Rejoining)
     }
 }
 
--- a/crates/fleet/src/record/trust/tests.rs
+++ b/crates/fleet/src/record/trust/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 #[test]
-fn a_new_record_is_founded_only_when_all_others_have_nothing() {
-    let mut trust = Trust::Blank { heard: BTreeSet::new() };
-    trust.heard(2, Holds::Nothing, 2);
-    trust.heard(2, Holds::Nothing, 2);
-    assert!(!trust.takes_part(), "the same one twice is one");
-    trust.heard(3, Holds::Nothing, 2);
-    assert_eq!(trust, Trust::Sure);
-    trust.heard(3, Holds::Something, 2);
-    assert_eq!(trust, Trust::Sure, "what is founded stays so");
+fn a_new_record_starts_only_when_all_other_keepers_are_empty() {
+    let mut participation = Participation::Blank { empty_peers: BTreeSet::new() };
+    participation.record_peer_status(2, LogStatus::Empty, 2);
+    participation.record_peer_status(2, LogStatus::Empty, 2);
+    assert!(!participation.can_replicate(), "two reports of the same keeper count once");
+    participation.record_peer_status(3, LogStatus::Empty, 2);
+    assert_eq!(participation, Participation::Full);
+    participation.record_peer_status(3, LogStatus::NonEmpty, 2);
+    assert_eq!(participation, Participation::Full, "a record that has started is not abandoned");
 }
 
-/// Guards against a wiped disk that would vote as if it had never voted.
+/// A keeper whose disk was wiped must not vote as if it had never voted.
 #[test]
-fn a_wiped_keeper_does_not_found_beside_a_record() {
-    let mut trust = Trust::Blank { heard: BTreeSet::new() };
-    trust.heard(2, Holds::Nothing, 2);
-    trust.heard(3, Holds::Something, 2);
-    assert!(!trust.takes_part() && !trust.has_voice());
+fn a_wiped_keeper_does_not_start_a_second_record() {
+    let mut participation = Participation::Blank { empty_peers: BTreeSet::new() };
+    participation.record_peer_status(2, LogStatus::Empty, 2);
+    participation.record_peer_status(3, LogStatus::NonEmpty, 2);
+    assert!(!participation.can_replicate() && !participation.can_vote());
 }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -4,150 +4,160 @@
 
 mod world;
 
-use elderstage_fleet::record::{Order, Outcome};
-use elderstage_fleet::{MILLI, SECOND};
+use elderstage_fleet::record::{Operation, Outcome};
+use elderstage_fleet::{MILLISECOND, SECOND};
 use rand::RngExt;
-use world::{World, checks, proposal};
+use world::{Simulation, checks, proposal};
 
 /// Seeds that are played where nothing else is asked for.
-const SEEDS: u64 = 60;
+const DEFAULT_SEEDS: u64 = 60;
 
 /// One fault, or the end of one. At most a minority of keepers is without a voice at a time by damage to its disk:
 /// the loss of a majority's disks can't be borne by any record (`docs/fleet.md`).
-fn fault(world: &mut World) -> String {
-    let keepers = world.keepers;
-    let of = world.rng.random_range(0..keepers);
-    let other = world.rng.random_range(0..world.names.len());
-    let sure = |world: &World, of: usize| {
-        world.keeper(of).is_some_and(|keeper| keeper.replica().trust().has_voice())
+fn inject_fault(simulation: &mut Simulation) -> String {
+    let keepers = simulation.keepers;
+    let index = simulation.rng.random_range(0..keepers);
+    let other = simulation.rng.random_range(0..simulation.names.len());
+    let can_vote = |simulation: &Simulation, index: usize| {
+        simulation.keeper(index).is_some_and(|keeper| keeper.replica().participation().can_vote())
     };
-    let whole = (0..keepers).filter(|other| *other != of && sure(world, *other)).count();
-    let damage = whole > keepers / 2;
-    let kind = world.rng.random_range(0..14);
+    let other_voters = (0..keepers).filter(|other| *other != index && can_vote(simulation, *other)).count();
+    let may_damage_disk = other_voters > keepers / 2;
+    let kind = simulation.rng.random_range(0..14);
     match kind {
-        0..=2 if world.is_up(of) => {
-            world.kill(of);
-            format!("kill {of}")
+        0..=2 if simulation.is_up(index) => {
+            simulation.kill(index);
+            format!("kill {index}")
         }
-        3 if world.is_up(other) && other >= keepers => {
-            world.kill(other);
+        3 if simulation.is_up(other) && other >= keepers => {
+            simulation.kill(other);
             format!("kill {other}")
         }
         4 => {
-            let time = world.rng.random_range(100 * MILLI..8 * SECOND);
-            world.pause(of, time);
-            format!("pause {of} {time}")
+            let time = simulation.rng.random_range(100 * MILLISECOND..8 * SECOND);
+            simulation.pause(index, time);
+            format!("pause {index} {time}")
         }
         5 | 6 => {
-            let both = world.rng.random_bool(0.5);
-            if of != other {
-                world.cut(of, other, both);
+            let both_ways = simulation.rng.random_bool(0.5);
+            if index != other {
+                simulation.cut_link(index, other, both_ways);
             }
-            format!("cut {of} {other} {both}")
+            format!("cut {index} {other} {both_ways}")
         }
         7 => {
-            let share = |world: &mut World| {
-                if world.rng.random_bool(0.5) { world.rng.random_range(0.0..0.3) } else { 0.0 }
+            let share = |simulation: &mut Simulation| {
+                if simulation.rng.random_bool(0.5) { simulation.rng.random_range(0.0..0.3) } else { 0.0 }
             };
-            (world.common.lost, world.common.doubled, world.common.late) =
-                (share(world), share(world), share(world));
+            (
+                simulation.default_link.loss_rate,
+                simulation.default_link.duplicate_rate,
+                simulation.default_link.delay_rate,
+            ) = (share(simulation), share(simulation), share(simulation));
             "links".into()
         }
-        8 if damage && world.is_up(of) => {
-            let n = world.rng.random_range(1..6);
-            world.kill(of);
-            world.processes[of].disk.lose_tail(n);
-            format!("lose {n} of {of}")
+        8 if may_damage_disk && simulation.is_up(index) => {
+            let n = simulation.rng.random_range(1..6);
+            simulation.kill(index);
+            simulation.processes[index].disk.lose_tail(n);
+            format!("lose {n} of {index}")
         }
-        9 if damage && world.is_up(of) => {
-            let n = world.rng.random_range(0..6);
-            world.kill(of);
-            world.processes[of].disk.spoil(n);
-            format!("spoil {n} of {of}")
+        9 if may_damage_disk && simulation.is_up(index) => {
+            let n = simulation.rng.random_range(0..6);
+            simulation.kill(index);
+            simulation.processes[index].disk.corrupt_entry(n);
+            format!("spoil {n} of {index}")
         }
-        10 if damage && world.is_up(of) => {
-            world.kill(of);
-            world.processes[of].disk.wipe();
-            format!("wipe {of}")
+        10 if may_damage_disk && simulation.is_up(index) => {
+            simulation.kill(index);
+            simulation.processes[index].disk.wipe();
+            format!("wipe {index}")
         }
-        11 if world.is_up(of) => {
-            world.processes[of].disk.torn = true;
-            format!("tear {of}")
+        11 if simulation.is_up(index) => {
+            simulation.processes[index].disk.tear_next_write = true;
+            format!("tear {index}")
         }
         12 => {
-            world.heal();
+            simulation.heal_links();
             "heal".into()
         }
         _ => {
-            let down: Vec<usize> = (0..world.names.len()).filter(|of| !world.is_up(*of)).collect();
-            for of in &down {
-                world.start(*of);
+            let down: Vec<usize> =
+                (0..simulation.names.len()).filter(|index| !simulation.is_up(*index)).collect();
+            for index in &down {
+                simulation.start(*index);
             }
             format!("start {down:?}")
         }
     }
 }
 
-fn play(seed: u64) -> Result<(), String> {
+fn run_seed(seed: u64) -> Result<(), String> {
     let keepers = if seed.is_multiple_of(3) { 5 } else { 3 };
-    let mut world = World::new(seed, keepers, 4, 2);
+    let mut simulation = Simulation::new(seed, keepers, 4, 2);
     let mut log = Vec::new();
-    let mut queued = 0;
+    let mut proposal_count = 0;
     for step in 0..60 {
-        if world.rng.random_bool(0.5) {
-            queued += 1;
-            let scope = format!("s{}", world.rng.random_range(0..3));
-            let order = Order::Propose(Box::new(proposal(&scope, queued)));
-            world.propose("op", order);
-        }
-        for of in keepers..keepers + 4 {
-            world.count(of, 5, 4);
-        }
-        if step > 5 && world.rng.random_bool(0.6) {
-            let at = world.now;
-            log.push(format!("{at}: {}", fault(&mut world)));
-        }
-        let time = world.rng.random_range(50 * MILLI..1500 * MILLI);
-        world.run(time);
-        world.settle_reports();
+        if simulation.rng.random_bool(0.5) {
+            proposal_count += 1;
+            let scope = format!("s{}", simulation.rng.random_range(0..3));
+            let operation = Operation::Propose(Box::new(proposal(&scope, proposal_count)));
+            simulation.propose("op", operation);
+        }
+        for index in keepers..keepers + 4 {
+            simulation.count_requests(index, 5, 4);
+        }
+        if step > 5 && simulation.rng.random_bool(0.6) {
+            let at = simulation.now;
+            log.push(format!("{at}: {}", inject_fault(&mut simulation)));
+        }
+        let time = simulation.rng.random_range(50 * MILLISECOND..1500 * MILLISECOND);
+        simulation.run(time);
+        simulation.settle_reports();
     }
-    world.heal();
-    world.processes.iter_mut().for_each(|process| process.disk.torn = false);
-    for of in 0..world.names.len() {
-        if !world.is_up(of) {
-            world.start(of);
+    simulation.heal_links();
+    simulation.processes.iter_mut().for_each(|process| process.disk.tear_next_write = false);
+    for index in 0..simulation.names.len() {
+        if !simulation.is_up(index) {
+            simulation.start(index);
         }
-        if !world.is_up(of) {
+        if !simulation.is_up(index) {
             return Err(format!(
                 "{} does not start: {:?}\n{}",
-                world.names[of],
-                world.processes[of].ended,
+                simulation.names[index],
+                simulation.processes[index].exit_reason,
                 log.join("\n")
             ));
         }
     }
-    let told = |world: &World| world.clients.iter().all(|client| client.outcome.is_some());
-    let one = |world: &World| told(world) && checks::record(world).is_ok() && checks::evidence(world).is_ok();
-    if world.until(120 * SECOND, one) {
+    let all_resolved =
+        |simulation: &Simulation| simulation.clients.iter().all(|client| client.outcome.is_some());
+    let is_consistent = |simulation: &Simulation| {
+        all_resolved(simulation) && checks::record(simulation).is_ok() && checks::evidence(simulation).is_ok()
+    };
+    if simulation.run_until(120 * SECOND, is_consistent) {
         return Ok(());
     }
-    let open = world.clients.iter().filter(|client| client.outcome.is_none()).count();
-    let standing: Vec<_> =
-        world.up().iter().map(|of| world.keeper(*of).unwrap().replica().standing()).collect();
+    let unresolved = simulation.clients.iter().filter(|client| client.outcome.is_none()).count();
+    let statuses: Vec<_> = simulation
+        .running_keepers()
+        .iter()
+        .map(|index| simulation.keeper(*index).unwrap().replica().status())
+        .collect();
     Err(format!(
-        "{open} clients know nothing, record {:?}, evidence {:?}\n{standing:#?}\n{}",
-        checks::record(&world),
-        checks::evidence(&world),
+        "{unresolved} clients know nothing, record {:?}, evidence {:?}\n{statuses:#?}\n{}",
+        checks::record(&simulation),
+        checks::evidence(&simulation),
         log.join("\n")
     ))
 }
 
 #[test]
 fn whatever_faults_come_the_record_is_kept_and_whole_again() {
-    let told = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
-    let seeds = match told("FLEET_SEED") {
+    let env_number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
+    let seeds = match env_number("FLEET_SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..told("FLEET_SEEDS").unwrap_or(SEEDS),
+        None => 0..env_number("FLEET_SEEDS").unwrap_or(DEFAULT_SEEDS),
     };
     let next = std::sync::atomic::AtomicU64::new(seeds.start);
     let failed = std::sync::Mutex::new(Vec::new());
@@ -159,9 +169,9 @@
                     if seed >= seeds.end {
                         break;
                     }
-                    let played =
-                        std::panic::catch_unwind(|| play(seed)).unwrap_or_else(|_| Err("a panic".into()));
-                    if let Err(why) = played {
+                    let outcome =
+                        std::panic::catch_unwind(|| run_seed(seed)).unwrap_or_else(|_| Err("a panic".into()));
+                    if let Err(why) = outcome {
                         failed.lock().unwrap().push((seed, why));
                     }
                 }
@@ -180,38 +190,39 @@
 /// The same seed plays the same, to the last byte on the disks.
 #[test]
 fn a_seed_is_played_again_exactly() {
-    let end = || {
-        let mut world = World::new(77, 3, 4, 2);
+    let final_state = || {
+        let mut simulation = Simulation::new(77, 3, 4, 2);
         for n in 0..10 {
-            world.propose("op", Order::Propose(Box::new(proposal("s", n))));
-            let _ = fault(&mut world);
-            world.run(2 * SECOND);
+            simulation.propose("op", Operation::Propose(Box::new(proposal("s", n))));
+            let _ = inject_fault(&mut simulation);
+            simulation.run(2 * SECOND);
         }
-        let disks: Vec<_> = world.processes.iter().map(|process| process.disk.stored()).collect();
-        (disks, world.sent.clone(), world.now)
+        let disks: Vec<_> = simulation.processes.iter().map(|process| process.disk.stored()).collect();
+        (disks, simulation.sent.clone(), simulation.now)
     };
-    assert_eq!(end(), end());
+    assert_eq!(final_state(), final_state());
 }
 
 /// A build that forgets, and one that takes a command twice: the checker finds both.
 #[test]
 fn the_checker_finds_a_record_that_forgets_or_doubles() {
-    let mut world = World::new(5, 3, 0, 0);
-    let one = world.propose("op", Order::Propose(Box::new(proposal("s", 1))));
-    let two = world.propose("op", Order::Propose(Box::new(proposal("s", 2))));
-    let known = |world: &World| world.clients.iter().all(|client| client.outcome.is_some());
-    assert!(world.until(30 * SECOND, known));
-    assert!(world.until(30 * SECOND, |world| checks::record(world).is_ok()));
+    let mut simulation = Simulation::new(5, 3, 0, 0);
+    let first = simulation.propose("op", Operation::Propose(Box::new(proposal("s", 1))));
+    let second = simulation.propose("op", Operation::Propose(Box::new(proposal("s", 2))));
+    let all_resolved =
+        |simulation: &Simulation| simulation.clients.iter().all(|client| client.outcome.is_some());
+    assert!(simulation.run_until(30 * SECOND, all_resolved));
+    assert!(simulation.run_until(30 * SECOND, |simulation| checks::record(simulation).is_ok()));
     // As if it had been acknowledged and were not there.
-    world.clients[one].outcome = Some(Outcome::Queued { change: 9, behind: 0 });
-    assert!(checks::record(&world).unwrap_err().contains("acknowledged and is not at"));
-    world.clients.truncate(1);
-    world.clients[0].outcome = None;
-    let _ = two;
+    simulation.clients[first].outcome = Some(Outcome::Queued { change: 9, behind: 0 });
+    assert!(checks::record(&simulation).unwrap_err().contains("acknowledged and is not at"));
+    simulation.clients.truncate(1);
+    simulation.clients[0].outcome = None;
+    let _ = second;
     // The same command under two numbers of its proposer is two changes.
-    let mut again = world.clients[0].command.clone();
-    again.number = 2;
-    world.send_command(again);
-    assert!(world.until(30 * SECOND, |world| world.clients[1].outcome.is_some()));
-    assert!(checks::record(&world).unwrap_err().contains("taken 2 times"));
+    let mut duplicate = simulation.clients[0].command.clone();
+    duplicate.number = 2;
+    simulation.send_command(duplicate);
+    assert!(simulation.run_until(30 * SECOND, |simulation| simulation.clients[1].outcome.is_some()));
+    assert!(checks::record(&simulation).unwrap_err().contains("taken 2 times"));
 }
--- a/crates/fleet/tests/world/checks.rs
+++ b/crates/fleet/tests/world/checks.rs
@@ -2,39 +2,39 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_fleet::record::{Order, Outcome, Stored};
+use elderstage_fleet::record::{Operation, Outcome, StoredBlocks};
 use elderstage_tally::Tally;
 
-use super::World;
+use super::Simulation;
 
 /// What a client was told is in the record, once, at every keeper that is up, and all have the same record.
-pub fn record(world: &World) -> Result<(), String> {
+pub fn record(simulation: &Simulation) -> Result<(), String> {
     let mut digests = BTreeMap::new();
-    for of in world.up() {
-        let Some(keeper) = world.keeper(of) else { continue };
+    for index in simulation.running_keepers() {
+        let Some(keeper) = simulation.keeper(index) else { continue };
         let state = keeper.replica().state();
-        digests.insert(state.digest(), of);
+        digests.insert(state.digest(), index);
         let mut by_proposer = BTreeMap::new();
         for change in state.changes() {
-            *by_proposer.entry(change.by.clone()).or_insert(0) += 1;
+            *by_proposer.entry(change.proposer.clone()).or_insert(0) += 1;
         }
-        for (n, client) in world.clients.iter().enumerate() {
-            let (proposer, order) = (&client.command.proposer, &client.command.order);
+        for (n, client) in simulation.clients.iter().enumerate() {
+            let (proposer, operation) = (&client.command.proposer, &client.command.operation);
             let times = by_proposer.get(proposer).copied().unwrap_or(0);
             if times > 1 {
                 return Err(format!(
                     "client {n}: its command was taken {times} times at {}",
-                    world.names[of]
+                    simulation.names[index]
                 ));
             }
             let Some(Outcome::Queued { change, .. }) = &client.outcome else { continue };
-            let found = state.changes().find(|of| of.number == *change);
+            let found = state.changes().find(|change_found| change_found.number == *change);
             let same = found.is_some_and(|found| {
-                matches!(order, Order::Propose(proposal) if **proposal == found.proposal)
-                    && found.by == *proposer
+                matches!(operation, Operation::Propose(proposal) if **proposal == found.proposal)
+                    && found.proposer == *proposer
             });
             if !same {
-                let at = &world.names[of];
+                let at = &simulation.names[index];
                 return Err(format!(
                     "client {n}: change {change} was acknowledged and is not at {at}: {found:?}"
                 ));
@@ -42,46 +42,44 @@
         }
     }
     if digests.len() > 1 {
-        let all: Vec<_> = digests.values().map(|of| world.names[*of].to_string()).collect();
+        let all: Vec<_> = digests.values().map(|index| simulation.names[*index].to_string()).collect();
         return Err(format!("{} keepers' records differ: {}", digests.len(), all.join(", ")));
     }
     Ok(())
 }
 
 /// What was acknowledged is on the disks of a majority, as they lie there.
-pub fn on_disk(world: &World, command: &elderstage_fleet::record::Command) -> usize {
-    let wanted = postcard::to_stdvec(command).unwrap();
-    let has = |stored: &Stored, of: usize| {
-        let found = stored.read(&super::name("shop"), &world.names[of]);
+pub fn on_disk(simulation: &Simulation, command: &elderstage_fleet::record::Command) -> usize {
+    let expected = postcard::to_stdvec(command).unwrap();
+    let has = |stored: &StoredBlocks, index: usize| {
+        let found = stored.recover(&super::name("shop"), &simulation.names[index]);
         found.is_ok_and(|found| {
             let state = found.snapshot.as_ref().map(|(_, state)| state);
-            found.entries.iter().any(|entry| entry.data == wanted)
-                || state.is_some_and(|state| state.changes().any(|change| change.by == command.proposer))
+            found.entries.iter().any(|entry| entry.data == expected)
+                || state
+                    .is_some_and(|state| state.changes().any(|change| change.proposer == command.proposer))
         })
     };
-    (0..world.keepers).filter(|of| has(&world.processes[*of].disk.stored(), *of)).count()
+    (0..simulation.keepers).filter(|index| has(&simulation.processes[*index].disk.stored(), *index)).count()
 }
 
 /// What a keeper had on its disk is in every keeper's sum, once, and nothing that no member told; all sums are alike.
-pub fn evidence(world: &World) -> Result<(), String> {
-    let sum = |of: &BTreeMap<(usize, u64), Tally>| {
+pub fn evidence(simulation: &Simulation) -> Result<(), String> {
+    let sum = |tallies: &BTreeMap<(usize, u64), Tally>| {
         let mut sum = Tally::default();
-        of.values().for_each(|tally| sum.add(tally));
+        tallies.values().for_each(|tally| sum.add(tally));
         sum.sum()
     };
-    let (least, most) = (sum(&world.sure), sum(&world.said));
+    let (min, max) = (sum(&simulation.persisted), sum(&simulation.reported));
     let mut sums = Vec::new();
-    for of in world.up() {
-        let Some(keeper) = world.keeper(of) else { continue };
+    for index in simulation.running_keepers() {
+        let Some(keeper) = simulation.keeper(index) else { continue };
         let mut found = Tally::default();
         keeper.store().members().for_each(|(_, held)| found.add(&held.total()));
         let counts = found.sum();
-        if counts.asked < least.asked || counts.asked > most.asked || counts.in_time > most.in_time {
-            let (found, name) = (counts.asked, &world.names[of]);
-            return Err(format!(
-                "{name} counts {found} requests, {} to {} were told",
-                least.asked, most.asked
-            ));
+        if counts.asked < min.asked || counts.asked > max.asked || counts.in_time > max.in_time {
+            let (found, name) = (counts.asked, &simulation.names[index]);
+            return Err(format!("{name} counts {found} requests, {} to {} were told", min.asked, max.asked));
         }
         sums.push(found);
     }
--- a/crates/fleet/tests/world/disk.rs
+++ b/crates/fleet/tests/world/disk.rs
@@ -2,29 +2,29 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_fleet::record::{Stored, Write};
+use elderstage_fleet::record::{DiskWrite, StoredBlocks};
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    pub mark: Option<Vec<u8>>,
-    pub hard: Option<Vec<u8>>,
+    pub watermark: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     pub snapshot: Option<Vec<u8>>,
     pub entries: BTreeMap<u64, Vec<u8>>,
     reports: BTreeMap<u64, Vec<u8>>,
     /// Takes nothing more.
-    pub full: bool,
+    pub is_full: bool,
     /// A write stops between the log and the mark, as a kill there leaves it.
-    pub torn: bool,
+    pub tear_next_write: bool,
 }
 
 impl Disk {
-    pub fn stored(&self) -> Stored {
-        Stored {
-            mark: self.mark.clone(),
-            hard: self.hard.clone(),
+    pub fn stored(&self) -> StoredBlocks {
+        StoredBlocks {
+            watermark: self.watermark.clone(),
+            hard_state: self.hard_state.clone(),
             snapshot: self.snapshot.clone(),
             entries: self.entries.iter().map(|(index, block)| (*index, block.clone())).collect(),
-            unread: Vec::new(),
+            read_errors: Vec::new(),
         }
     }
 
@@ -32,28 +32,28 @@
         self.reports.iter().map(|(key, block)| (*key, block.clone())).collect()
     }
 
-    pub fn write(&mut self, write: &Write) -> Result<(), String> {
-        if self.full {
+    pub fn write(&mut self, write: &DiskWrite) -> Result<(), String> {
+        if self.is_full {
             return Err("no space left on device".into());
         }
-        self.hard = write.hard.clone().or(self.hard.take());
+        self.hard_state = write.hard_state.clone().or(self.hard_state.take());
         self.snapshot = write.snapshot.clone().or(self.snapshot.take());
-        if let Some(from) = write.cut_from {
+        if let Some(from) = write.truncate_from {
             self.entries.split_off(&from);
         }
-        if let Some(first) = write.first {
-            self.entries = self.entries.split_off(&first);
+        if let Some(first_index) = write.first_index {
+            self.entries = self.entries.split_off(&first_index);
         }
         self.entries.extend(write.entries.iter().cloned());
-        if std::mem::take(&mut self.torn) {
+        if std::mem::take(&mut self.tear_next_write) {
             return Err("killed in the middle of a write".into());
         }
-        self.mark = Some(write.mark.clone());
+        self.watermark = Some(write.watermark.clone());
         Ok(())
     }
 
     pub fn keep(&mut self, reports: &[(u64, Vec<u8>)]) {
-        if !self.full {
+        if !self.is_full {
             self.reports.extend(reports.iter().cloned());
         }
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn spoil(&mut self, nth: usize) {
+    pub fn corrupt_entry(&mut self, nth: usize) {
         if let Some((_, block)) = self.entries.iter_mut().rev().nth(nth) {
             let middle = block.len() / 2;
             block[middle] ^= 1;
