--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderstage_fleet::agent::{self, Agent};
-use elderstage_fleet::change::{Part, Proposal, Stage, What, digest_of};
-use elderstage_fleet::keeper::{self, Keeper, Note, Setup};
-use elderstage_fleet::members::{Identity, Kind};
+use elderstage_fleet::change::{ChangeContent, MemberShare, Proposal, Stage, content_digest};
+use elderstage_fleet::keeper::{self, Keeper, KeeperSetup, Notice};
+use elderstage_fleet::members::{Identity, MemberKind};
 use elderstage_fleet::name::Name;
-use elderstage_fleet::record::{Command, Order, Outcome, Proposer, RecordError};
-use elderstage_fleet::wire::{self, Answer, Ask, Body, Frame};
-use elderstage_fleet::{MILLI, SECOND, Time};
+use elderstage_fleet::record::{Command, Operation, Outcome, Proposer, RecordError};
+use elderstage_fleet::wire::{self, ClientRequest, ClientResponse, Frame, MemberMessage};
+use elderstage_fleet::{MILLISECOND, Micros, SECOND};
 use elderstage_tally::{Key, Tally, Told};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,11 +28,11 @@
 /// How a link between two members treats what is sent one way.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    pub cut: bool,
+    pub is_cut: bool,
     /// Shares of frames that are lost, sent twice, and held back behind later ones.
-    pub lost: f64,
-    pub doubled: f64,
-    pub late: f64,
+    pub loss_rate: f64,
+    pub duplicate_rate: f64,
+    pub delay_rate: f64,
 }
 
 pub enum Core {
@@ -45,19 +45,19 @@
     pub disk: Disk,
     pub starts: u64,
     /// Stands still until then; what comes meanwhile waits.
-    pub paused: Time,
+    pub paused_until: Micros,
     /// What a front beside an agent has counted since its start.
-    pub told: Option<Told>,
+    pub front_tally: Option<Told>,
     /// Why a keeper has ended by itself.
-    pub ended: Option<String>,
+    pub exit_reason: Option<String>,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Frame { from: usize, to: usize, start: u64, bytes: Vec<u8> },
-    Wake { of: usize, start: u64 },
-    Ask { of: usize, conn: u64, ask: Box<Ask> },
-    Left { of: usize, conn: u64 },
+    Wake { index: usize, start: u64 },
+    ClientRequest { index: usize, conn: u64, request: Box<ClientRequest> },
+    ClientDisconnected { index: usize, conn: u64 },
     Retry { client: usize },
 }
 
@@ -71,69 +71,69 @@
     pub tries: u32,
 }
 
-pub struct World {
-    pub now: Time,
+pub struct Simulation {
+    pub now: Micros,
     pub rng: ChaCha8Rng,
     pub processes: Vec<Process>,
     pub names: Vec<Name>,
     pub keepers: usize,
     pub links: BTreeMap<(usize, usize), Link>,
-    pub common: Link,
+    pub default_link: Link,
     pub clients: Vec<Client>,
-    events: BTreeMap<(Time, u64), Event>,
+    events: BTreeMap<(Micros, u64), Event>,
     next: u64,
     conns: BTreeMap<u64, usize>,
     /// Frames and bytes that were sent, by sender.
     pub sent: Vec<(u64, u64)>,
     /// Notes of keepers in the order in which they came.
-    pub notes: Vec<(Time, usize, Note)>,
+    pub notices: Vec<(Micros, usize, Notice)>,
     /// What each front beside an agent has counted, by boot, as it was last told to any keeper; and of that what a
     /// keeper has had long enough to have it on its disk.
-    pub said: Counted,
-    pub sure: Counted,
+    pub reported: TallyByBoot,
+    pub persisted: TallyByBoot,
     /// Told to a keeper, in its start, and not yet for so long.
-    fresh: Vec<Fresh>,
+    pending_reports: Vec<PendingReport>,
     zones: usize,
 }
 
 /// Reports are on a keeper's disk within this; a little more for one that stands still meanwhile.
-const ON_DISK: Time = 5 * SECOND + 100 * MILLI;
+const REPORT_PERSIST_TIME: Micros = 5 * SECOND + 100 * MILLISECOND;
 
 /// By member and boot of its front.
-type Counted = BTreeMap<(usize, u64), Tally>;
+type TallyByBoot = BTreeMap<(usize, u64), Tally>;
 
 /// A report that a keeper took at this time, in this start of it.
-struct Fresh {
-    at: Time,
+struct PendingReport {
+    at: Micros,
     keeper: usize,
     start: u64,
-    of: (usize, u64),
+    key: (usize, u64),
     tally: Tally,
 }
 
-fn newer(of: &mut Counted, key: (usize, u64), tally: &Tally) {
-    let last = of.entry(key).or_default();
+fn keep_newer(tallies: &mut TallyByBoot, key: (usize, u64), tally: &Tally) {
+    let last = tallies.entry(key).or_default();
     if tally.sum().asked > last.sum().asked {
         *last = tally.clone();
     }
 }
 
 /// Between two machines of one fleet: up to some milliseconds.
-const DELAY: (Time, Time) = (200, 3 * MILLI);
+const LINK_DELAY: (Micros, Micros) = (200, 3 * MILLISECOND);
 
 pub fn proposal(scope: &str, n: u64) -> Proposal {
     let text = format!("{{\"n\": {n}}}");
     Proposal {
         scope: name(scope),
-        what: What::Settings { digest: digest_of(text.as_bytes()), text },
-        stages: vec![Stage { members: Part::Count(1) }, Stage { members: Part::All }],
+        content: ChangeContent::Settings { digest: content_digest(text.as_bytes()), text },
+        stages: vec![Stage { members: MemberShare::Count(1) }, Stage { members: MemberShare::All }],
         least_evidence: 100,
         longest_stage_s: 600,
     }
 }
 
-impl World {
-    pub fn new(seed: u64, keepers: usize, fronts: usize, engines: usize) -> World {
+impl Simulation {
+    pub fn new(seed: u64, keepers: usize, fronts: usize, engines: usize) -> Simulation {
         let mut names: Vec<Name> = (1..=keepers).map(|n| name(&format!("k{n}"))).collect();
         names.extend((1..=fronts).map(|n| name(&format!("f{n}"))));
         names.extend((1..=engines).map(|n| name(&format!("e{n}"))));
@@ -141,11 +141,11 @@
             core: None,
             disk: Disk::default(),
             starts: 0,
-            paused: 0,
-            told: None,
-            ended: None,
+            paused_until: 0,
+            front_tally: None,
+            exit_reason: None,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             now: SECOND,
             rng: ChaCha8Rng::seed_from_u64(seed),
             processes: names.iter().map(process).collect(),
@@ -153,151 +153,155 @@
             names,
             keepers,
             links: BTreeMap::new(),
-            common: Link::default(),
+            default_link: Link::default(),
             clients: Vec::new(),
             events: BTreeMap::new(),
             next: 0,
             conns: BTreeMap::new(),
-            notes: Vec::new(),
-            said: BTreeMap::new(),
-            sure: BTreeMap::new(),
-            fresh: Vec::new(),
+            notices: Vec::new(),
+            reported: BTreeMap::new(),
+            persisted: BTreeMap::new(),
+            pending_reports: Vec::new(),
             zones: 3,
         };
-        for of in 0..world.names.len() {
-            if of >= keepers && of < keepers + fronts {
-                world.processes[of].told =
-                    Some(Told { boot: world.rng.random(), version: 0, tally: Tally::default() });
+        for index in 0..simulation.names.len() {
+            if index >= keepers && index < keepers + fronts {
+                simulation.processes[index].front_tally =
+                    Some(Told { boot: simulation.rng.random(), version: 0, tally: Tally::default() });
             }
-            world.start(of);
+            simulation.start(index);
         }
-        world
+        simulation
     }
 
-    fn kind(&self, of: usize) -> Kind {
-        match self.names[of].as_str().as_bytes()[0] {
-            b'k' => Kind::Keeper,
-            b'f' => Kind::Front,
-            _ => Kind::Engine,
+    fn kind(&self, index: usize) -> MemberKind {
+        match self.names[index].as_str().as_bytes()[0] {
+            b'k' => MemberKind::Keeper,
+            b'f' => MemberKind::Front,
+            _ => MemberKind::Engine,
         }
     }
 
-    fn identity(&self, of: usize, boot: u64) -> Identity {
+    fn identity(&self, index: usize, boot: u64) -> Identity {
         Identity {
-            name: self.names[of].clone(),
-            kind: self.kind(of),
-            zone: name(&format!("z{}", of % self.zones)),
-            at: ([127, 0, (of >> 8) as u8, of as u8], 7000).into(),
+            name: self.names[index].clone(),
+            kind: self.kind(index),
+            zone: name(&format!("z{}", index % self.zones)),
+            at: ([127, 0, (index >> 8) as u8, index as u8], 7000).into(),
             boot,
-            turn: 0,
+            incarnation: 0,
         }
     }
 
     /// Starts a process that is down. A keeper whose disk can't be used stays down and says why.
-    pub fn start(&mut self, of: usize) {
-        assert!(self.processes[of].core.is_none(), "{} is up", self.names[of]);
-        self.processes[of].starts += 1;
-        let boot = self.processes[of].starts << 32 | u64::from(self.rng.random::<u32>());
-        let me = self.identity(of, boot);
+    pub fn start(&mut self, index: usize) {
+        assert!(self.processes[index].core.is_none(), "{} is up", self.names[index]);
+        self.processes[index].starts += 1;
+        let boot = self.processes[index].starts << 32 | u64::from(self.rng.random::<u32>());
+        let me = self.identity(index, boot);
         let keepers: Vec<Name> = self.names[..self.keepers].to_vec();
         let seeds: Vec<Identity> = (0..self.keepers).map(|keeper| self.identity(keeper, 0)).collect();
         let (seed, now) = (self.rng.random(), self.now);
-        let process = &mut self.processes[of];
-        (process.ended, process.paused) = (None, 0);
-        if of >= self.keepers {
-            let counts = me.kind == Kind::Front;
-            process.core = Some(Core::Agent(Box::new(Agent::new(keepers, me, seeds, counts, seed, now))));
+        let process = &mut self.processes[index];
+        (process.exit_reason, process.paused_until) = (None, 0);
+        if index >= self.keepers {
+            let is_beside_front = me.kind == MemberKind::Front;
+            process.core =
+                Some(Core::Agent(Box::new(Agent::new(keepers, me, seeds, is_beside_front, seed, now))));
         } else {
-            let setup = Setup { fleet: name("shop"), keepers, me, seeds, seed };
+            let setup = KeeperSetup { fleet: name("shop"), keepers, me, seeds, seed };
             let mut out = Vec::new();
             let (stored, reports) = (process.disk.stored(), process.disk.reports());
             match Keeper::new(setup, &stored, &reports, now, &mut out) {
                 Ok(keeper) => {
                     process.core = Some(Core::Keeper(Box::new(keeper)));
-                    self.keeper_does(of, out);
+                    self.run_keeper_outputs(index, out);
                 }
-                Err(error) => process.ended = Some(error.to_string()),
+                Err(error) => process.exit_reason = Some(error.to_string()),
             }
         }
-        self.arm(of);
+        self.schedule_wake(index);
     }
 
     /// Ends a process as SIGKILL does: what is on its disk stays.
-    pub fn kill(&mut self, of: usize) {
-        self.processes[of].core = None;
-        self.processes[of].paused = 0;
-        let there =
-            |(_, client): &(&u64, &usize)| self.clients.get(**client).is_some_and(|client| client.at == of);
-        let gone: Vec<u64> = self.conns.iter().filter(there).map(|(conn, _)| *conn).collect();
-        for conn in gone {
+    pub fn kill(&mut self, index: usize) {
+        self.processes[index].core = None;
+        self.processes[index].paused_until = 0;
+        let belongs_to_process = |(_, client): &(&u64, &usize)| {
+            self.clients.get(**client).is_some_and(|client| client.at == index)
+        };
+        let closed: Vec<u64> = self.conns.iter().filter(belongs_to_process).map(|(conn, _)| *conn).collect();
+        for conn in closed {
             self.conns.remove(&conn);
         }
     }
 
-    pub fn pause(&mut self, of: usize, time: Time) {
-        self.processes[of].paused = self.now + time;
+    pub fn pause(&mut self, index: usize, time: Micros) {
+        self.processes[index].paused_until = self.now + time;
     }
 
-    pub fn is_up(&self, of: usize) -> bool {
-        self.processes[of].core.is_some()
+    pub fn is_up(&self, index: usize) -> bool {
+        self.processes[index].core.is_some()
     }
 
-    pub fn keeper(&self, of: usize) -> Option<&Keeper> {
-        match &self.processes[of].core {
+    pub fn keeper(&self, index: usize) -> Option<&Keeper> {
+        match &self.processes[index].core {
             Some(Core::Keeper(keeper)) => Some(keeper),
             _ => None,
         }
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |of: &usize| self.keeper(*of).is_some_and(Keeper::leads);
-        let leaders: Vec<usize> = (0..self.keepers).filter(leads).collect();
+        let is_leader = |index: &usize| self.keeper(*index).is_some_and(Keeper::is_leader);
+        let leaders: Vec<usize> = (0..self.keepers).filter(is_leader).collect();
         // A leader that was cut off may still think that it leads: the one of the highest term does.
-        leaders.into_iter().max_by_key(|of| self.keeper(*of).map(|keeper| keeper.replica().standing().term))
+        leaders
+            .into_iter()
+            .max_by_key(|index| self.keeper(*index).map(|keeper| keeper.replica().status().term))
     }
 
-    pub fn cut(&mut self, one: usize, other: usize, both: bool) {
-        self.links.entry((one, other)).or_default().cut = true;
-        if both {
-            self.links.entry((other, one)).or_default().cut = true;
+    pub fn cut_link(&mut self, one: usize, other: usize, both_ways: bool) {
+        self.links.entry((one, other)).or_default().is_cut = true;
+        if both_ways {
+            self.links.entry((other, one)).or_default().is_cut = true;
         }
     }
 
-    pub fn heal(&mut self) {
+    pub fn heal_links(&mut self) {
         self.links.clear();
-        self.common = Link::default();
+        self.default_link = Link::default();
     }
 
-    fn push(&mut self, at: Time, event: Event) {
+    fn push(&mut self, at: Micros, event: Event) {
         self.next += 1;
         self.events.insert((at, self.next), event);
     }
 
-    fn arm(&mut self, of: usize) {
-        let at = match &self.processes[of].core {
+    fn schedule_wake(&mut self, index: usize) {
+        let at = match &self.processes[index].core {
             Some(Core::Keeper(keeper)) => keeper.next_timer(),
             Some(Core::Agent(agent)) => agent.next_timer(),
             None => return,
         };
-        let (at, start) = (at.max(self.now), self.processes[of].starts);
-        self.push(at, Event::Wake { of, start });
+        let (at, start) = (at.max(self.now), self.processes[index].starts);
+        self.push(at, Event::Wake { index, start });
     }
 
-    fn send(&mut self, from: usize, to: &Name, body: Body) {
+    fn send(&mut self, from: usize, to: &Name, body: MemberMessage) {
         let Some(to) = self.names.iter().position(|name| name == to) else { return };
         // Through the codec, as on sockets.
-        let bytes = wire::encode(&Frame::Body(body)).unwrap();
+        let bytes = wire::encode(&Frame::MemberMessage(body)).unwrap();
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes.len() as u64;
-        let link = self.links.get(&(from, to)).copied().unwrap_or(self.common);
-        if link.cut || self.rng.random_bool(link.lost) {
+        let link = self.links.get(&(from, to)).copied().unwrap_or(self.default_link);
+        if link.is_cut || self.rng.random_bool(link.loss_rate) {
             return;
         }
-        let times = 1 + usize::from(self.rng.random_bool(link.doubled));
-        for _ in 0..times {
-            let mut at = self.now + self.rng.random_range(DELAY.0..DELAY.1);
-            if self.rng.random_bool(link.late) {
-                at += self.rng.random_range(0..200 * MILLI);
+        let copies = 1 + usize::from(self.rng.random_bool(link.duplicate_rate));
+        for _ in 0..copies {
+            let mut at = self.now + self.rng.random_range(LINK_DELAY.0..LINK_DELAY.1);
+            if self.rng.random_bool(link.delay_rate) {
+                at += self.rng.random_range(0..200 * MILLISECOND);
             }
             // What is on its way to a process that dies does not reach the next one.
             let start = self.processes[to].starts;
@@ -305,36 +309,36 @@
         }
     }
 
-    fn keeper_does(&mut self, of: usize, out: Vec<keeper::Out>) {
+    fn run_keeper_outputs(&mut self, index: usize, out: Vec<keeper::Output>) {
         for action in out {
             match action {
-                keeper::Out::Write(write) => {
-                    if let Err(why) = self.processes[of].disk.write(&write) {
-                        self.kill(of);
-                        self.processes[of].ended = Some(why);
+                keeper::Output::Write(write) => {
+                    if let Err(why) = self.processes[index].disk.write(&write) {
+                        self.kill(index);
+                        self.processes[index].exit_reason = Some(why);
                         return;
                     }
                 }
-                keeper::Out::Keep(reports) => self.processes[of].disk.keep(&reports),
-                keeper::Out::Send { to, body, .. } => self.send(of, &to, body),
-                keeper::Out::Answer { conn, answer } => self.answered(conn, *answer),
-                keeper::Out::Note(note) => self.notes.push((self.now, of, note)),
+                keeper::Output::StoreReports(reports) => self.processes[index].disk.keep(&reports),
+                keeper::Output::Send { to, body, .. } => self.send(index, &to, body),
+                keeper::Output::ClientResponse { conn, response } => self.handle_response(conn, *response),
+                keeper::Output::Notice(note) => self.notices.push((self.now, index, note)),
             }
         }
     }
 
-    fn agent_does(&mut self, of: usize, out: Vec<agent::Out>) {
+    fn run_agent_outputs(&mut self, index: usize, out: Vec<agent::Output>) {
         for action in out {
-            if let agent::Out::Send { to, body, .. } = action {
-                self.send(of, &to, body);
+            if let agent::Output::Send { to, body, .. } = action {
+                self.send(index, &to, body);
             }
         }
     }
 
     /// A new client that proposes this until it knows what came of it; a number for it.
-    pub fn propose(&mut self, by: &str, order: Order) -> usize {
+    pub fn propose(&mut self, by: &str, operation: Operation) -> usize {
         let proposer = Proposer { name: name(by), run: self.rng.random() };
-        self.send_command(Command { proposer, number: 1, order })
+        self.send_command(Command { proposer, number: 1, operation })
     }
 
     pub fn send_command(&mut self, command: Command) -> usize {
@@ -354,18 +358,18 @@
         }
         let old = self.clients[client].conn;
         if self.conns.remove(&old).is_some() {
-            let of = self.clients[client].at;
-            self.push(self.now, Event::Left { of, conn: old });
+            let index = self.clients[client].at;
+            self.push(self.now, Event::ClientDisconnected { index, conn: old });
         }
         self.next += 1;
-        let (conn, of) = (self.next, self.rng.random_range(0..self.keepers));
+        let (conn, index) = (self.next, self.rng.random_range(0..self.keepers));
         self.conns.insert(conn, client);
-        (self.clients[client].conn, self.clients[client].at) = (conn, of);
+        (self.clients[client].conn, self.clients[client].at) = (conn, index);
         self.clients[client].tries += 1;
-        let ask = Box::new(Ask::Propose(Box::new(self.clients[client].command.clone())));
-        self.push(self.now + MILLI, Event::Ask { of, conn, ask });
-        let again = self.now + self.rng.random_range(SECOND..4 * SECOND);
-        self.push(again, Event::Retry { client });
+        let request = Box::new(ClientRequest::Propose(Box::new(self.clients[client].command.clone())));
+        self.push(self.now + MILLISECOND, Event::ClientRequest { index, conn, request });
+        let retry_at = self.now + self.rng.random_range(SECOND..4 * SECOND);
+        self.push(retry_at, Event::Retry { client });
     }
 
     /// Clients that know what came of their commands are done with.
@@ -374,46 +378,47 @@
         self.conns.clear();
     }
 
-    fn answered(&mut self, conn: u64, answer: Answer) {
+    fn handle_response(&mut self, conn: u64, response: ClientResponse) {
         let Some(client) = self.conns.get(&conn).copied() else { return };
         // The client may not hear it: it asks again then.
-        if self.rng.random_bool(self.common.lost) {
+        if self.rng.random_bool(self.default_link.loss_rate) {
             return;
         }
-        match answer {
-            Answer::Done(outcome) => self.clients[client].outcome = Some(outcome),
-            Answer::Refused(error) => self.clients[client].refused = Some(error.to_string()),
-            Answer::NotYet(_) | Answer::Shown(_) => {}
+        match response {
+            ClientResponse::Applied(outcome) => self.clients[client].outcome = Some(outcome),
+            ClientResponse::Refused(error) => self.clients[client].refused = Some(error.to_string()),
+            ClientResponse::Unconfirmed(_) | ClientResponse::Status(_) => {}
         }
     }
 
     /// A front beside an agent counts so many more requests.
-    pub fn count(&mut self, of: usize, asked: u64, in_time: u64) {
-        let Some(told) = &mut self.processes[of].told else { return };
+    pub fn count_requests(&mut self, index: usize, asked: u64, in_time: u64) {
+        let Some(front_tally) = &mut self.processes[index].front_tally else { return };
         let key = Key { class: "chat".into(), release: "r1".into(), settings: "s1".into(), ..Key::default() };
-        let counts = told.tally.of(&key);
-        (counts.asked, counts.in_time) = (counts.asked + asked, counts.in_time + in_time);
-        told.version += 1;
-        let told = told.clone();
-        self.tell(of, told);
+        let is_beside_front = front_tally.tally.of(&key);
+        (is_beside_front.asked, is_beside_front.in_time) =
+            (is_beside_front.asked + asked, is_beside_front.in_time + in_time);
+        front_tally.version += 1;
+        let front_tally = front_tally.clone();
+        self.deliver_tally(index, front_tally);
     }
 
-    fn tell(&mut self, of: usize, told: Told) {
-        if let Some(Core::Agent(agent)) = &mut self.processes[of].core {
+    fn deliver_tally(&mut self, index: usize, front_tally: Told) {
+        if let Some(Core::Agent(agent)) = &mut self.processes[index].core {
             let mut out = Vec::new();
-            agent.handle(self.now, agent::In::Told(told), &mut out);
-            self.agent_does(of, out);
+            agent.handle(self.now, agent::Input::TallyRead(front_tally), &mut out);
+            self.run_agent_outputs(index, out);
         }
     }
 
     /// The front beside an agent starts anew and counts from nothing. Its clock may say anything.
-    pub fn restart_front(&mut self, of: usize) {
+    pub fn restart_front(&mut self, index: usize) {
         let boot = self.rng.random();
-        self.processes[of].told = Some(Told { boot, version: 0, tally: Tally::default() });
+        self.processes[index].front_tally = Some(Told { boot, version: 0, tally: Tally::default() });
     }
 
     /// Plays on for this time.
-    pub fn run(&mut self, time: Time) {
+    pub fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(((at, _), _)) = self.events.first_key_value() {
             let at = *at;
@@ -422,31 +427,33 @@
             }
             let Some((_, event)) = self.events.pop_first() else { break };
             self.now = self.now.max(at);
-            self.happen(event);
+            self.dispatch(event);
         }
         self.now = end;
     }
 
     /// Plays until something holds; `false` if it does not within this time.
-    pub fn until(&mut self, time: Time, holds: impl Fn(&World) -> bool) -> bool {
+    pub fn run_until(&mut self, time: Micros, condition: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
-            self.run(20 * MILLI);
+            self.run(20 * MILLISECOND);
         }
-        holds(self)
+        condition(self)
     }
 
-    fn happen(&mut self, event: Event) {
-        let of = match &event {
+    fn dispatch(&mut self, event: Event) {
+        let index = match &event {
             Event::Frame { to, .. } => *to,
-            Event::Wake { of, .. } | Event::Ask { of, .. } | Event::Left { of, .. } => *of,
+            Event::Wake { index, .. }
+            | Event::ClientRequest { index, .. }
+            | Event::ClientDisconnected { index, .. } => *index,
             Event::Retry { client } => return self.retry(*client),
         };
-        if self.processes[of].paused > self.now {
-            let at = self.processes[of].paused;
+        if self.processes[index].paused_until > self.now {
+            let at = self.processes[index].paused_until;
             return self.push(at, event);
         }
         let now = self.now;
@@ -455,87 +462,91 @@
                 if self.processes[to].starts != start {
                     return;
                 }
-                let Ok(Some((Frame::Body(body), _))) = wire::decode(&bytes) else {
+                let Ok(Some((Frame::MemberMessage(body), _))) = wire::decode(&bytes) else {
                     panic!("a frame is spoilt")
                 };
-                if let Body::Report(report) = &body
+                if let MemberMessage::Report(report) = &body
                     && to < self.keepers
                     && self.is_up(to)
                 {
-                    let of = (from, report.boot);
-                    newer(&mut self.said, of, &report.tally);
+                    let key = (from, report.boot);
+                    keep_newer(&mut self.reported, key, &report.tally);
                     let tally = report.tally.clone();
-                    self.fresh.push(Fresh { at: now, keeper: to, start, of, tally });
+                    self.pending_reports.push(PendingReport { at: now, keeper: to, start, key, tally });
                 }
                 let peer = self.names[from].clone();
-                self.tell_core(to, keeper::In::From { peer, body });
+                self.deliver_input(to, keeper::Input::PeerMessage { peer, body });
             }
-            Event::Wake { of, start } => {
-                if self.processes[of].starts != start {
+            Event::Wake { index, start } => {
+                if self.processes[index].starts != start {
                     return;
                 }
-                match &mut self.processes[of].core {
+                match &mut self.processes[index].core {
                     Some(Core::Keeper(keeper)) => {
                         let mut out = Vec::new();
                         let done = keeper.wake(now, &mut out);
-                        self.keeper_done(of, done, out);
+                        self.finish_keeper_call(index, done, out);
                     }
                     Some(Core::Agent(agent)) => {
                         let mut out = Vec::new();
                         agent.wake(now, &mut out);
-                        self.agent_does(of, out);
+                        self.run_agent_outputs(index, out);
                     }
                     None => return,
                 }
-                self.arm(of);
+                self.schedule_wake(index);
+            }
+            Event::ClientRequest { index, conn, request } => {
+                self.deliver_input(index, keeper::Input::ClientRequest { conn, request: *request })
+            }
+            Event::ClientDisconnected { index, conn } => {
+                self.deliver_input(index, keeper::Input::ClientDisconnected { conn })
             }
-            Event::Ask { of, conn, ask } => self.tell_core(of, keeper::In::Asked { conn, ask: *ask }),
-            Event::Left { of, conn } => self.tell_core(of, keeper::In::Left { conn }),
             Event::Retry { .. } => {}
         }
     }
 
-    fn tell_core(&mut self, of: usize, input: keeper::In) {
+    fn deliver_input(&mut self, index: usize, input: keeper::Input) {
         let now = self.now;
-        match (&mut self.processes[of].core, input) {
+        match (&mut self.processes[index].core, input) {
             (Some(Core::Keeper(keeper)), input) => {
                 let mut out = Vec::new();
                 let done = keeper.handle(now, input, &mut out);
-                self.keeper_done(of, done, out);
+                self.finish_keeper_call(index, done, out);
             }
-            (Some(Core::Agent(agent)), keeper::In::From { peer, body }) => {
+            (Some(Core::Agent(agent)), keeper::Input::PeerMessage { peer, body }) => {
                 let mut out = Vec::new();
-                agent.handle(now, agent::In::From { peer, body }, &mut out);
-                self.agent_does(of, out);
+                agent.handle(now, agent::Input::PeerMessage { peer, body }, &mut out);
+                self.run_agent_outputs(index, out);
             }
             _ => {}
         }
     }
 
-    fn keeper_done(&mut self, of: usize, done: Result<(), RecordError>, out: Vec<keeper::Out>) {
+    fn finish_keeper_call(&mut self, index: usize, done: Result<(), RecordError>, out: Vec<keeper::Output>) {
         match done {
-            Ok(()) => self.keeper_does(of, out),
-            Err(error) => panic!("{} at {}: {error}", self.names[of], self.now),
+            Ok(()) => self.run_keeper_outputs(index, out),
+            Err(error) => panic!("{} at {}: {error}", self.names[index], self.now),
         }
     }
 
     /// What was told to a keeper that has been up for long enough since.
     pub fn settle_reports(&mut self) {
-        for fresh in std::mem::take(&mut self.fresh) {
-            let process = &self.processes[fresh.keeper];
-            if process.starts != fresh.start || process.core.is_none() {
+        for pending_reports in std::mem::take(&mut self.pending_reports) {
+            let process = &self.processes[pending_reports.keeper];
+            if process.starts != pending_reports.start || process.core.is_none() {
                 continue;
             }
-            if self.now >= fresh.at + ON_DISK {
-                newer(&mut self.sure, fresh.of, &fresh.tally);
+            if self.now >= pending_reports.at + REPORT_PERSIST_TIME {
+                keep_newer(&mut self.persisted, pending_reports.key, &pending_reports.tally);
             } else {
-                self.fresh.push(fresh);
+                self.pending_reports.push(pending_reports);
             }
         }
     }
 
     /// Keepers that are up.
-    pub fn up(&self) -> BTreeSet<usize> {
-        (0..self.keepers).filter(|of| self.is_up(*of)).collect()
+    pub fn running_keepers(&self) -> BTreeSet<usize> {
+        (0..self.keepers).filter(|index| self.is_up(*index)).collect()
     }
 }
--- a/crates/fleetd/examples/commits.rs
+++ b/crates/fleetd/examples/commits.rs
@@ -8,18 +8,18 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use elderstage_fleet::change::{Part, Proposal, Stage, What, digest_of};
-use elderstage_fleet::record::{Command, Order, Proposer, Seal, Write, seal};
+use elderstage_fleet::change::{ChangeContent, MemberShare, Proposal, Stage, content_digest};
+use elderstage_fleet::record::{BlockKind, Command, DiskWrite, Operation, Proposer, encode_block};
 use elderstage_fleetd::Disk;
 
-const TIMES: usize = 300;
+const RUNS: usize = 300;
 /// Bytes of a small command.
-const SIZE: usize = 400;
+const COMMAND_BYTES: usize = 400;
 
-fn shown(what: &str, mut times: Vec<Duration>) {
+fn print_times(label: &str, mut times: Vec<Duration>) {
     times.sort_unstable();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e3;
-    println!("{what:44} p50 {:8.2} ms  p99 {:8.2} ms  ({} times)", at(0.5), at(0.99), times.len());
+    println!("{label:44} p50 {:8.2} ms  p99 {:8.2} ms  ({} times)", at(0.5), at(0.99), times.len());
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -28,51 +28,51 @@
     std::fs::create_dir_all(&folder)?;
     let disk = Disk::open(&folder.join("keeper"))?;
     let mut file = OpenOptions::new().create(true).append(true).open(folder.join("bare"))?;
-    let (mut bare, mut record) = (Vec::new(), Vec::new());
-    for n in 0..TIMES as u64 {
+    let (mut fsync_times, mut commit_times) = (Vec::new(), Vec::new());
+    for n in 0..RUNS as u64 {
         // One after the other, so that both see the same disk.
-        let begun = Instant::now();
-        file.write_all(&[7; SIZE])?;
+        let started_at = Instant::now();
+        file.write_all(&[7; COMMAND_BYTES])?;
         file.sync_data()?;
-        bare.push(begun.elapsed());
-        let write = Write {
-            hard: Some(seal(Seal::Hard, &[1; 24])),
-            entries: vec![(n + 1, seal(Seal::Entry(n + 1), &[7; SIZE]))],
-            cut_from: Some(n + 1),
-            mark: seal(Seal::Mark, &[1; 64]),
-            ..Write::default()
+        fsync_times.push(started_at.elapsed());
+        let write = DiskWrite {
+            hard_state: Some(encode_block(BlockKind::HardState, &[1; 24])),
+            entries: vec![(n + 1, encode_block(BlockKind::Entry(n + 1), &[7; COMMAND_BYTES]))],
+            truncate_from: Some(n + 1),
+            watermark: encode_block(BlockKind::Watermark, &[1; 64]),
+            ..DiskWrite::default()
         };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         disk.write(&write)?;
-        record.push(begun.elapsed());
+        commit_times.push(started_at.elapsed());
     }
-    shown("bare: append and fdatasync", bare);
-    shown("a keeper's write: database and mark", record);
-    let doors: Vec<SocketAddr> = args.filter_map(|text| text.parse().ok()).collect();
-    let mut through = Vec::new();
-    for n in 0..TIMES.min(100) as u64 {
-        let Some(at) = doors.get(n as usize % doors.len().max(1)) else { break };
+    print_times("bare: append and fdatasync", fsync_times);
+    print_times("a keeper's write: database and mark", commit_times);
+    let keeper_addresses: Vec<SocketAddr> = args.filter_map(|text| text.parse().ok()).collect();
+    let mut proposal_times = Vec::new();
+    for n in 0..RUNS.min(100) as u64 {
+        let Some(at) = keeper_addresses.get(n as usize % keeper_addresses.len().max(1)) else { break };
         let name = "measure".parse()?;
-        let order = if n % 2 == 0 {
+        let operation = if n % 2 == 0 {
             let text = format!("{{\"n\": {n}}}");
-            Order::Propose(Box::new(Proposal {
+            Operation::Propose(Box::new(Proposal {
                 scope: "measure".parse()?,
-                what: What::Settings { digest: digest_of(text.as_bytes()), text },
-                stages: vec![Stage { members: Part::All }],
+                content: ChangeContent::Settings { digest: content_digest(text.as_bytes()), text },
+                stages: vec![Stage { members: MemberShare::All }],
                 least_evidence: 1,
                 longest_stage_s: 60,
             }))
         } else {
-            Order::Stop { change: n / 2 + 1, reason: "measured".into() }
+            Operation::Stop { change: n / 2 + 1, reason: "measured".into() }
         };
-        let command = Command { proposer: Proposer { name, run: rand::random() }, number: 1, order };
-        let begun = Instant::now();
+        let command = Command { proposer: Proposer { name, run: rand::random() }, number: 1, operation };
+        let started_at = Instant::now();
         // A stop of a change that another run has made is refused: it has its place in the record all the same.
         let _ = elderstage_fleetd::propose(*at, command);
-        through.push(begun.elapsed());
+        proposal_times.push(started_at.elapsed());
     }
-    if !through.is_empty() {
-        shown("a command through running keepers", through);
+    if !proposal_times.is_empty() {
+        print_times("a command through running keepers", proposal_times);
     }
     Ok(())
 }
--- a/crates/fleetd/src/disk.rs
+++ b/crates/fleetd/src/disk.rs
@@ -8,21 +8,21 @@
 use std::io::{self, Read, Write as _};
 use std::path::{Path, PathBuf};
 
-use elderstage_fleet::record::{Stored, Write};
+use elderstage_fleet::record::{DiskWrite, StoredBlocks};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use thiserror::Error;
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const PARTS: TableDefinition<&str, &[u8]> = TableDefinition::new("parts");
 const REPORTS: TableDefinition<u64, &[u8]> = TableDefinition::new("reports");
-const HARD: &str = "hard";
-const SNAPSHOT: &str = "snapshot";
-const RECORD: &str = "record.redb";
-const MARK: &str = "mark";
+const HARD_STATE_KEY: &str = "hard";
+const SNAPSHOT_KEY: &str = "snapshot";
+const DATABASE_FILE: &str = "record.redb";
+const WATERMARK_FILE: &str = "mark";
 /// Largest mark, in bytes.
-const MOST_MARK: u64 = 4096;
+const MAX_WATERMARK_BYTES: u64 = 4096;
 /// Memory for the database's pages, in bytes: the record is small.
-const CACHE: usize = 8 << 20;
+const CACHE_BYTES: usize = 8 << 20;
 
 #[derive(Debug, Error)]
 pub enum DiskError {
@@ -42,24 +42,24 @@
     database: Database,
 }
 
-fn file<T>(path: &Path, result: io::Result<T>) -> Result<T, DiskError> {
+fn with_path<T>(path: &Path, result: io::Result<T>) -> Result<T, DiskError> {
     result.map_err(|error| DiskError::File { path: path.to_owned(), error })
 }
 
 impl Disk {
     /// Opens a keeper's directory, and makes it where there is none.
     pub fn open(directory: &Path) -> Result<Disk, DiskError> {
-        file(directory, fs::create_dir_all(directory))?;
-        let path = directory.join(RECORD);
-        let wrong = |error: redb::Error| match error {
+        with_path(directory, fs::create_dir_all(directory))?;
+        let path = directory.join(DATABASE_FILE);
+        let database_error = |error: redb::Error| match error {
             redb::Error::DatabaseAlreadyOpen => DiskError::InUse { path: path.clone() },
             error => DiskError::Database { path: path.clone(), error },
         };
-        let opened = Database::builder().set_cache_size(CACHE).create(&path);
-        let database = opened.map_err(|error| wrong(error.into()))?;
+        let opened = Database::builder().set_cache_size(CACHE_BYTES).create(&path);
+        let database = opened.map_err(|error| database_error(error.into()))?;
         let disk = Disk { directory: directory.to_owned(), database };
         // Tables that are read must be there.
-        let make = || -> Result<(), redb::Error> {
+        let create_tables = || -> Result<(), redb::Error> {
             let write = disk.database.begin_write()?;
             write.open_table(ENTRIES)?;
             write.open_table(PARTS)?;
@@ -67,39 +67,39 @@
             write.commit()?;
             Ok(())
         };
-        make().map_err(wrong)?;
+        create_tables().map_err(database_error)?;
         Ok(disk)
     }
 
-    fn wrong(&self, error: redb::Error) -> DiskError {
-        DiskError::Database { path: self.directory.join(RECORD), error }
+    fn database_error(&self, error: redb::Error) -> DiskError {
+        DiskError::Database { path: self.directory.join(DATABASE_FILE), error }
     }
 
     /// All that is there, unchecked; what can't even be read is said in words.
-    pub fn stored(&self) -> Result<Stored, DiskError> {
-        let mut stored = Stored { mark: self.mark()?, ..Stored::default() };
-        let read = self.database.begin_read().map_err(|error| self.wrong(error.into()))?;
+    pub fn read_blocks(&self) -> Result<StoredBlocks, DiskError> {
+        let mut blocks = StoredBlocks { watermark: self.read_watermark()?, ..StoredBlocks::default() };
+        let read = self.database.begin_read().map_err(|error| self.database_error(error.into()))?;
         let mut parts = || -> Result<(), redb::Error> {
             let parts = read.open_table(PARTS)?;
-            stored.hard = parts.get(HARD)?.map(|block| block.value().to_vec());
-            stored.snapshot = parts.get(SNAPSHOT)?.map(|block| block.value().to_vec());
+            blocks.hard_state = parts.get(HARD_STATE_KEY)?.map(|block| block.value().to_vec());
+            blocks.snapshot = parts.get(SNAPSHOT_KEY)?.map(|block| block.value().to_vec());
             Ok(())
         };
         let parts = parts();
         let mut entries = || -> Result<(), redb::Error> {
             for entry in read.open_table(ENTRIES)?.iter()? {
                 let (index, block) = entry?;
-                stored.entries.push((index.value(), block.value().to_vec()));
+                blocks.entries.push((index.value(), block.value().to_vec()));
             }
             Ok(())
         };
         let entries = entries();
         for (what, result) in [("term, vote and snapshot", parts), ("entries", entries)] {
             if let Err(error) = result {
-                stored.unread.push(format!("{what}: {error}"));
+                blocks.read_errors.push(format!("{what}: {error}"));
             }
         }
-        Ok(stored)
+        Ok(blocks)
     }
 
     /// Members' reports, unchecked. They are evidence, not the record: what can't be read is left aside.
@@ -119,97 +119,97 @@
         })
     }
 
-    fn mark(&self) -> Result<Option<Vec<u8>>, DiskError> {
-        let path = self.directory.join(MARK);
+    fn read_watermark(&self) -> Result<Option<Vec<u8>>, DiskError> {
+        let path = self.directory.join(WATERMARK_FILE);
         let mut bytes = Vec::new();
         match File::open(&path) {
             Ok(from) => {
-                file(&path, from.take(MOST_MARK).read_to_end(&mut bytes))?;
+                with_path(&path, from.take(MAX_WATERMARK_BYTES).read_to_end(&mut bytes))?;
                 Ok(Some(bytes))
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(error) => file(&path, Err(error)),
+            Err(error) => with_path(&path, Err(error)),
         }
     }
 
     /// On the disk when this returns, the mark last.
-    pub fn write(&self, write: &Write) -> Result<(), DiskError> {
-        self.write_record(write).map_err(|error| self.wrong(error))?;
-        if write.mark.is_empty() {
+    pub fn write(&self, write: &DiskWrite) -> Result<(), DiskError> {
+        self.write_record(write).map_err(|error| self.database_error(error))?;
+        if write.watermark.is_empty() {
             return Ok(());
         }
-        let (path, new) = (self.directory.join(MARK), self.directory.join("mark.new"));
+        let (path, new) = (self.directory.join(WATERMARK_FILE), self.directory.join("mark.new"));
         let written = || -> io::Result<()> {
-            let mut to = OpenOptions::new().write(true).create(true).truncate(true).open(&new)?;
-            to.write_all(&write.mark)?;
-            to.sync_data()?;
+            let mut transaction = OpenOptions::new().write(true).create(true).truncate(true).open(&new)?;
+            transaction.write_all(&write.watermark)?;
+            transaction.sync_data()?;
             fs::rename(&new, &path)?;
             File::open(&self.directory)?.sync_all()
         };
-        file(&path, written())
+        with_path(&path, written())
     }
 
-    fn write_record(&self, write: &Write) -> Result<(), redb::Error> {
-        if write.hard.is_none()
+    fn write_record(&self, write: &DiskWrite) -> Result<(), redb::Error> {
+        if write.hard_state.is_none()
             && write.snapshot.is_none()
             && write.entries.is_empty()
-            && write.cut_from.is_none()
+            && write.truncate_from.is_none()
         {
             return Ok(());
         }
-        let to = self.database.begin_write()?;
+        let transaction = self.database.begin_write()?;
         {
-            let mut parts = to.open_table(PARTS)?;
-            for (name, block) in [(HARD, &write.hard), (SNAPSHOT, &write.snapshot)] {
+            let mut parts = transaction.open_table(PARTS)?;
+            for (name, block) in [(HARD_STATE_KEY, &write.hard_state), (SNAPSHOT_KEY, &write.snapshot)] {
                 if let Some(block) = block {
                     parts.insert(name, block.as_slice())?;
                 }
             }
-            let mut entries = to.open_table(ENTRIES)?;
-            if let Some(from) = write.cut_from {
+            let mut entries = transaction.open_table(ENTRIES)?;
+            if let Some(from) = write.truncate_from {
                 entries.retain_in(from.., |_, _| false)?;
             }
-            if let Some(first) = write.first {
-                entries.retain_in(..first, |_, _| false)?;
+            if let Some(first_index) = write.first_index {
+                entries.retain_in(..first_index, |_, _| false)?;
             }
             for (index, block) in &write.entries {
                 entries.insert(index, block.as_slice())?;
             }
         }
-        to.commit()?;
+        transaction.commit()?;
         Ok(())
     }
 
-    pub fn keep(&self, reports: &[(u64, Vec<u8>)]) -> Result<(), DiskError> {
-        let keep = || -> Result<(), redb::Error> {
-            let to = self.database.begin_write()?;
+    pub fn store_reports(&self, reports: &[(u64, Vec<u8>)]) -> Result<(), DiskError> {
+        let store_reports = || -> Result<(), redb::Error> {
+            let transaction = self.database.begin_write()?;
             {
-                let mut table = to.open_table(REPORTS)?;
+                let mut table = transaction.open_table(REPORTS)?;
                 for (key, block) in reports {
                     table.insert(key, block.as_slice())?;
                 }
             }
-            to.commit()?;
+            transaction.commit()?;
             Ok(())
         };
-        keep().map_err(|error| self.wrong(error))
+        store_reports().map_err(|error| self.database_error(error))
     }
 }
 
-/// Counts a member's starts in its directory: a count in the upper half, `drawn` below, so that a directory that was
+/// Counts a member's starts in its directory: a count in the upper half, `random_half` below, so that a directory that was
 /// wiped does not begin with a number that was there before.
-pub fn boot(directory: &Path, drawn: u32) -> Result<u64, DiskError> {
-    file(directory, fs::create_dir_all(directory))?;
+pub fn next_boot_id(directory: &Path, random_half: u32) -> Result<u64, DiskError> {
+    with_path(directory, fs::create_dir_all(directory))?;
     let path = directory.join("starts");
     let text = match fs::read_to_string(&path) {
         Ok(text) => text,
         Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
-        Err(error) => return file(&path, Err(error)),
+        Err(error) => return with_path(&path, Err(error)),
     };
     // A spoilt count begins anew: the drawn half keeps starts apart.
-    let starts = text.trim().parse::<u32>().unwrap_or(0).wrapping_add(1);
+    let start_count = text.trim().parse::<u32>().unwrap_or(0).wrapping_add(1);
     let new = directory.join("starts.new");
-    file(&new, fs::write(&new, starts.to_string()))?;
-    file(&path, fs::rename(&new, &path))?;
-    Ok(u64::from(starts) << 32 | u64::from(drawn))
+    with_path(&new, fs::write(&new, start_count.to_string()))?;
+    with_path(&path, fs::rename(&new, &path))?;
+    Ok(u64::from(start_count) << 32 | u64::from(random_half))
 }
--- a/crates/fleetd/src/host.rs
+++ b/crates/fleetd/src/host.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use elderstage_fleet::agent::{self, Agent};
-use elderstage_fleet::keeper::{self, Keeper, Note};
+use elderstage_fleet::keeper::{self, Keeper, Notice};
 use elderstage_fleet::wire::{self, Frame};
 use elderstage_net::owner::{Machine, Micros};
 
 use crate::disk::Disk;
-use crate::links::{Event, Links, Way};
+use crate::links::{Event, FrameSender, PeerConnections};
 
 /// Which core it is.
 pub enum Core {
@@ -18,85 +18,87 @@
     Agent(Box<Agent>),
 }
 
-pub struct Host {
+pub struct FleetProcess {
     pub core: Core,
-    pub links: Links,
+    pub connections: PeerConnections,
     /// Clients' connections, by number.
-    pub clients: HashMap<u64, Way>,
-    /// Why it can't go on. Seen by the main thread at `over`: with nothing more coming in no event would end it.
-    pub failed: Option<String>,
-    pub over: Arc<AtomicBool>,
+    pub clients: HashMap<u64, FrameSender>,
+    /// Why it can't go on. Seen by the main thread at `has_failed`: with nothing more coming in no event would end it.
+    pub failure: Option<String>,
+    pub has_failed: Arc<AtomicBool>,
 }
 
-fn note(note: &Note) {
-    match note {
-        Note::Doubt(what) => tracing::warn!(target: "fleet", %what, "the disk is not as it was left"),
-        Note::Founded => tracing::info!(target: "fleet", "the record is founded"),
-        Note::Rejoined => tracing::info!(target: "fleet", "has all of the record again"),
-        Note::Leads(Some(keeper)) => tracing::info!(target: "fleet", %keeper, "leads"),
-        Note::Leads(None) => tracing::info!(target: "fleet", "no leader is known"),
-        Note::Decided { command, outcome } => {
+fn log_notice(notice: &Notice) {
+    match notice {
+        Notice::DiskFault(what) => tracing::warn!(target: "fleet", %what, "the disk is not as it was left"),
+        Notice::Bootstrapped => tracing::info!(target: "fleet", "the record is founded"),
+        Notice::Rejoined => tracing::info!(target: "fleet", "has all of the record again"),
+        Notice::LeaderChanged(Some(keeper)) => tracing::info!(target: "fleet", %keeper, "leads"),
+        Notice::LeaderChanged(None) => tracing::info!(target: "fleet", "no leader is known"),
+        Notice::CommandApplied { command, outcome } => {
             let (by, number) = (&command.proposer.name, command.number);
             tracing::info!(target: "fleet", %by, number, ?outcome, "decided");
         }
-        Note::ReportSpoilt(key) => tracing::warn!(target: "fleet", key, "a report on disk is spoilt"),
-        Note::Unread { peer } => tracing::warn!(target: "fleet", %peer, "said what can't be used"),
+        Notice::CorruptReport(key) => tracing::warn!(target: "fleet", key, "a report on disk is spoilt"),
+        Notice::RejectedMessage { peer } => tracing::warn!(target: "fleet", %peer, "said what can't be used"),
     }
 }
 
-impl Host {
+impl FleetProcess {
     fn fail(&mut self, why: String) {
-        self.failed.get_or_insert(why);
-        self.over.store(true, Ordering::SeqCst);
+        self.failure.get_or_insert(why);
+        self.has_failed.store(true, Ordering::SeqCst);
     }
 
     /// Carries out what a keeper says, in order. `false`: the disk has failed and nothing after it was done.
-    pub fn keeper_does(&mut self, out: Vec<keeper::Out>) -> bool {
-        for action in out {
+    pub fn run_keeper_outputs(&mut self, outputs: Vec<keeper::Output>) -> bool {
+        for action in outputs {
             let Core::Keeper(_, disk) = &self.core else { return false };
-            let done = match &action {
-                keeper::Out::Write(write) => disk.write(write),
-                keeper::Out::Keep(reports) => disk.keep(reports),
+            let result = match &action {
+                keeper::Output::Write(write) => disk.write(write),
+                keeper::Output::StoreReports(reports) => disk.store_reports(reports),
                 _ => Ok(()),
             };
-            if let Err(error) = done {
+            if let Err(error) = result {
                 // What follows must not be said: whoever can't write is not there.
                 self.fail(error.to_string());
                 return false;
             }
             match action {
-                keeper::Out::Send { to, at, body } => self.links.send(&to, at, body),
-                keeper::Out::Answer { conn, answer } => {
-                    if let (Some(way), Ok(frame)) =
-                        (self.clients.get(&conn), wire::encode(&Frame::Answer(answer)))
+                keeper::Output::Send { to, at, body } => self.connections.send(&to, at, body),
+                keeper::Output::ClientResponse { conn, response } => {
+                    if let (Some(sender), Ok(frame)) =
+                        (self.clients.get(&conn), wire::encode(&Frame::ClientResponse(response)))
                     {
-                        way.send(frame.into());
+                        sender.send(frame.into());
                     }
                 }
-                keeper::Out::Note(what) => note(&what),
-                keeper::Out::Write(_) | keeper::Out::Keep(_) => {}
+                keeper::Output::Notice(what) => log_notice(&what),
+                keeper::Output::Write(_) | keeper::Output::StoreReports(_) => {}
             }
         }
         true
     }
 
-    fn agent_does(&mut self, out: Vec<agent::Out>) {
-        for action in out {
+    fn run_agent_outputs(&mut self, outputs: Vec<agent::Output>) {
+        for action in outputs {
             match action {
-                agent::Out::Send { to, at, body } => self.links.send(&to, at, body),
-                agent::Out::Keepers { heard } => tracing::info!(target: "fleet", heard, "keepers"),
-                agent::Out::Unread { peer } => {
+                agent::Output::Send { to, at, body } => self.connections.send(&to, at, body),
+                agent::Output::ReachableKeepers { reachable } => {
+                    tracing::info!(target: "fleet", heard = reachable, "keepers")
+                }
+                agent::Output::RejectedMessage { peer } => {
                     tracing::warn!(target: "fleet", %peer, "said what can't be used")
                 }
             }
         }
     }
 
-    fn keeper_in(&mut self, now: Micros, input: keeper::In) -> bool {
+    fn handle_keeper_input(&mut self, now: Micros, input: keeper::Input) -> bool {
         let Core::Keeper(core, _) = &mut self.core else { return true };
-        let mut out = Vec::new();
-        match core.handle(now, input, &mut out) {
-            Ok(()) => self.keeper_does(out),
+        let mut outputs = Vec::new();
+        match core.handle(now, input, &mut outputs) {
+            Ok(()) => self.run_keeper_outputs(outputs),
             Err(error) => {
                 self.fail(error.to_string());
                 false
@@ -104,49 +106,53 @@
         }
     }
 
-    fn agent_in(&mut self, now: Micros, input: agent::In) -> bool {
+    fn handle_agent_input(&mut self, now: Micros, input: agent::Input) -> bool {
         let Core::Agent(core) = &mut self.core else { return true };
-        let mut out = Vec::new();
-        core.handle(now, input, &mut out);
-        self.agent_does(out);
+        let mut outputs = Vec::new();
+        core.handle(now, input, &mut outputs);
+        self.run_agent_outputs(outputs);
         true
     }
 }
 
-impl Machine for Host {
+impl Machine for FleetProcess {
     type Event = Event;
 
     fn handle(&mut self, now: Micros, event: Event) -> bool {
         // Nothing is said after a write that failed.
-        if self.failed.is_some() {
+        if self.failure.is_some() {
             return false;
         }
         match event {
-            Event::Up { conn, peer, way } => self.links.up(conn, peer, way),
-            Event::Down { conn, peer } => self.links.down(conn, &peer),
-            Event::Missed { peer } => self.links.missed(&peer),
-            Event::Said { peer, body } => {
+            Event::PeerConnected { conn, peer, sender } => {
+                self.connections.peer_connected(conn, peer, sender)
+            }
+            Event::PeerDisconnected { conn, peer } => self.connections.peer_disconnected(conn, &peer),
+            Event::ConnectFailed { peer } => self.connections.connect_failed(&peer),
+            Event::PeerMessage { peer, body } => {
                 return match &self.core {
-                    Core::Keeper(..) => self.keeper_in(now, keeper::In::From { peer, body }),
-                    Core::Agent(_) => self.agent_in(now, agent::In::From { peer, body }),
+                    Core::Keeper(..) => {
+                        self.handle_keeper_input(now, keeper::Input::PeerMessage { peer, body })
+                    }
+                    Core::Agent(_) => self.handle_agent_input(now, agent::Input::PeerMessage { peer, body }),
                 };
             }
-            Event::Asked { conn, ask, way } => {
+            Event::ClientRequest { conn, request, sender } => {
                 if matches!(self.core, Core::Keeper(..)) {
-                    self.clients.insert(conn, way);
-                    return self.keeper_in(now, keeper::In::Asked { conn, ask });
+                    self.clients.insert(conn, sender);
+                    return self.handle_keeper_input(now, keeper::Input::ClientRequest { conn, request });
                 }
                 let reason = "this is an agent: ask a keeper".to_owned();
-                let answer = Box::new(wire::Answer::NotYet(reason));
-                if let Ok(frame) = wire::encode(&Frame::Answer(answer)) {
-                    way.send(frame.into());
+                let response = Box::new(wire::ClientResponse::Unconfirmed(reason));
+                if let Ok(frame) = wire::encode(&Frame::ClientResponse(response)) {
+                    sender.send(frame.into());
                 }
             }
-            Event::Left { conn } => {
+            Event::ClientDisconnected { conn } => {
                 self.clients.remove(&conn);
-                return self.keeper_in(now, keeper::In::Left { conn });
+                return self.handle_keeper_input(now, keeper::Input::ClientDisconnected { conn });
             }
-            Event::Tally(told) => return self.agent_in(now, agent::In::Told(told)),
+            Event::TallyRead(told) => return self.handle_agent_input(now, agent::Input::TallyRead(told)),
             Event::Stop => return false,
         }
         true
@@ -154,7 +160,7 @@
 
     fn next_timer(&self) -> Option<Micros> {
         // A disk that has failed is an end, told at the next look.
-        if self.failed.is_some() {
+        if self.failure.is_some() {
             return None;
         }
         Some(match &self.core {
@@ -166,16 +172,16 @@
     fn wake(&mut self, now: Micros) {
         match &mut self.core {
             Core::Keeper(core, _) => {
-                let mut out = Vec::new();
-                match core.wake(now, &mut out) {
-                    Ok(()) => drop(self.keeper_does(out)),
+                let mut outputs = Vec::new();
+                match core.wake(now, &mut outputs) {
+                    Ok(()) => drop(self.run_keeper_outputs(outputs)),
                     Err(error) => self.fail(error.to_string()),
                 }
             }
             Core::Agent(core) => {
-                let mut out = Vec::new();
-                core.wake(now, &mut out);
-                self.agent_does(out);
+                let mut outputs = Vec::new();
+                core.wake(now, &mut outputs);
+                self.run_agent_outputs(outputs);
             }
         }
     }
