--- a/crates/cli/tests/fleet/links.rs
+++ b/crates/cli/tests/fleet/links.rs
@@ -1,5 +1,5 @@
-//! Links that the test owns: one from each process to each other, for frames both ways. Each direction can be cut, can
-//! hold frames back, double them and change their order.
+//! Proxies between each pair of processes, for frames both ways. Each direction can drop, delay, duplicate and reorder
+//! frames.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -7,19 +7,19 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How a direction treats its frames.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
     pub is_cut: bool,
     pub delay: Duration,
-    /// Every so manieth frame is sent twice, or after the next one; 0 for none.
+    /// Every nth frame is sent twice, or after the next one; 0 for none.
     pub duplicate_every: u64,
     pub swap_every: u64,
 }
 
 #[derive(Default)]
 struct Inner {
-    /// Where each process listens now.
+    /// Current listen address of each process.
     addresses: HashMap<String, SocketAddr>,
     faults: HashMap<(String, String), LinkFaults>,
     frames: HashMap<(String, String), u64>,
@@ -29,7 +29,7 @@
 #[derive(Clone, Default)]
 pub struct Links(Arc<Mutex<Inner>>);
 
-/// A frame is a length and so many bytes; a larger one is no frame.
+/// A larger frame ends the connection.
 const MAX_FRAME_BYTES: usize = 32 << 20;
 
 impl Links {
@@ -58,12 +58,12 @@
         (inner.faults.get(&key).copied().unwrap_or_default(), frame_number)
     }
 
-    /// A link that `from` reaches `to` by; it leads to wherever that listens at the time.
+    /// Opens a link from `from` to `to`; returns its address. It connects to the current listen address of `to`.
     pub fn open_link(&self, from: &str, to: &str) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let (links, from, to) = (self.clone(), from.to_owned(), to.to_owned());
-        // Lives as long as the test's process: nobody can take its port.
+        // Lives as long as the test process, so no other process can take its port.
         std::thread::spawn(move || {
             for client in listener.incoming().flatten() {
                 let address = links.inner().addresses.get(&to).copied();
@@ -90,7 +90,7 @@
                 if faults.is_cut {
                     continue;
                 }
-                // The first frame says who comes: it is neither doubled nor late.
+                // The first frame is the hello: it is neither duplicated nor reordered.
                 let outgoing = match held_frame.take() {
                     _ if is_first => vec![frame],
                     Some(before) => vec![frame, before],
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them: keepers, agents, fronts and stand-in engines on loopback,
-//! a link between each pair that the test owns. Rules and counts are asserted, times never.
+//! Keepers, agents, fronts and stand-in engines as processes on loopback, with a faulty link between each pair. The
+//! tests assert invariants and counts, never times.
 
 mod links;
 mod processes;
@@ -16,13 +16,14 @@
 
 const CUT: LinkFaults = LinkFaults { is_cut: true, delay: Duration::ZERO, duplicate_every: 0, swap_every: 0 };
 
-/// Killed, stopped, cut off, answered late, twice and out of order: what was acknowledged is kept and taken once.
+/// Acknowledged changes are kept and applied once despite kills, pauses, cut links, and late, duplicated or reordered
+/// frames.
 #[test]
-fn acknowledged_changes_outlive_kills_pauses_and_cuts() {
+fn acknowledged_changes_survive_kills_pauses_and_cuts() {
     let mut fleet = Fleet::new(3, 0, 0);
     fleet.start_all();
     let mut numbers = vec![fleet.propose_until_accepted(0)];
-    // The leader is killed with a proposal on its way.
+    // The leader is killed while a proposal is in flight.
     let leader = fleet.leader();
     let file = fleet.proposal(1);
     let client_addresses: Vec<String> = fleet.client_addresses.values().map(ToString::to_string).collect();
@@ -39,12 +40,12 @@
     }
     numbers.push(fleet.propose_until_accepted(2));
     fleet.start(&leader);
-    // The next leader stands still while others decide, and goes on.
+    // The next leader is paused while the others commit a change, then continues.
     let leader = fleet.leader();
     signal(fleet.id(&leader), "STOP");
     numbers.push(fleet.propose_until_accepted(3));
     signal(fleet.id(&leader), "CONT");
-    // Cut off one way only: it hears and can't speak.
+    // The leader is cut off in one direction only: it receives but cannot send.
     let leader = fleet.leader();
     let others: Vec<String> = fleet.keepers.iter().filter(|name| **name != leader).cloned().collect();
     for other in &others {
@@ -52,7 +53,7 @@
     }
     numbers.push(fleet.propose_until_accepted(4));
     fleet.links.heal();
-    // Late, doubled and out of order.
+    // Late, duplicated and reordered frames.
     for from in &fleet.keepers {
         for to in &fleet.keepers {
             let delay = Duration::from_millis(5);
@@ -63,36 +64,40 @@
         numbers.push(fleet.propose_until_accepted(n));
     }
     fleet.links.heal();
-    let all = fleet.show(&fleet.leader()).unwrap()["changes"].as_array().unwrap().len();
-    // The proposal on its way may have been taken without a word to its client.
+    let change_count = fleet.show(&fleet.leader()).unwrap()["changes"].as_array().unwrap().len();
+    // The proposal in flight may have been applied without a response to its client.
     assert!(
-        all == numbers.len() || (!is_accepted && all == numbers.len() + 1),
-        "{all} changes, {numbers:?} acknowledged"
+        change_count == numbers.len() || (!is_accepted && change_count == numbers.len() + 1),
+        "{change_count} changes, {numbers:?} acknowledged"
     );
-    let kept = fleet.wait_for_agreement(all);
+    let kept = fleet.wait_for_agreement(change_count);
     assert!(numbers.iter().all(|number| kept.contains(number)), "{numbers:?} acknowledged, {kept:?} kept");
     let mut once = numbers.clone();
     once.dedup();
-    assert_eq!(once, numbers, "each command is one change");
-    // All at once, as when the power goes.
+    assert_eq!(once, numbers, "each command makes one change");
+    // All keepers at once, as in a power failure.
     for name in fleet.keepers.clone() {
         fleet.kill(&name);
     }
     fleet.start_all();
-    assert_eq!(fleet.wait_for_agreement(all), kept);
-    let doubts: Vec<Value> =
+    assert_eq!(fleet.wait_for_agreement(change_count), kept);
+    let disk_faults: Vec<Value> =
         fleet.keepers.iter().map(|name| fleet.show(name).unwrap()["doubts"].clone()).collect();
-    assert!(doubts.iter().all(|of| of.as_array().unwrap().is_empty()), "a kill leaves no doubt: {doubts:?}");
+    assert!(
+        disk_faults.iter().all(|faults| faults.as_array().unwrap().is_empty()),
+        "a kill leaves no disk fault: {disk_faults:?}"
+    );
 }
 
-/// A disk that goes back to what it was, one that is spoilt, one that is wiped, and one that is full.
+/// A disk that reverts to an earlier state, a corrupt one and a wiped one: each is reported or refused, and no change
+/// is lost.
 #[test]
-fn disks_that_fail_are_said_and_refused_and_nothing_is_forgotten() {
+fn disk_faults_are_reported_and_no_change_is_lost() {
     let mut fleet = Fleet::new(3, 0, 0);
     fleet.start_all();
     fleet.propose_until_accepted(0);
     fleet.wait_for_agreement(1);
-    // The log goes back by some entries; the mark does not.
+    // The log loses its last entries; the mark file does not.
     let record = fleet.path("k2").join("record.redb");
     let old = fleet.path("old.redb");
     fleet.kill("k2");
@@ -106,9 +111,9 @@
     std::fs::copy(&old, &record).unwrap();
     fleet.start("k2");
     fleet.wait_for_agreement(4);
-    let doubts = fleet.show("k2").unwrap()["doubts"].to_string();
-    assert!(doubts.contains("the log ends at entry"), "{doubts}");
-    // Bytes in the middle of an entry: found by its digest, or by the database itself.
+    let disk_faults = fleet.show("k2").unwrap()["doubts"].to_string();
+    assert!(disk_faults.contains("the log ends at entry"), "{disk_faults}");
+    // Corrupt bytes in an entry: detected by its digest or by the database.
     fleet.kill("k1");
     let record = fleet.path("k1").join("record.redb");
     let mut bytes = std::fs::read(&record).unwrap();
@@ -116,14 +121,14 @@
     assert!(corrupted > 0, "the proposal's text is in the file");
     std::fs::write(&record, &bytes).unwrap();
     if let Some(log_text) = fleet.try_start("k1", None) {
-        assert!(log_text.contains("record.redb"), "refused in words: {log_text}");
-        // As it says: moved away, and the record comes from the others.
+        assert!(log_text.contains("record.redb"), "refused with the file name: {log_text}");
+        // As the error says: with the file moved away, the record comes from the other keepers.
         std::fs::rename(&record, fleet.path("spoilt.redb")).unwrap();
         fleet.start("k1");
     }
     fleet.wait_for_agreement(4);
     assert!(!fleet.show("k1").unwrap()["doubts"].as_array().unwrap().is_empty());
-    // Wiped: it founds nothing, and takes the record.
+    // Wiped: the keeper starts no new record and copies the existing one.
     fleet.kill("k3");
     std::fs::remove_dir_all(fleet.path("k3")).unwrap();
     fleet.start("k3");
@@ -132,7 +137,7 @@
     fleet.wait_for_agreement(5);
 }
 
-/// Changes each place where these bytes stand.
+/// Corrupts each occurrence of `text`; returns the number of occurrences.
 fn corrupt_bytes(bytes: &mut [u8], text: &[u8]) -> usize {
     let offsets: Vec<usize> =
         (0..bytes.len().saturating_sub(text.len())).filter(|at| bytes[*at..].starts_with(text)).collect();
@@ -147,7 +152,7 @@
     let mut fleet = Fleet::new(3, 0, 0);
     fleet.start("k1");
     fleet.start("k2");
-    // In blocks of the shell's ulimit: enough to begin, too little for what follows.
+    // In blocks of the shell's ulimit: enough to start, too little for the following proposals.
     fleet.start_limited("k3", Some(8192));
     let big = "x".repeat(200 << 10);
     let mut accepted = 0;
@@ -163,19 +168,19 @@
         accepted += usize::from(out.status.success());
         fleet.running.get_mut("k3").unwrap().child.try_wait().unwrap().is_some()
     });
-    assert!(ended, "the file's limit was never met");
+    assert!(ended, "the file size limit was never reached");
     let log_text = fleet.running["k3"].log_text();
     assert!(log_text.contains("k3/record.redb") || log_text.contains("k3/mark"), "{log_text}");
     fleet.kill("k3");
     fleet.start("k3");
-    let all = fleet.show(&fleet.leader()).unwrap()["changes"].as_array().unwrap().len();
-    assert!(all >= accepted && accepted > 0, "{all} of {accepted} acknowledged");
-    fleet.wait_for_agreement(all);
+    let change_count = fleet.show(&fleet.leader()).unwrap()["changes"].as_array().unwrap().len();
+    assert!(change_count >= accepted && accepted > 0, "{change_count} of {accepted} acknowledged");
+    fleet.wait_for_agreement(change_count);
 }
 
-/// Strangers, garbled frames and a second fleet of the same name end their connection and nothing else.
+/// Unknown peers, corrupt frames and a second fleet of the same name end their own connection and nothing else.
 #[test]
-fn strangers_end_their_own_connection_and_nothing_else() {
+fn unknown_peers_end_their_own_connection_and_nothing_else() {
     let mut fleet = Fleet::new(3, 0, 1);
     fleet.start_all();
     fleet.propose_until_accepted(0);
@@ -186,9 +191,9 @@
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
-        assert_eq!(answer, b"", "a stranger gets no word");
+        assert_eq!(answer, b"", "an unknown peer gets no response");
     }
-    // The same name and other keepers.
+    // A fleet of the same name with other keepers.
     let text = std::fs::read_to_string(fleet.config("e1")).unwrap();
     let mut other: Value = serde_json::from_str(&text).unwrap();
     fleet.kill("e1");
@@ -215,14 +220,14 @@
     assert!(fleet.running.values_mut().all(|process| process.child.try_wait().unwrap().is_none()));
 }
 
-/// Files that are wrong are one error that names key and reason; nothing changes.
+/// An invalid file gives one error that names key and reason; nothing changes.
 #[test]
-fn wrong_files_are_refused_with_key_and_reason() {
+fn invalid_files_are_refused_with_key_and_reason() {
     let mut fleet = Fleet::new(3, 0, 0);
     for (key, value, reason) in [
         ("keepers", serde_json::json!([]), "keepers: 0 keepers"),
         ("listen", "0.0.0.0:0".into(), "beyond_loopback"),
-        ("zone", "No".into(), "is no name"),
+        ("zone", "No".into(), "is not a valid name"),
     ] {
         let text = std::fs::read_to_string(fleet.config("k1")).unwrap();
         let mut config: Value = serde_json::from_str(&text).unwrap();
@@ -238,7 +243,7 @@
     for (at, value, reason) in [
         ("/stages/0/members", serde_json::json!({"count": 0}), "stages[0].members"),
         ("/what/settings/text", "{}".into(), "is not the text's"),
-        ("/scope", "".into(), "is no name"),
+        ("/scope", "".into(), "is not a valid name"),
     ] {
         let file = fleet.proposal(1);
         let mut proposal: Value = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
@@ -252,7 +257,7 @@
     std::fs::write(&stop, "{\"stop\": {\"change\": 9, \"reason\": \"no\"}}").unwrap();
     let out = fleet.propose(&stop, &[]);
     assert_eq!(out.status.code(), Some(1), "{}", String::from_utf8_lossy(&out.stderr));
-    assert_eq!(fleet.show("k1").unwrap()["changes"], changes, "nothing has changed");
+    assert_eq!(fleet.show("k1").unwrap()["changes"], changes, "the refused files changed nothing");
     std::fs::write(&stop, "{\"stop\": {\"change\": 1, \"reason\": \"not today\"}}").unwrap();
     assert!(fleet.propose(&stop, &[]).status.success());
     let shown = Command::new(PROGRAM)
@@ -267,15 +272,15 @@
     assert!(page.starts_with("fleet shop, seen by keeper k2"), "{page}");
 }
 
-/// Sum of a count over all groups, at a keeper.
+/// Sum of a count over all groups at a keeper.
 fn count_at_keeper(fleet: &Fleet, keeper: &str, what: &str) -> u64 {
     let Some(shown) = fleet.show(keeper) else { return 0 };
     let groups = shown["groups"].as_array().unwrap();
     groups.iter().map(|group| group[1]["counts"][what].as_u64().unwrap()).sum()
 }
 
-/// Three keepers, eight fronts with agents and eight engines: what clients asked is what every keeper counts, whoever
-/// is killed; and fronts serve on when all keepers are gone.
+/// Three keepers, eight fronts with agents and eight engines: every keeper counts exactly what clients asked, whichever
+/// process is killed, and fronts keep serving when all keepers are down.
 #[test]
 fn counts_are_what_clients_asked_and_fronts_serve_without_keepers() {
     let platform = Platform::start(3, 5).unwrap();
@@ -303,10 +308,10 @@
         );
         assert_eq!(count_at_keeper(&fleet, &keeper, "asked"), all);
     }
-    // A front and its agent are killed: their last report stays counted, and they are silent, not absent.
+    // A front and its agent are killed: their last report stays counted, and the member is silent, not absent.
     fronts[0] = None;
     fleet.kill("f1");
-    // One keeper hears nothing of the agents meanwhile, another is killed.
+    // Meanwhile one keeper gets no reports from the agents and another is killed.
     for n in 1..=8 {
         fleet.links.set(&format!("f{n}"), "k3", CUT);
     }
@@ -317,7 +322,7 @@
     for keeper in fleet.keepers.clone() {
         assert!(
             wait_until(|| count_at_keeper(&fleet, &keeper, "in_time") == all),
-            "{keeper} hears of it from the others"
+            "{keeper} gets the counts from the other keepers"
         );
     }
     fleet.links.heal();
@@ -327,11 +332,11 @@
     let shown = fleet.show("k2").unwrap();
     let groups = shown["groups"].as_array().unwrap();
     assert_eq!(groups.len(), 1, "one class, one release, the same settings: {groups:?}");
-    assert_eq!(groups[0][1]["silent"], 1, "the killed one counts as silent where it served");
+    assert_eq!(groups[0][1]["silent"], 1, "the killed member is silent in its group");
     let has_unreported =
         || fleet.show("k2").is_some_and(|shown| shown["groups"][0][1]["unheard"].as_u64() > Some(0));
-    assert!(wait_until(has_unreported), "and is charged what it would have been asked");
-    // The same front again, and its agent: counted anew on top.
+    assert!(wait_until(has_unreported), "the unreported requests are estimated");
+    // The same front and agent again: their new counts are added.
     fleet.start("f1");
     fronts[0] = Some(Front::start(&fleet, "f1", &platform));
     let all = ask_all(&fronts, 2);
@@ -340,7 +345,7 @@
         "{} of {all}",
         count_at_keeper(&fleet, "k3", "in_time")
     );
-    // All keepers dead, and then all agents too: fronts serve as before.
+    // All keepers down, then all agents too: fronts serve as before.
     for keeper in fleet.keepers.clone() {
         fleet.kill(&keeper);
     }
@@ -349,7 +354,7 @@
         fleet.kill(&name);
     }
     let all = ask_all(&fronts, 4);
-    // And with everything back nothing was lost of what fronts counted alone.
+    // After a restart of all of them, nothing that fronts counted meanwhile is lost.
     fleet.start_all();
     for keeper in fleet.keepers.clone() {
         assert!(
--- a/crates/cli/tests/fleet/processes.rs
+++ b/crates/cli/tests/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! Keepers, agents and fronts as processes of the program, ended by their ids whatever becomes of the test.
+//! Keepers, agents and fronts as child processes, which are killed at the end of the test even if it fails.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -15,10 +15,10 @@
 use crate::links::Links;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_elderstage");
-/// Far longer than anything that is waited for takes.
+/// Far longer than any awaited event takes.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until something holds.
+/// Waits until the condition holds; `false` after the timeout.
 pub fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
@@ -35,7 +35,7 @@
     assert!(status.unwrap().success());
 }
 
-/// A folder that goes with the test.
+/// A temporary folder, deleted when dropped.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -76,14 +76,14 @@
         self.log_text().contains(what)
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         let ended = wait_until(|| {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
-        assert!(ended, "it does not end: {}", self.log_text());
+        assert!(ended, "the process does not end: {}", self.log_text());
         status.unwrap()
     }
 }
@@ -93,14 +93,14 @@
     pub folder: Folder,
     pub links: Links,
     pub keepers: Vec<String>,
-    /// Where clients ask each keeper, which is what the files call its place.
+    /// Address of the link by which clients reach each keeper; the configuration files give it as the keeper's address.
     pub client_addresses: BTreeMap<String, SocketAddr>,
     pub members: Vec<String>,
     pub running: BTreeMap<String, Process>,
 }
 
 impl Fleet {
-    /// The files of a fleet; nothing is started.
+    /// Writes the configuration files of a fleet; starts no process.
     pub fn new(keepers: usize, fronts: usize, engines: usize) -> Fleet {
         let (folder, links) = (Folder::new(), Links::default());
         let keepers: Vec<String> = (1..=keepers).map(|n| format!("k{n}")).collect();
@@ -114,7 +114,9 @@
             let mut config = json!({
                 "fleet": "shop", "name": name, "zone": format!("z{}", n % 3), "listen": "127.0.0.1:0",
                 "directory": fleet.path(name),
-                "keepers": fleet.client_addresses.iter().map(|(name, at)| json!({"name": name, "at": at})).collect::<Vec<_>>(),
+                "keepers": fleet.client_addresses.iter()
+                    .map(|(name, at)| json!({"name": name, "at": at}))
+                    .collect::<Vec<_>>(),
                 "via": fleet.members.iter().filter(|other| *other != name)
                     .map(|other| (other.clone(), json!(fleet.links.open_link(name, other))))
                     .collect::<serde_json::Map<_, _>>(),
@@ -141,7 +143,7 @@
         let log = self.path(&format!("{name}.log"));
         let mut command = match limit {
             None => Command::new(PROGRAM),
-            // A file may not grow beyond this, as on a full disk; the signal for it is turned off.
+            // Files may not grow beyond this, as on a full disk. The signal for it is ignored.
             Some(blocks) => {
                 let mut shell = Command::new("sh");
                 shell.args(["-c", &format!("trap '' XFSZ; ulimit -f {blocks}; exec \"$0\" \"$@\""), PROGRAM]);
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Starts a member; what it said if it ends instead of listening.
+    /// Starts a member; returns its log if it ends instead of listening.
     pub fn try_start(&mut self, name: &str, limit: Option<u64>) -> Option<String> {
         let mut process = self.spawn(name, limit);
         let mut at = None;
@@ -185,7 +187,7 @@
         None
     }
 
-    /// Starts a member that is to end by itself; what it said.
+    /// Starts a member that is expected to fail; returns its log.
     pub fn start_expecting_exit(&mut self, name: &str) -> String {
         let mut process = self.spawn(name, None);
         assert!(!process.wait_for_exit().success(), "{}", process.log_text());
@@ -206,14 +208,14 @@
         self.running[name].child.id()
     }
 
-    /// `fleet show --json` at a keeper.
+    /// Output of `fleet show --json` at a keeper.
     pub fn show(&self, keeper: &str) -> Option<Value> {
         let at = self.client_addresses[keeper].to_string();
         let out = Command::new(PROGRAM).args(["fleet", "show", "--json", "--to", &at]).output().unwrap();
         serde_json::from_slice(&out.stdout).ok().filter(|_| out.status.success())
     }
 
-    /// The keeper that leads, by the word of one that is up.
+    /// The leader, according to a running keeper.
     pub fn leader(&self) -> String {
         let mut leader = String::new();
         let has_leader = wait_until(|| {
@@ -226,7 +228,7 @@
             }
             false
         });
-        assert!(has_leader, "nobody leads");
+        assert!(has_leader, "there is no leader");
         leader
     }
 
@@ -243,7 +245,7 @@
         path
     }
 
-    /// `fleet propose` to all keepers that are up, one after the other.
+    /// Runs `fleet propose` with the addresses of all keepers.
     pub fn propose(&self, file: &Path, extra_args: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
         command.args(["fleet", "propose"]).arg(file).args(extra_args).arg("--to");
@@ -251,7 +253,8 @@
         command.output().unwrap()
     }
 
-    /// Proposes until it is taken; the number of the change. What is not known to be taken is sent again as the same.
+    /// Proposes until the change is confirmed and returns its number. An unconfirmed proposal is sent again under the
+    /// same run.
     pub fn propose_until_accepted(&self, n: u64) -> u64 {
         let (file, mut extra_args) = (self.proposal(n), Vec::<String>::new());
         for _ in 0..10 {
@@ -265,7 +268,7 @@
                     let run = error
                         .split("--again ")
                         .nth(1)
-                        .expect("it says how to send it again")
+                        .expect("the error says how to send the proposal again")
                         .trim()
                         .to_owned();
                     extra_args = vec!["--again".into(), run];
@@ -273,19 +276,20 @@
                 _ => panic!("proposal {n}: {:?} {output} {error}", out.status),
             }
         }
-        panic!("proposal {n} is not taken");
+        panic!("proposal {n} is not confirmed");
     }
 
-    /// Waits until all keepers have the same record, of so many changes; gives their numbers.
+    /// Waits until all keepers have the same record with this many changes; returns their numbers.
     pub fn wait_for_agreement(&self, changes: usize) -> Vec<u64> {
         let (mut numbers, mut statuses) = (Vec::new(), String::new());
         let all_agree = wait_until(|| {
             let shown: Vec<_> = self.keepers.iter().map(|name| self.show(name)).collect();
             let Some(shown) = shown.into_iter().collect::<Option<Vec<_>>>() else { return false };
-            statuses = shown.iter().map(|of| format!("{} {}\n", of["keeper"], of["standing"])).collect();
+            statuses =
+                shown.iter().map(|status| format!("{} {}\n", status["keeper"], status["standing"])).collect();
             let digests: std::collections::BTreeSet<_> =
-                shown.iter().map(|of| of["digest"].to_string()).collect();
-            let all_can_vote = shown.iter().all(|of| of["standing"]["role"] != "Rejoining");
+                shown.iter().map(|status| status["digest"].to_string()).collect();
+            let all_can_vote = shown.iter().all(|status| status["standing"]["role"] != "Rejoining");
             let all = shown[0]["changes"].as_array().unwrap();
             numbers = all.iter().map(|change| change["number"].as_u64().unwrap()).collect();
             digests.len() == 1 && all_can_vote && numbers.len() == changes
@@ -295,14 +299,14 @@
     }
 }
 
-/// A front node beside its agent, on stand-ins.
+/// A front node beside its agent, with stand-in engines.
 pub struct Front {
     pub process: Process,
     pub addr: SocketAddr,
 }
 
 impl Front {
-    /// On a port that is asked for; another process may take it first, and the next one is tried.
+    /// Starts on a free port. Another process may take the port first; then the next one is tried.
     pub fn start(fleet: &Fleet, name: &str, platform: &Platform) -> Front {
         for _ in 0..20 {
             let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -327,7 +331,7 @@
         panic!("{name}: the front does not become ready");
     }
 
-    /// One request; its status, 0 where none came.
+    /// Sends one request; returns the status, 0 if there was no response.
     pub fn request(&self, trace: &str) -> u16 {
         let body = "{\"model\":\"chat\",\"stream\":true,\"messages\":[]}";
         let text = format!(
@@ -344,7 +348,7 @@
     exchange(at, &format!("GET {path} HTTP/1.1\r\nHost: backend.local\r\nConnection: close\r\n\r\n"))
 }
 
-/// Sends a request and reads the answer to its end.
+/// Sends a request and reads the response to its end.
 fn exchange(at: SocketAddr, text: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
--- a/crates/fleet/examples/fleet-size.rs
+++ b/crates/fleet/examples/fleet-size.rs
@@ -1,5 +1,5 @@
-//! Messages and bytes a member a second, and what a keeper holds, at several sizes of a fleet in simulated time.
-//! `cargo run --release -p elderstage-fleet --example fleet-size -- 50 200 1000`
+//! Measures messages and bytes per member and second, and the reports a keeper holds, for several fleet sizes in
+//! simulated time. `cargo run --release -p elderstage-fleet --example fleet-size -- 50 200 1000`
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -7,7 +7,7 @@
 use elderstage_fleet::SECOND;
 use world::Simulation;
 
-/// Simulated time of the measurement, after the fleet has found itself.
+/// Simulated seconds before the measurement, in which the membership converges, and of the measurement itself.
 const SETTLE_SECONDS: u64 = 60;
 const MEASURED_SECONDS: u64 = 60;
 
--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -14,8 +14,8 @@
 use crate::wire::MemberMessage;
 use crate::{Micros, SECOND};
 
-/// Interval between reports to each keeper. At 350 members and five keepers that is 1,750 messages a second in the fleet,
-/// 350 at each keeper, of a few hundred bytes each.
+/// Interval between reports to each keeper. At 350 members and five keepers that is 1,750 messages a second in the
+/// fleet, 350 at each keeper, of a few hundred bytes each.
 const REPORT_INTERVAL: Micros = SECOND;
 
 /// An event for an agent.
--- a/crates/fleet/src/change/mod.rs
+++ b/crates/fleet/src/change/mod.rs
@@ -1,8 +1,8 @@
-//! What can be proposed: a change of settings or program, with its stages.
+//! Proposals: a change of settings or program, with its stages.
 //!
-//! A proposal is checked whole before it goes into the record, by who proposes it and by every keeper; the record holds
-//! only proposals that hold in themselves. Changes of one scope queue: one is under way, later ones wait. Carrying one
-//! out by stages, with its judge, is the next step of this package.
+//! A proposal is validated as a whole before it enters the record, by the proposer and by every keeper; the record
+//! holds only valid proposals. Changes of one scope queue: one is in progress, later ones wait. Carrying a change out
+//! in stages and judging the stages is not implemented yet.
 
 mod proposal;
 
--- a/crates/fleet/src/change/proposal.rs
+++ b/crates/fleet/src/change/proposal.rs
@@ -1,62 +1,66 @@
-//! A proposal's file: read, checked, and told what is wrong by key and reason.
+//! Parsing and validation of proposals. An error names the key and the reason.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::name::Name;
 
-/// Longest text of settings, in bytes.
+/// Largest settings text.
 pub const MAX_SETTINGS_TEXT_BYTES: usize = 256 << 10;
-/// Stages of one change at most.
+/// Maximum number of stages of one change.
 const MAX_STAGES: usize = 32;
-/// Longest time of one stage: a day, in seconds.
+/// Longest time of one stage: a day.
 const MAX_STAGE_SECONDS: u64 = 86_400;
-/// Longest path, in bytes (PATH_MAX of common systems).
+/// Longest path: PATH_MAX of common systems.
 const MAX_PATH_BYTES: usize = 4096;
 /// Hexadecimal digits of a BLAKE3 digest.
 const DIGEST_HEX_DIGITS: usize = 64;
 
-/// What is to be changed, where and how.
+/// A proposed change: where, what and in which stages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// Changes of one scope go one after the other.
+    /// Changes of one scope are carried out one after the other.
     pub scope: Name,
     #[serde(rename = "what")]
     pub content: ChangeContent,
     pub stages: Vec<Stage>,
-    /// Ended requests, of each class judged, that a stage needs before it may advance.
+    /// Ended requests of each judged class that a stage needs before it may advance.
     pub least_evidence: u64,
-    /// A stage that is not judged good within this time is taken back, in seconds.
+    /// A stage that is not judged good within this many seconds is rolled back.
     pub longest_stage_s: u64,
 }
 
+/// What a change replaces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ChangeContent {
     /// The text of a settings file, and its BLAKE3 digest.
     Settings { digest: String, text: String },
-    /// A release: where every member finds the program, and the program's BLAKE3 digest.
+    /// A release: the path of the program on every member, and its BLAKE3 digest.
     Program { digest: String, path: String },
 }
 
-/// So many members, or so large a part of them, have the change at the end of a stage.
+/// A stage of a change: the members that have the change at the end of the stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
     pub members: MemberShare,
 }
 
+/// A number or share of the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberShare {
+    /// A number of members.
     Count(u32),
-    /// Hundredths of the fleet.
+    /// A percentage of the fleet.
     Percent(u32),
+    /// All members.
     All,
 }
 
-/// Why a proposal is not taken; nothing has changed.
+/// Why a proposal is refused; nothing has changed.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[error("{key}: {reason}")]
 pub struct BadProposal {
@@ -68,16 +72,19 @@
     Err(BadProposal { key: key.into(), reason: reason.into() })
 }
 
-/// The digest by which settings and programs are known.
+/// The digest that identifies settings and programs: BLAKE3 in hexadecimal.
 pub fn content_digest(bytes: &[u8]) -> String {
     blake3::hash(bytes).to_hex().to_string()
 }
 
 impl Proposal {
-    /// Reads a proposal's file: whole, or one error.
+    /// Parses and validates the text of a proposal file.
     pub fn parse(text: &str) -> Result<Proposal, BadProposal> {
         if text.len() > 2 * MAX_SETTINGS_TEXT_BYTES {
-            return invalid("file", format!("{} bytes, {} at most", text.len(), 2 * MAX_SETTINGS_TEXT_BYTES));
+            return invalid(
+                "file",
+                format!("{} bytes, expected at most {}", text.len(), 2 * MAX_SETTINGS_TEXT_BYTES),
+            );
         }
         let proposal: Proposal = serde_json::from_str(text).or_else(|error| {
             invalid(format!("line {} column {}", error.line(), error.column()), error.to_string())
@@ -86,7 +93,10 @@
         Ok(proposal)
     }
 
-    /// Whether it holds in itself. Checked again by every keeper: a proposal may come from any program.
+    /// Validates the proposal. Every keeper repeats this, since a proposal may come from any program.
+    ///
+    /// The reasons are part of the replicated state once a refused proposal is in the log: with other texts, the state
+    /// digests of keepers of different builds would differ.
     pub fn check(&self) -> Result<(), BadProposal> {
         let is_hex_digest =
             |digest: &str| digest.len() == DIGEST_HEX_DIGITS && digest.bytes().all(|c| c.is_ascii_hexdigit());
@@ -129,7 +139,9 @@
                 (_, MemberShare::Percent(0)) | (_, MemberShare::Percent(101..)) => {
                     return invalid(key, "is not 1 to 100 percent");
                 }
-                (Some(MemberShare::All), _) => return invalid(key, "nothing comes after all members"),
+                (Some(MemberShare::All), _) => {
+                    return invalid(key, "nothing comes after all members");
+                }
                 (Some(MemberShare::Count(last)), MemberShare::Count(now)) if now <= last => {
                     return invalid(key, format!("{now} after {last}: stages grow"));
                 }
--- a/crates/fleet/src/change/proposal/tests.rs
+++ b/crates/fleet/src/change/proposal/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn good() -> serde_json::Value {
+fn valid() -> serde_json::Value {
     serde_json::json!({
         "scope": "fronts",
         "what": {"settings": {"digest": content_digest(b"{}"), "text": "{}"}},
@@ -11,17 +11,17 @@
 }
 
 #[test]
-fn a_good_one_is_taken_and_comes_back_the_same() {
-    let proposal = Proposal::parse(&good().to_string()).unwrap();
+fn a_valid_proposal_round_trips() {
+    let proposal = Proposal::parse(&valid().to_string()).unwrap();
     let text = serde_json::to_string(&proposal).unwrap();
     assert_eq!(Proposal::parse(&text), Ok(proposal));
 }
 
-/// Each names its key; none is guessed at.
+/// Each error names the key; no value is replaced by a guess.
 #[test]
-fn a_wrong_one_is_refused_with_key_and_reason() {
+fn an_invalid_proposal_is_refused_with_key_and_reason() {
     let cases: [(&str, serde_json::Value, &str); 11] = [
-        ("/scope", "Fronts!".into(), "is no name"),
+        ("/scope", "Fronts!".into(), "is not a valid name"),
         ("/what/settings/digest", "00".into(), "is not the text's"),
         ("/what", serde_json::json!({"program": {"digest": "xyz", "path": "/bin/x"}}), "hexadecimal"),
         ("/what", serde_json::json!({"program": {"digest": "a".repeat(64), "path": "x"}}), "absolute path"),
@@ -38,13 +38,13 @@
         ("/longest_stage_s", 0.into(), "seconds"),
     ];
     for (at, value, reason) in cases {
-        let mut proposal = good();
+        let mut proposal = valid();
         *proposal.pointer_mut(at).unwrap() = value;
         let error = Proposal::parse(&proposal.to_string()).unwrap_err();
         assert!(error.to_string().contains(reason), "{at}: {error}");
         assert!(!error.key.is_empty(), "{at}");
     }
-    let mut extra = good();
+    let mut extra = valid();
     extra["suprise"] = 1.into();
     assert!(Proposal::parse(&extra.to_string()).unwrap_err().reason.contains("suprise"));
     assert!(Proposal::parse("{").unwrap_err().key.starts_with("line 1"));
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! The file of a keeper or agent: JSON, read whole or refused with the key and the reason.
+//! The JSON configuration file of a keeper or agent. An invalid file is refused as a whole, with key and reason.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,9 +12,10 @@
 use crate::record::KEEPER_COUNTS;
 use crate::wire::FleetKey;
 
-/// Largest file, in bytes.
+/// Largest configuration file.
 const MAX_FILE_BYTES: usize = 1 << 20;
 
+/// Why a configuration file is refused.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{key}: {reason}")]
 pub struct BadConfig {
@@ -26,31 +27,33 @@
     Err(BadConfig { key: key.into(), reason: reason.into() })
 }
 
+/// Configuration of one process of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     pub fleet: Name,
-    /// This process; a keeper if it is among `keepers`.
+    /// Name of this process; it is a keeper if `keepers` lists it.
     pub name: Name,
     pub zone: Name,
-    /// What must outlive the process, in a directory of its own.
+    /// Directory for data that outlives the process, used by no other process.
     pub directory: PathBuf,
     pub listen: SocketAddr,
-    /// Listen where other machines can reach it, too.
+    /// Permits a listen address that other machines can reach.
     #[serde(default)]
     pub beyond_loopback: bool,
-    /// Three or five, the same in every file of the fleet.
+    /// Three or five keepers, the same in every file of the fleet.
     pub keepers: Vec<KeeperAddress>,
-    /// Other ways to members, by name, where the one they tell does not lead there.
+    /// By member name: the address to connect to if the address that the member announces does not work from here.
     #[serde(default)]
     #[serde(rename = "via")]
     pub address_overrides: BTreeMap<Name, SocketAddr>,
-    /// What an agent stands beside.
+    /// What the agent runs beside; absent for a keeper.
     #[serde(default)]
     #[serde(rename = "beside")]
     pub monitored: Option<MonitoredProcess>,
 }
 
+/// A keeper and its listen address.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeeperAddress {
@@ -58,20 +61,21 @@
     pub at: SocketAddr,
 }
 
+/// The process that an agent runs beside.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MonitoredProcess {
-    /// A front, which writes its counts to this file.
-    Front {
-        tally: PathBuf,
-    },
+    /// A front, which writes its counts to the file `tally`.
+    Front { tally: PathBuf },
+    /// An engine, which has no counts.
     Engine {},
 }
 
 impl Config {
+    /// Parses and validates the text of a configuration file. Sorts the keepers by name.
     pub fn parse(text: &str) -> Result<Config, BadConfig> {
         if text.len() > MAX_FILE_BYTES {
-            return invalid("file", format!("{} bytes, {MAX_FILE_BYTES} at most", text.len()));
+            return invalid("file", format!("{} bytes, expected at most {MAX_FILE_BYTES}", text.len()));
         }
         let mut config: Config = serde_json::from_str(text).or_else(|error| {
             invalid(format!("line {} column {}", error.line(), error.column()), error.to_string())
@@ -86,7 +90,7 @@
             return invalid(
                 "keepers",
                 format!(
-                    "{} keepers, {} or {} wanted",
+                    "{} keepers, expected {} or {}",
                     self.keepers.len(),
                     KEEPER_COUNTS[0],
                     KEEPER_COUNTS[1]
@@ -95,7 +99,7 @@
         }
         for pair in self.keepers.windows(2) {
             if pair[0].name == pair[1].name {
-                return invalid("keepers", format!("{} is there twice", pair[0].name));
+                return invalid("keepers", format!("{} is listed twice", pair[0].name));
             }
         }
         for (n, keeper) in self.keepers.iter().enumerate() {
@@ -107,23 +111,27 @@
             }
         }
         if !self.listen.ip().is_loopback() && !self.beyond_loopback {
-            let reason =
-                format!("{} can be reached by other machines; say so by beyond_loopback", self.listen);
+            let reason = format!(
+                "{} is reachable from other machines; set beyond_loopback to permit this",
+                self.listen
+            );
             return invalid("listen", reason);
         }
         match (self.is_keeper(), &self.monitored) {
-            (true, Some(_)) => invalid("beside", "a keeper stands beside nothing"),
+            (true, Some(_)) => invalid("beside", "a keeper must not have this key"),
             (false, None) => {
-                invalid("beside", format!("{} is no keeper: front or engine is missing", self.name))
+                invalid("beside", format!("{} is not a keeper: front or engine is missing", self.name))
             }
             _ => Ok(()),
         }
     }
 
+    /// Whether this process is a keeper.
     pub fn is_keeper(&self) -> bool {
         self.keepers.iter().any(|keeper| keeper.name == self.name)
     }
 
+    /// Kind of this member.
     pub fn kind(&self) -> MemberKind {
         match &self.monitored {
             None => MemberKind::Keeper,
@@ -132,11 +140,12 @@
         }
     }
 
+    /// Key that identifies the fleet to its members.
     pub fn key(&self) -> FleetKey {
         FleetKey::new(&self.fleet, self.keepers.iter().map(|keeper| (&keeper.name, keeper.at)))
     }
 
-    /// Names of the keepers, in the order of their numbers from 1 up.
+    /// Names of the keepers, in the order of their numbers (from 1).
     pub fn keeper_names(&self) -> Vec<Name> {
         self.keepers.iter().map(|keeper| keeper.name.clone()).collect()
     }
--- a/crates/fleet/src/config/tests.rs
+++ b/crates/fleet/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn good() -> serde_json::Value {
+fn valid() -> serde_json::Value {
     serde_json::json!({
         "fleet": "shop", "name": "k1", "zone": "a", "directory": "/tmp/k1", "listen": "127.0.0.1:7101",
         "keepers": [{"name": "k1", "at": "127.0.0.1:7101"}, {"name": "k3", "at": "127.0.0.1:7103"},
@@ -9,20 +9,24 @@
 }
 
 #[test]
-fn a_good_file_is_read_and_keepers_are_numbered_alike_everywhere() {
-    let config = Config::parse(&good().to_string()).unwrap();
+fn a_valid_file_is_parsed_and_keepers_are_numbered_by_name() {
+    let config = Config::parse(&valid().to_string()).unwrap();
     assert!(config.is_keeper());
     let names: Vec<String> = config.keeper_names().iter().map(Name::to_string).collect();
     assert_eq!(names, ["k1", "k2", "k3"]);
-    let mut other = good();
+    let mut other = valid();
     other["keepers"][0]["at"] = "127.0.0.1:7999".into();
-    assert_ne!(Config::parse(&other.to_string()).unwrap().key(), config.key(), "another fleet of that name");
+    assert_ne!(
+        Config::parse(&other.to_string()).unwrap().key(),
+        config.key(),
+        "other keeper addresses make another fleet"
+    );
 }
 
 #[test]
-fn a_wrong_file_is_refused_with_key_and_reason() {
+fn an_invalid_file_is_refused_with_key_and_reason() {
     let cases: [(&str, serde_json::Value, &str); 9] = [
-        ("/fleet", "".into(), "is no name"),
+        ("/fleet", "".into(), "is not a valid name"),
         ("/listen", "10.0.0.1:80".into(), "beyond_loopback"),
         ("/listen", "here".into(), "socket address"),
         ("/keepers", serde_json::json!([]), "0 keepers"),
@@ -33,12 +37,12 @@
         ("/zone", 7.into(), "invalid type"),
     ];
     for (at, value, reason) in cases {
-        let mut config = good();
+        let mut config = valid();
         *config.pointer_mut(at).unwrap() = value;
         let error = Config::parse(&config.to_string()).unwrap_err().to_string();
         assert!(error.contains(reason), "{at}: {error}");
     }
-    let mut keeper = good();
+    let mut keeper = valid();
     keeper["beside"] = serde_json::json!({"engine": {}});
     assert!(Config::parse(&keeper.to_string()).unwrap_err().to_string().starts_with("beside: "));
 }
--- a/crates/fleet/src/evidence/mod.rs
+++ b/crates/fleet/src/evidence/mod.rs
@@ -1,9 +1,9 @@
-//! What members count, added up over the fleet.
+//! Request counts of the members, summed over the fleet.
 //!
-//! A report is all that a member has counted since its start ([`Report`]): so a report that is lost, doubled, late or
-//! out of order changes nothing, and a killed member's last report stays counted. Keepers each hold all reports
-//! ([`ReportStore`]) and tell each other what is newer. A member that falls silent counts as worse, never as absent
-//! ([`EvidenceSummary`]).
+//! A report holds everything that a member has counted since its start ([`Report`]). So a lost, duplicated, late or
+//! reordered report does not distort the sum, and the last report of a killed member stays counted. Each keeper holds
+//! all reports ([`ReportStore`]); keepers exchange newer ones. A silent member makes a group look worse; it is never
+//! left out ([`EvidenceSummary`]). This module does not judge a change by the counts.
 
 mod report;
 mod store;
--- a/crates/fleet/src/evidence/store.rs
+++ b/crates/fleet/src/evidence/store.rs
@@ -1,4 +1,4 @@
-//! The reports that a keeper holds: of each member and boot the newest.
+//! The reports that a keeper holds: the newest of each member and boot.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,77 +9,81 @@
 use crate::members::MemberKind;
 use crate::name::Name;
 
-/// Members whose reports are held at most.
+/// Maximum number of members whose reports are held.
 pub const MAX_MEMBERS: usize = 4096;
-/// Boots of a member that are held one by one; the counts of older ones are added up, and late reports of those are
-/// not taken. Guards against a member in a crash loop. Boots are told apart, not ordered: clocks may go back.
+/// Boots of a member that are held individually. The counts of older boots are merged into one sum, and late reports
+/// of those are ignored. Bounds the memory for a member in a crash loop. Boots are distinguished, not ordered: clocks
+/// may go back.
 pub const MAX_BOOTS_PER_MEMBER: usize = 8;
-/// Added-up boots whose late reports are known for such.
+/// Merged boots that are remembered, so that their late reports are recognized.
 const MAX_MERGED_BOOTS: usize = 256;
 
-/// Member, boot and version of a report.
+/// Member name, boot ID and version of a report.
 pub type ReportVersion = (Name, u64, u64);
 
-/// One member's reports.
+/// The reports of one member.
 #[derive(Clone, Debug)]
 pub struct MemberReports {
     pub kind: MemberKind,
     pub zone: Name,
     pub boots: BTreeMap<u64, BootReport>,
-    /// Of boots that are no longer held one by one, and the last of these.
+    /// Sum of the counts of merged boots, and the most recently merged boots.
     pub merged_counts: Tally,
     merged_boots: VecDeque<u64>,
-    /// When a newer report last came, on this keeper's clock.
+    /// When a newer report last arrived, on this keeper's clock.
     pub last_report_at: Micros,
-    /// How long it had been told of before, for its pace.
+    /// When the first report arrived; used for the request rate.
     pub first_report_at: Micros,
 }
 
+/// The newest report of one boot.
 #[derive(Clone, Debug)]
 pub struct BootReport {
     pub version: u64,
     pub tally: Tally,
-    /// The order in which reports came here.
+    /// Rank in the order of arrival at this keeper.
     arrival: u64,
 }
 
 impl MemberReports {
-    /// The boot whose report came last.
+    /// The boot whose report arrived last.
     pub fn current(&self) -> Option<(u64, &BootReport)> {
         self.boots.iter().max_by_key(|(_, boot)| boot.arrival).map(|(n, boot)| (*n, boot))
     }
 
-    /// The newest report of one boot, as it came.
+    /// The newest report of one boot, as received.
     pub fn report(&self, member: &Name, boot: u64) -> Option<Report> {
-        let of = self.boots.get(&boot)?;
+        let found = self.boots.get(&boot)?;
         Some(Report {
             member: member.clone(),
             kind: self.kind,
             zone: self.zone.clone(),
             boot,
-            version: of.version,
-            tally: of.tally.clone(),
+            version: found.version,
+            tally: found.tally.clone(),
         })
     }
 
+    /// Sum of the counts of all boots.
     pub fn total(&self) -> Tally {
-        let mut all = self.merged_counts.clone();
-        self.boots.values().for_each(|boot| all.add(&boot.tally));
-        all
+        let mut total = self.merged_counts.clone();
+        self.boots.values().for_each(|boot| total.add(&boot.tally));
+        total
     }
 }
 
+/// The reports of all members.
 #[derive(Clone, Debug, Default)]
 pub struct ReportStore {
     members: BTreeMap<Name, MemberReports>,
     arrival: u64,
-    /// Reports that brought nothing new, and those for which there is no room.
+    /// Number of reports that were not newer, and of those refused for lack of space.
     pub stale: u64,
     pub refused: u64,
 }
 
 impl ReportStore {
-    /// Takes a report; whether it was newer than what is held.
+    /// Stores a report; `true` if it was newer than the held one.
     pub fn take(&mut self, now: Micros, report: &Report) -> bool {
         if !self.members.contains_key(&report.member) && self.members.len() >= MAX_MEMBERS {
             self.refused += 1;
@@ -118,27 +122,30 @@
         true
     }
 
+    /// All members with their reports.
     pub fn members(&self) -> impl Iterator<Item = (&Name, &MemberReports)> {
         self.members.iter()
     }
 
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Whether there is no report.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// What is held, to be compared by another keeper.
+    /// Versions of all held reports, for another keeper to compare.
     pub fn versions(&self) -> Vec<ReportVersion> {
-        let of = |(name, held): (&Name, &MemberReports)| -> Vec<ReportVersion> {
-            held.boots.iter().map(|(boot, of)| (name.clone(), *boot, of.version)).collect()
+        let member_versions = |(name, held): (&Name, &MemberReports)| -> Vec<ReportVersion> {
+            held.boots.iter().map(|(boot, report)| (name.clone(), *boot, report.version)).collect()
         };
-        self.members.iter().flat_map(of).collect()
+        self.members.iter().flat_map(member_versions).collect()
     }
 
-    /// What is newer here than `peer_versions`, and no more bytes of it than about `max_bytes`.
+    /// Reports that are newer here than in `peer_versions`, up to about `max_bytes`.
     pub fn newer_than(&self, peer_versions: &[ReportVersion], max_bytes: usize) -> Vec<Report> {
         let peer_versions: BTreeMap<(&Name, u64), u64> =
             peer_versions.iter().map(|(name, boot, version)| ((name, *boot), *version)).collect();
@@ -148,7 +155,7 @@
                 if peer_versions.get(&(name, *number)).is_some_and(|version| *version >= boot.version) {
                     continue;
                 }
-                // A group's key and counts take some hundred bytes.
+                // A group's key and counts take a few hundred bytes.
                 bytes += 128 + 256 * boot.tally.len();
                 if bytes > max_bytes && !out.is_empty() {
                     return out;
--- a/crates/fleet/src/evidence/summary.rs
+++ b/crates/fleet/src/evidence/summary.rs
@@ -1,4 +1,4 @@
-//! The fleet's counts by group, with what silent members are charged.
+//! The fleet's counts by group, with an estimate of what silent members have not reported.
 
 use std::collections::BTreeMap;
 
@@ -8,30 +8,31 @@
 use super::store::ReportStore;
 use crate::{Micros, SECOND};
 
-/// A member whose reports are older than this is silent: five reports have not come.
+/// A member is silent if its last report is older than this: five reports are missing.
 pub const SILENT_AFTER: Micros = 5 * SECOND;
 
-/// One group over all members.
+/// Counts of one group over all members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupCounts {
     pub counts: Counts,
-    /// Members that counted here, and how many of them are silent.
+    /// Members that have counts in this group, and how many of them are silent.
     pub members: u32,
     pub silent: u32,
-    /// Requests that silent members would have been asked since, at the pace they had: counted as failed by whoever
-    /// judges. What a silent member did is not known, and a change that silences its members must not look good.
+    /// Estimated requests of silent members since their last report, at their previous rate. They count as not served
+    /// in time: what a silent member did is unknown, and a change that silences its members must not look good.
     #[serde(rename = "unheard")]
     pub unreported: u64,
 }
 
 impl GroupCounts {
-    /// Share of ended requests that were served in time, silent members' unheard ones among the rest.
+    /// Share of ended requests that were served in time; the unreported ones count as not in time.
     pub fn in_time_share(&self) -> Option<f64> {
         let total = self.counts.ended().saturating_add(self.unreported);
         (total > 0).then(|| self.counts.in_time as f64 / total as f64)
     }
 }
 
+/// Counts of all groups and the number of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceSummary {
     pub groups: BTreeMap<Key, GroupCounts>,
@@ -40,14 +41,15 @@
 }
 
 impl EvidenceSummary {
-    pub fn of(store: &ReportStore, now: Micros) -> EvidenceSummary {
+    /// Sums the reports of a store at the time `now`.
+    pub fn from_store(store: &ReportStore, now: Micros) -> EvidenceSummary {
         let mut summary = EvidenceSummary::default();
         for (_, reports) in store.members() {
             let silence = now.saturating_sub(reports.last_report_at);
             let silent = silence > SILENT_AFTER;
             summary.members += 1;
             summary.silent += u32::from(silent);
-            // What was told in a single report took at least the time between two.
+            // The counts of a single report span at least the interval between two reports.
             let span = reports.last_report_at.saturating_sub(reports.first_report_at).max(SECOND);
             let current = reports.current().map(|(_, boot)| &boot.tally);
             for (key, counts) in reports.total().groups() {
@@ -58,7 +60,7 @@
                     continue;
                 }
                 group.silent += 1;
-                // Only what it last served under goes on being charged.
+                // Only groups of the current boot are estimated further.
                 let is_current =
                     current.is_some_and(|tally| tally.groups().any(|(other_key, _)| other_key == key));
                 if is_current {
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -21,7 +21,8 @@
 const COMMAND_TIMEOUT: Micros = 30 * SECOND;
 /// Maximum number of client commands that wait.
 const MAX_WAITING_COMMANDS: usize = 1024;
-/// Interval at which one other keeper gets the versions of the held reports; it returns newer ones, up to this many bytes.
+/// Interval at which one other keeper gets the versions of the held reports; it returns newer ones, up to this many
+/// bytes.
 const REPORT_SYNC_INTERVAL: Micros = 2 * SECOND;
 const MAX_REPORT_SYNC_BYTES: usize = 1 << 20;
 /// Interval at which new reports are written to disk.
@@ -190,12 +191,12 @@
     pub fn next_timer(&self) -> Micros {
         let waiting = self.waiting.values().map(|waiting| waiting.retry_at.min(waiting.expires_at));
         let is_bootstrapping = self.is_bootstrapping.then_some(self.next_bootstrap_query);
-        let all = waiting.chain(is_bootstrapping).chain(self.members.next_timer()).chain([
+        let deadlines = waiting.chain(is_bootstrapping).chain(self.members.next_timer()).chain([
             self.next_tick,
             self.next_sync,
             self.next_report_store,
         ]);
-        all.min().unwrap_or(self.next_tick)
+        deadlines.min().unwrap_or(self.next_tick)
     }
 
     /// Processes one input.
@@ -466,7 +467,7 @@
 
     /// The state of the fleet as this keeper sees it.
     pub fn status(&self, now: Micros) -> FleetStatus {
-        let summary = EvidenceSummary::of(&self.store, now);
+        let summary = EvidenceSummary::from_store(&self.store, now);
         FleetStatus {
             fleet: self.fleet.clone(),
             keeper: self.name.clone(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,8 +6,8 @@
 //! - [`evidence`]: request counts, cumulative by member and boot.
 //! - [`change`]: what can be proposed. Carrying a change out in stages is not implemented yet.
 //! - [`wire`]: the messages between processes.
-//! - [`keeper`] and [`agent`]: the state machines of the two kinds of process. They take inputs with the time and return
-//!   outputs in order.
+//! - [`keeper`] and [`agent`]: the state machines of the two kinds of process. They take inputs with the time and
+//!   return outputs in order.
 //!
 //! Invariant: a write is on disk before any output after it is sent.
 //!
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -5,19 +5,23 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest name, in bytes: a host name's label (RFC 1035, section 2.3.4).
+/// Longest name: a label of a host name (RFC 1035, section 2.3.4).
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// 1 to 63 lower-case letters, digits, `-`, `_` and `.`, the first a letter or digit.
+/// A name of 1 to 63 lower-case letters, digits, `-`, `_` and `.`, the first a letter or digit.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Box<str>);
 
+/// A text that is not a valid name.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{0:?} is no name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_' and '.', the first a letter or digit")]
+#[error(
+    "{0:?} is not a valid name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_' and '.', the first a letter or digit"
+)]
 pub struct BadName(String);
 
 impl Name {
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/fleet/src/record/mod.rs
+++ b/crates/fleet/src/record/mod.rs
@@ -1,8 +1,8 @@
 //! The record: the replicated log of decisions, and the state that its commands build.
 //!
 //! Consensus is the `raft` library's (`docs/fleet.md` says why that library); this module implements none of it.
-//! - [`Command`] is an entry of the log, identified by its proposer and number. [`RecordState`] is the state machine. It
-//!   is deterministic and applies each command once, however often the command is sent.
+//! - [`Command`] is an entry of the log, identified by its proposer and number. [`RecordState`] is the state machine.
+//!   It is deterministic and applies each command once, however often the command is sent.
 //! - [`Replica`] drives the library for one keeper and lists what to write and send.
 //! - [`StoredBlocks`] is the content of a keeper's disk, which is verified before use.
 //! - [`Participation`] limits what a keeper may do while its disk may lack acknowledged entries.
--- a/crates/fleet/src/record/replica.rs
+++ b/crates/fleet/src/record/replica.rs
@@ -188,10 +188,10 @@
     /// What this keeper reports of its log to a keeper with a blank disk.
     pub fn log_status(&self) -> LogStatus {
         let raft = &self.node.raft;
-        let nothing = matches!(self.participation, Participation::Blank { .. } | Participation::Full)
+        let is_empty = matches!(self.participation, Participation::Blank { .. } | Participation::Full)
             && raft.raft_log.last_index() == 0
             && raft.term == 0;
-        if nothing { LogStatus::Empty } else { LogStatus::NonEmpty }
+        if is_empty { LogStatus::Empty } else { LogStatus::NonEmpty }
     }
 
     /// Takes the log status that another keeper reported.
@@ -261,8 +261,8 @@
         Ok(())
     }
 
-    /// Proposes a command; `false` if no leader is known. The command may still be lost: the caller proposes it again until
-    /// it is applied.
+    /// Proposes a command; `false` if no leader is known. The command may still be lost: the caller proposes it again
+    /// until it is applied.
     pub fn propose(&mut self, command: &Command) -> bool {
         let Ok(bytes) = postcard::to_stdvec(command) else { return false };
         bytes.len() <= MAX_COMMAND_BYTES
--- a/crates/fleet/src/record/state.rs
+++ b/crates/fleet/src/record/state.rs
@@ -141,6 +141,8 @@
         outcome
     }
 
+    /// Carries out a new command. The reasons of refusals are part of the replicated state: they must be the same at
+    /// all keepers.
     fn execute(&mut self, command: &Command) -> Outcome {
         let refused = |key: &str, reason: String| Outcome::Refused(BadProposal { key: key.into(), reason });
         match &command.operation {
--- a/crates/fleet/src/record/stored.rs
+++ b/crates/fleet/src/record/stored.rs
@@ -1,9 +1,9 @@
 //! The blocks on a keeper's disk: their format, their verification at start, and the writes that replace them.
 //!
-//! Every block carries a digest over its kind, its key and its bytes. Beside the log lies the watermark (file `mark`):
-//! the last state that the keeper has acknowledged. It is written after the log and before any message is sent, so a log
-//! that ends before its watermark has lost its tail. If log and watermark do not determine a safe state, the disk is
-//! refused. This module does no I/O.
+//! Every block carries a digest over its kind, its key and its bytes. Beside the log lies the watermark (file
+//! `mark`): the last state that the keeper has acknowledged. It is written after the log and before any message is
+//! sent, so a log that ends before its watermark has lost its tail. If log and watermark do not determine a safe
+//! state, the disk is refused. This module does no I/O.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, Snapshot};
@@ -13,7 +13,7 @@
 use crate::name::Name;
 
 /// Bytes of a block's digest: 128 bits detect any corruption.
-const DIGEST: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// Kind and key of a block. The digest covers both, so that no block can pass for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     Report(u64),
 }
 
-fn digest(kind: BlockKind, bytes: &[u8]) -> [u8; DIGEST] {
+fn digest(kind: BlockKind, bytes: &[u8]) -> [u8; DIGEST_BYTES] {
     let (context, key) = match kind {
         BlockKind::Entry(index) => ("elderstage fleet record entry", index),
         BlockKind::HardState => ("elderstage fleet record hard state", 0),
@@ -41,14 +41,14 @@
     let mut hasher = blake3::Hasher::new_derive_key(context);
     hasher.update(&key.to_le_bytes());
     hasher.update(bytes);
-    let mut digest = [0; DIGEST];
+    let mut digest = [0; DIGEST_BYTES];
     hasher.finalize_xof().fill(&mut digest);
     digest
 }
 
 /// Encodes a block for the disk: the digest, then the bytes.
 pub fn encode_block(kind: BlockKind, bytes: &[u8]) -> Vec<u8> {
-    let mut block = Vec::with_capacity(DIGEST + bytes.len());
+    let mut block = Vec::with_capacity(DIGEST_BYTES + bytes.len());
     block.extend_from_slice(&digest(kind, bytes));
     block.extend_from_slice(bytes);
     block
@@ -56,7 +56,7 @@
 
 /// Returns the bytes of a block, or `None` if the digest does not match.
 pub fn decode_block(kind: BlockKind, block: &[u8]) -> Option<&[u8]> {
-    let (stored_digest, bytes) = block.split_at_checked(DIGEST)?;
+    let (stored_digest, bytes) = block.split_at_checked(DIGEST_BYTES)?;
     (stored_digest == digest(kind, bytes)).then_some(bytes)
 }
 
@@ -234,10 +234,10 @@
         if let Some(watermark) = &watermark {
             let last_position = recovered.last_position();
             if last_position < watermark.last_position {
-                let (expected, here) = (watermark.last_position.index, last_position.index);
+                let (expected, found) = (watermark.last_position.index, last_position.index);
                 recovered
                     .disk_faults
-                    .push(format!("the log ends at entry {here}, the mark file says entry {expected}"));
+                    .push(format!("the log ends at entry {found}, the mark file says entry {expected}"));
             }
             if recovered.hard_state.term < watermark.term {
                 recovered.disk_faults.push(format!(
--- a/crates/fleet/src/record/trust.rs
+++ b/crates/fleet/src/record/trust.rs
@@ -1,11 +1,11 @@
 //! What a keeper may do while its disk may lack entries that it acknowledged.
 //!
-//! A keeper that acknowledged an entry and lost it must not help to elect a leader that lacks the entry: the entry would
-//! be forgotten although a majority had it. So the keeper neither votes nor stands for election until it again has
-//! everything it may have acknowledged. It knows that it has when its own command
+//! A keeper that acknowledged an entry and lost it must not help to elect a leader that lacks the entry: the entry
+//! would be forgotten although a majority had it. So the keeper neither votes nor stands for election until it again
+//! has everything it may have acknowledged. It knows that it has when its own command
 //! [`Operation::Rejoin`](super::Operation::Rejoin), proposed after its start, is applied here: the current leader was
-//! elected without this keeper's vote or while its disk was complete, has all committed entries, and appends the command
-//! behind them.
+//! elected without this keeper's vote or while its disk was complete, has all committed entries, and appends the
+//! command behind them.
 //!
 //! The leader at the time of the start may still count on entries that are lost here. So the keeper starts in a term
 //! above that leader's: the leader steps down when it learns of the term, and the next leader asks again which entries
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,8 +1,8 @@
-//! What processes say to each other, and its form on a stream.
+//! The messages between processes and their encoding on a stream. Does no I/O.
 //!
-//! A frame is a length (4 bytes, big-endian, of what follows), 16 bytes of a BLAKE3 digest, and a [`Frame`] by
-//! postcard. What does not read, or is over [`MAX_FRAME_BYTES`], ends its connection and nothing else. The first frame of a
-//! connection is a [`Hello`], which says who comes and of which fleet.
+//! A frame is a length (4 bytes, big-endian, of the bytes that follow), 16 bytes of a BLAKE3 digest, and a [`Frame`]
+//! in postcard. A frame that is malformed or larger than [`MAX_FRAME_BYTES`] ends its connection and nothing else.
+//! The first frame of a connection is a [`Hello`], which names the sender and its fleet.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -13,15 +13,16 @@
 use crate::name::Name;
 use crate::record::{Change, Command, LogStatus, Outcome, ReplicaStatus};
 
-/// Largest frame, in bytes: a snapshot of 256 waiting changes whose texts are of common size, or a keeper's whole
-/// list of versions.
+/// Largest frame: a snapshot of 256 waiting changes with settings texts of usual size, or a keeper's whole list of
+/// report versions.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Of these forms a process speaks only one; a new one is a new number.
+/// Version of the protocol. A process supports only one; an incompatible change needs a new number.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Length and digest before a frame.
 const HEADER_BYTES: usize = 4 + DIGEST_BYTES;
 const DIGEST_BYTES: usize = 16;
 
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     Hello(Hello),
@@ -33,15 +34,16 @@
     ClientResponse(Box<ClientResponse>),
 }
 
+/// The first frame of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     #[serde(rename = "form")]
     pub protocol_version: u32,
-    /// A member: its name and its fleet. A client that asks comes without.
+    /// Name and fleet of a member; absent for a client.
     pub member: Option<(Name, FleetKey)>,
 }
 
-/// Tells a fleet from another of the same name: a digest of its name and of its keepers and where they are.
+/// Distinguishes fleets of the same name: a digest of the name and of the keepers with their addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetKey {
     pub name: Name,
@@ -49,6 +51,7 @@
 }
 
 impl FleetKey {
+    /// Computes the key of a fleet from its name and keepers.
     pub fn new<'a>(name: &Name, keepers: impl Iterator<Item = (&'a Name, std::net::SocketAddr)>) -> FleetKey {
         let mut hasher = blake3::Hasher::new_derive_key("elderstage fleet key");
         hasher.update(name.as_str().as_bytes());
@@ -61,13 +64,13 @@
     }
 }
 
-/// Between members.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberMessage {
-    /// Of the consensus library, between keepers.
+    /// A message of the consensus library, between keepers.
     #[serde(rename = "Record")]
     Raft(Vec<u8>),
-    /// What this keeper holds; `wants_reply`: the other is to say the same.
+    /// The sender's log status; `wants_reply` asks the receiver for its own.
     #[serde(rename = "Holds")]
     LogStatus {
         #[serde(rename = "holds")]
@@ -75,41 +78,49 @@
         #[serde(rename = "ask")]
         wants_reply: bool,
     },
+    /// A message of the membership library.
     Swim(Vec<u8>),
+    /// The counts of the sender.
     Report(Box<Report>),
-    /// A keeper to an agent, on its report: how far the record is.
+    /// A keeper's answer to a report: the number of commands it has applied.
     #[serde(rename = "Heard")]
     ReportAck {
         #[serde(rename = "taken")]
         applied_commands: u64,
     },
-    /// Which reports a keeper holds, to one that may have newer ones.
+    /// The versions of the reports that the sending keeper holds; the receiver returns newer reports.
     #[serde(rename = "Versions")]
     ReportVersions(Vec<ReportVersion>),
+    /// Reports that the receiver does not have yet.
     Reports(Vec<Report>),
 }
 
-/// A client's question to any keeper.
+/// A client's request to any keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClientRequest {
+    /// Put a command into the record.
     Propose(Box<Command>),
+    /// Return the state of the fleet.
     Show,
 }
 
+/// Response to a [`ClientRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClientResponse {
-    /// A majority has it on disk, and this came of it.
+    /// The command was applied with this outcome; a majority has it on disk.
     #[serde(rename = "Done")]
     Applied(Outcome),
-    /// Not known to have been taken; asking again with the same proposer and number is harmless.
+    /// The command may or may not be applied. Sending it again with the same proposer and number is safe.
     #[serde(rename = "NotYet")]
     Unconfirmed(String),
+    /// The command is invalid; nothing has changed.
     Refused(BadProposal),
+    /// The state of the fleet.
     #[serde(rename = "Shown")]
     Status(Box<FleetStatus>),
 }
 
-/// How the fleet stands, as one keeper sees it.
+/// State of the fleet as one keeper sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
     pub fleet: Name,
@@ -117,28 +128,32 @@
     pub keepers: Vec<Name>,
     #[serde(rename = "standing")]
     pub status: ReplicaStatus,
-    /// What this keeper found wrong with its disk when it started.
+    /// Faults that this keeper found on its disk when it started.
     #[serde(rename = "doubts")]
     pub disk_faults: Vec<String>,
-    /// Commands in the record, and a digest of what they came to.
+    /// Number of applied commands, and a digest of the state.
     #[serde(rename = "taken")]
     pub applied_commands: u64,
     pub digest: String,
     pub changes: Vec<Change>,
     pub members: Vec<MemberStatus>,
-    /// Members that count, and how many of them are silent.
+    /// Members with reports, and how many of them are silent.
     pub counting: u32,
     pub silent: u32,
     pub groups: Vec<(elderstage_tally::Key, GroupCounts)>,
 }
 
+/// Why a frame is refused.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum BadFrame {
-    #[error("a frame of {0} bytes, {MAX_FRAME_BYTES} at most")]
+    /// Length of the frame.
+    #[error("frame of {0} bytes, expected at most {MAX_FRAME_BYTES}")]
     TooLarge(usize),
-    #[error("a frame whose digest does not match")]
+    /// The content does not match its digest.
+    #[error("frame digest does not match its content")]
     DigestMismatch,
-    #[error("a frame that can't be read")]
+    /// The content is not a [`Frame`].
+    #[error("malformed frame")]
     Malformed,
 }
 
@@ -148,7 +163,7 @@
     digest
 }
 
-/// A frame as it goes on a stream; an error where it is too large to be taken.
+/// Encodes a frame for a stream; an error if it is larger than the receiver accepts.
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, BadFrame> {
     let bytes = postcard::to_stdvec(frame).map_err(|_| BadFrame::Malformed)?;
     let length = DIGEST_BYTES + bytes.len();
@@ -162,7 +177,7 @@
     Ok(out)
 }
 
-/// The first frame of these bytes and how many of them it took; `None` while it is not whole.
+/// Decodes the first frame of `bytes` and returns it with its length; `None` while it is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, BadFrame> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
--- a/crates/fleet/src/wire/tests.rs
+++ b/crates/fleet/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn frames_come_back_in_any_split_and_no_spoilt_one_does() {
+fn frames_decode_at_any_split_and_corrupt_ones_do_not() {
     let frames = [
         Frame::ClientRequest(ClientRequest::Show),
         Frame::MemberMessage(MemberMessage::LogStatus { status: LogStatus::Empty, wants_reply: true }),
--- a/crates/fleet/tests/evidence.rs
+++ b/crates/fleet/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Members and what they count, under loss, doubling, lateness, kills and silence, in simulated time.
+//! Membership and evidence under loss, duplication, delay, kills and silence, in simulated time.
 
 mod world;
 
@@ -23,60 +23,66 @@
 }
 
 proptest! {
-    /// In any order, any number of times, with any lost but the last of each boot: the sum is the same.
+    /// The sum does not depend on the order, repetition or loss of reports, as long as the last of each boot arrives.
     #[test]
-    fn reports_in_any_order_come_to_the_same(
+    fn the_sum_does_not_depend_on_the_order_of_reports(
         reports in proptest::collection::vec((0u64..3, 0u64..4, 1u64..6), 1..80),
     ) {
-        let index = |(member, boot, version): (u64, u64, u64)| {
+        let to_report = |(member, boot, version): (u64, u64, u64)| {
             make_report(&format!("f{member}"), boot * 1000 + 7, version, 10 * version)
         };
         let mut newest = std::collections::BTreeMap::new();
         for (member, boot, version) in &reports {
-            let newest_only = newest.entry((*member, *boot)).or_insert(0);
-            *newest_only = (*newest_only).max(*version);
+            let newest_version = newest.entry((*member, *boot)).or_insert(0);
+            *newest_version = (*newest_version).max(*version);
         }
-        let wanted: u64 = newest.values().map(|version| 10 * version).sum();
-        let (mut forward, mut reversed, mut newest_only) = (ReportStore::default(), ReportStore::default(), ReportStore::default());
-        reports.iter().for_each(|at| { forward.take(1, &index(*at)); });
-        reports.iter().rev().chain(&reports).for_each(|at| { reversed.take(1, &index(*at)); });
-        newest.iter().for_each(|((member, boot), version)| { newest_only.take(1, &index((*member, *boot, *version))); });
-        prop_assert_eq!((total_asked(&forward), total_asked(&reversed), total_asked(&newest_only)), (wanted, wanted, wanted));
-        // And a keeper that had none has all after one exchange.
+        let expected: u64 = newest.values().map(|version| 10 * version).sum();
+        let (mut forward, mut reversed, mut newest_only) =
+            (ReportStore::default(), ReportStore::default(), ReportStore::default());
+        reports.iter().for_each(|parts| { forward.take(1, &to_report(*parts)); });
+        reports.iter().rev().chain(&reports).for_each(|parts| { reversed.take(1, &to_report(*parts)); });
+        newest.iter().for_each(|((member, boot), version)| {
+            newest_only.take(1, &to_report((*member, *boot, *version)));
+        });
+        prop_assert_eq!(
+            (total_asked(&forward), total_asked(&reversed), total_asked(&newest_only)),
+            (expected, expected, expected)
+        );
+        // A keeper without reports has all of them after one exchange.
         let mut other = ReportStore::default();
         for report in forward.newer_than(&other.versions(), usize::MAX) {
             other.take(1, &report);
         }
-        prop_assert_eq!(total_asked(&other), wanted);
+        prop_assert_eq!(total_asked(&other), expected);
         prop_assert!(forward.newer_than(&other.versions(), usize::MAX).is_empty());
     }
 }
 
-/// A member in a crash loop costs a bounded room, and loses no count.
+/// A member in a crash loop uses bounded memory and loses no count.
 #[test]
-fn boots_without_end_are_added_up() {
+fn counts_of_many_boots_are_merged() {
     let mut store = ReportStore::default();
     for boot in 0..1000 {
         store.take(1, &make_report("f1", boot, 1, 3));
     }
     assert_eq!((total_asked(&store), store.versions().len()), (3000, 8));
     store.take(1, &make_report("f1", 900, 5, 99));
-    assert_eq!(total_asked(&store), 3000, "a late report of a boot that was added up is not counted again");
+    assert_eq!(total_asked(&store), 3000, "a late report of a merged boot is not counted again");
 }
 
-/// What a silent member may have done is charged at the pace it had; its last report stays counted.
+/// The requests of a silent member are estimated at its previous rate; its last report stays counted.
 #[test]
-fn a_silent_member_counts_as_worse_and_never_as_absent() {
+fn a_silent_member_lowers_the_share_and_stays_counted() {
     let mut store = ReportStore::default();
     for second in 0..=10 {
         store.take(second * SECOND, &make_report("f1", 1, second + 1, 100 * second));
         store.take(second * SECOND, &make_report("f2", 1, second + 1, 100 * second));
     }
-    let before = EvidenceSummary::of(&store, 10 * SECOND);
+    let before = EvidenceSummary::from_store(&store, 10 * SECOND);
     for second in 11..=30 {
         store.take(second * SECOND, &make_report("f2", 1, second + 1, 100 * second));
     }
-    let after = EvidenceSummary::of(&store, 30 * SECOND);
+    let after = EvidenceSummary::from_store(&store, 30 * SECOND);
     assert_eq!((before.silent, after.silent, after.members), (0, 1, 2));
     let (_, group) = after.groups.first_key_value().unwrap();
     assert_eq!((group.counts.asked, group.silent), (4000, 1));
@@ -84,23 +90,26 @@
     let share = group.in_time_share().unwrap();
     assert!((share - 4000.0 / 6000.0).abs() < 1e-9, "{share}");
     assert_eq!(before.groups.values().next().unwrap().in_time_share(), Some(1.0));
-    // Heard again, it is charged nothing.
+    // After a new report nothing is estimated.
     store.take(31 * SECOND, &make_report("f1", 1, 99, 3000));
-    assert_eq!(EvidenceSummary::of(&store, 31 * SECOND).groups.values().next().unwrap().unreported, 0);
+    assert_eq!(
+        EvidenceSummary::from_store(&store, 31 * SECOND).groups.values().next().unwrap().unreported,
+        0
+    );
 }
 
-/// Guards against a member that falls silent after its first report and would be charged nothing for ever.
+/// A member that falls silent after its first report must not be left out of the estimate.
 #[test]
-fn a_member_that_reported_once_is_charged_too() {
+fn a_member_that_reported_once_is_estimated_too() {
     let mut store = ReportStore::default();
     store.take(SECOND, &make_report("f1", 1, 1, 40));
-    let after = EvidenceSummary::of(&store, 11 * SECOND);
+    let after = EvidenceSummary::from_store(&store, 11 * SECOND);
     assert_eq!(after.groups.values().next().unwrap().unreported, 400);
 }
 
-/// Everything that reached one keeper is at all of them in the end, once; a killed member's last report too.
+/// Every report that reached one keeper is finally counted once at all of them, including a killed member's last one.
 #[test]
-fn counts_reach_all_keepers_through_loss_and_doubling_and_kills() {
+fn counts_reach_all_keepers_despite_loss_duplication_and_kills() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(seed, 3, 8, 4);
         (
@@ -118,7 +127,7 @@
                 9 => simulation.restart_front(4),
                 12 => simulation.kill(0),
                 15 => simulation.start(0),
-                // A keeper that is alone with what it hears for a while.
+                // Keeper 2 gets no reports directly for a while.
                 18 => (3..11).for_each(|index| simulation.cut_link(index, 2, false)),
                 24 => simulation.heal_links(),
                 _ => {}
@@ -134,15 +143,15 @@
             .filter(|((index, _), _)| *index == 3)
             .map(|(_, tally)| tally.sum().asked)
             .sum();
-        assert!(killed_requests > 0, "the killed member had been heard");
-        let summary = EvidenceSummary::of(simulation.keeper(1).unwrap().store(), simulation.now);
-        assert_eq!((summary.members, summary.silent), (12, 1), "the killed one is silent, not absent");
+        assert!(killed_requests > 0, "the killed member had reported");
+        let summary = EvidenceSummary::from_store(simulation.keeper(1).unwrap().store(), simulation.now);
+        assert_eq!((summary.members, summary.silent), (12, 1), "the killed member is silent, not absent");
     }
 }
 
-/// Reports outlive all keepers at once.
+/// Reports survive a restart of all keepers at once.
 #[test]
-fn counts_outlive_a_restart_of_all_keepers() {
+fn counts_survive_a_restart_of_all_keepers() {
     let mut simulation = Simulation::new(1, 3, 4, 0);
     for index in 3..7 {
         simulation.count_requests(index, 50, 40);
@@ -176,14 +185,14 @@
 }
 
 #[test]
-fn members_find_each_other_notice_who_is_gone_and_who_is_back() {
+fn members_detect_joins_failures_and_returns() {
     let mut simulation = Simulation::new(3, 3, 20, 20);
     let sees_all = |simulation: &Simulation| {
         (0..43)
             .filter(|index| simulation.is_up(*index))
             .all(|index| count_members(simulation, index, true) == 43)
     };
-    assert!(simulation.run_until(120 * SECOND, sees_all), "each sees all");
+    assert!(simulation.run_until(120 * SECOND, sees_all), "each member sees all others");
     for index in [2, 5, 30] {
         simulation.kill(index);
     }
@@ -201,12 +210,12 @@
     for index in [2, 5, 30] {
         simulation.start(index);
     }
-    assert!(simulation.run_until(120 * SECOND, sees_all), "and are back");
+    assert!(simulation.run_until(120 * SECOND, sees_all), "restarted members are up again");
 }
 
-/// Both halves of a cut fleet go on, and find each other again.
+/// Both sides of a network partition go on and reunite.
 #[test]
-fn halves_of_a_cut_fleet_find_each_other_again() {
+fn the_sides_of_a_partition_reunite() {
     let mut simulation = Simulation::new(4, 3, 10, 10);
     let sees_all =
         |simulation: &Simulation| (0..23).all(|index| count_members(simulation, index, true) == 23);
@@ -218,7 +227,7 @@
     }
     let sees_half =
         |simulation: &Simulation| (0..23).all(|index| count_members(simulation, index, true) <= 12);
-    assert!(simulation.run_until(60 * SECOND, sees_half), "each sees its half");
+    assert!(simulation.run_until(60 * SECOND, sees_half), "each member sees its own side only");
     simulation.heal_links();
-    assert!(simulation.run_until(300 * SECOND, sees_all), "each sees all again");
+    assert!(simulation.run_until(300 * SECOND, sees_all), "each member sees all others again");
 }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -1,6 +1,6 @@
-//! Many faults at once, drawn from a seed: whatever comes, what was acknowledged is kept and taken once, and the
-//! fleet is one again when the faults are over. A seed that fails is printed; `FLEET_SEED=N` plays it alone and
-//! `FLEET_SEEDS=N` plays so many.
+//! Many random faults at once: every acknowledged command is kept and applied once, and the fleet is consistent when
+//! the faults are over. A seed that fails is printed; `FLEET_SEED=N` runs it alone and `FLEET_SEEDS=N` runs that many
+//! seeds.
 
 mod world;
 
@@ -9,11 +9,11 @@
 use rand::RngExt;
 use world::{Simulation, checks, proposal};
 
-/// Seeds that are played where nothing else is asked for.
+/// Number of seeds without `FLEET_SEED` or `FLEET_SEEDS`.
 const DEFAULT_SEEDS: u64 = 60;
 
-/// One fault, or the end of one. At most a minority of keepers is without a voice at a time by damage to its disk:
-/// the loss of a majority's disks can't be borne by any record (`docs/fleet.md`).
+/// Injects or ends one fault; returns its description. At any time at most a minority of the keepers may not vote
+/// because of disk damage: no record survives the loss of a majority of disks (`docs/fleet.md`).
 fn inject_fault(simulation: &mut Simulation) -> String {
     let keepers = simulation.keepers;
     let index = simulation.rng.random_range(0..keepers);
@@ -66,7 +66,7 @@
             let n = simulation.rng.random_range(0..6);
             simulation.kill(index);
             simulation.processes[index].disk.corrupt_entry(n);
-            format!("spoil {n} of {index}")
+            format!("corrupt {n} of {index}")
         }
         10 if may_damage_disk && simulation.is_up(index) => {
             simulation.kill(index);
@@ -92,6 +92,7 @@
     }
 }
 
+/// Runs one seed; an error describes the violated invariant and the injected faults.
 fn run_seed(seed: u64) -> Result<(), String> {
     let keepers = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut simulation = Simulation::new(seed, keepers, 4, 2);
@@ -145,7 +146,7 @@
         .map(|index| simulation.keeper(*index).unwrap().replica().status())
         .collect();
     Err(format!(
-        "{unresolved} clients know nothing, record {:?}, evidence {:?}\n{statuses:#?}\n{}",
+        "{unresolved} clients without an outcome, record {:?}, evidence {:?}\n{statuses:#?}\n{}",
         checks::record(&simulation),
         checks::evidence(&simulation),
         log.join("\n")
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn whatever_faults_come_the_record_is_kept_and_whole_again() {
+fn record_and_evidence_survive_random_faults() {
     let env_number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seeds = match env_number("FLEET_SEED") {
         Some(seed) => seed..seed + 1,
@@ -171,8 +172,8 @@
                     }
                     let outcome =
                         std::panic::catch_unwind(|| run_seed(seed)).unwrap_or_else(|_| Err("a panic".into()));
-                    if let Err(why) = outcome {
-                        failed.lock().unwrap().push((seed, why));
+                    if let Err(reason) = outcome {
+                        failed.lock().unwrap().push((seed, reason));
                     }
                 }
             });
@@ -180,16 +181,16 @@
     });
     let mut failed = failed.into_inner().unwrap();
     failed.sort();
-    for (seed, why) in failed.iter().take(3) {
-        eprintln!("FLEET_SEED={seed}: {why}\n");
+    for (seed, reason) in failed.iter().take(3) {
+        eprintln!("FLEET_SEED={seed}: {reason}\n");
     }
     let seeds: Vec<u64> = failed.iter().map(|(seed, _)| *seed).collect();
     assert!(seeds.is_empty(), "seeds that failed: {seeds:?}");
 }
 
-/// The same seed plays the same, to the last byte on the disks.
+/// The same seed gives the same run, to the last byte on the disks.
 #[test]
-fn a_seed_is_played_again_exactly() {
+fn a_seed_repeats_exactly() {
     let final_state = || {
         let mut simulation = Simulation::new(77, 3, 4, 2);
         for n in 0..10 {
@@ -203,9 +204,9 @@
     assert_eq!(final_state(), final_state());
 }
 
-/// A build that forgets, and one that takes a command twice: the checker finds both.
+/// The checker detects a lost change and a command that was applied twice.
 #[test]
-fn the_checker_finds_a_record_that_forgets_or_doubles() {
+fn the_checker_detects_lost_and_duplicate_changes() {
     let mut simulation = Simulation::new(5, 3, 0, 0);
     let first = simulation.propose("op", Operation::Propose(Box::new(proposal("s", 1))));
     let second = simulation.propose("op", Operation::Propose(Box::new(proposal("s", 2))));
@@ -213,16 +214,16 @@
         |simulation: &Simulation| simulation.clients.iter().all(|client| client.outcome.is_some());
     assert!(simulation.run_until(30 * SECOND, all_resolved));
     assert!(simulation.run_until(30 * SECOND, |simulation| checks::record(simulation).is_ok()));
-    // As if it had been acknowledged and were not there.
+    // As if a change had been acknowledged and were missing.
     simulation.clients[first].outcome = Some(Outcome::Queued { change: 9, behind: 0 });
-    assert!(checks::record(&simulation).unwrap_err().contains("acknowledged and is not at"));
+    assert!(checks::record(&simulation).unwrap_err().contains("acknowledged but is missing at"));
     simulation.clients.truncate(1);
     simulation.clients[0].outcome = None;
     let _ = second;
-    // The same command under two numbers of its proposer is two changes.
+    // The same command under two numbers of its proposer makes two changes.
     let mut duplicate = simulation.clients[0].command.clone();
     duplicate.number = 2;
     simulation.send_command(duplicate);
     assert!(simulation.run_until(30 * SECOND, |simulation| simulation.clients[1].outcome.is_some()));
-    assert!(checks::record(&simulation).unwrap_err().contains("taken 2 times"));
+    assert!(checks::record(&simulation).unwrap_err().contains("applied 2 times"));
 }
--- a/crates/fleet/tests/record.rs
+++ b/crates/fleet/tests/record.rs
@@ -1,4 +1,4 @@
-//! The record under faults one by one, in simulated time. Rules are asserted; times only as bounds of the simulation.
+//! The record under single faults, in simulated time. Times are only bounds of the simulation.
 
 mod world;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_record_is_founded_and_takes_commands_in_one_order() {
+fn a_new_record_applies_commands_in_one_order() {
     for keepers in [3, 5] {
         let mut simulation = new_fleet_with_leader(1, keepers);
         let clients: Vec<usize> = (1..=20).map(|n| propose_change(&mut simulation, n)).collect();
@@ -50,9 +50,9 @@
     }
 }
 
-/// One command sent many times, to all keepers, is taken once, and each time answered alike.
+/// A command sent many times to all keepers is applied once, with the same outcome each time.
 #[test]
-fn a_command_is_taken_once_however_often_it_is_sent() {
+fn a_repeated_command_is_applied_once() {
     let mut simulation = new_fleet_with_leader(2, 3);
     let first = propose_change(&mut simulation, 1);
     let duplicates: Vec<usize> =
@@ -66,9 +66,9 @@
     assert_eq!(simulation.keeper(leader).unwrap().replica().state().changes().count(), 2);
 }
 
-/// Acknowledged means on the disks of a majority: read from the disks.
+/// An acknowledged command is on the disks of a majority.
 #[test]
-fn what_is_acknowledged_is_on_a_majority_of_disks() {
+fn an_acknowledged_command_is_on_a_majority_of_disks() {
     for seed in 0..20 {
         let mut simulation = new_fleet_with_leader(seed, 5);
         simulation.default_link.loss_rate = 0.2;
@@ -83,23 +83,26 @@
 }
 
 #[test]
-fn the_leader_is_killed_after_the_order_and_before_its_answer() {
+fn the_leader_is_killed_between_request_and_response() {
     for seed in 0..20 {
         let mut simulation = new_fleet_with_leader(seed, 3);
         let leader = simulation.leader().unwrap();
         let client = propose_change(&mut simulation, 1);
-        // Somewhere between the client's question and the answer.
+        // Some time between the client's request and the response.
         let steps = seed * 400;
         simulation.run(1000 + steps);
         simulation.kill(leader);
-        assert!(simulation.run_until(30 * SECOND, has_outcome(client)), "seed {seed}: two of three go on");
+        assert!(
+            simulation.run_until(30 * SECOND, has_outcome(client)),
+            "seed {seed}: two of three keepers go on"
+        );
         simulation.start(leader);
         wait_for_agreement(&mut simulation);
     }
 }
 
 #[test]
-fn a_minority_takes_nothing_and_forgets_nothing() {
+fn a_minority_commits_nothing_and_loses_nothing() {
     let mut simulation = new_fleet_with_leader(4, 5);
     let leader = simulation.leader().unwrap();
     let other = (leader + 1) % 5;
@@ -110,9 +113,9 @@
     let clients: Vec<usize> = (1..=5).map(|n| propose_change(&mut simulation, n)).collect();
     simulation.run(20 * SECOND);
     let status = simulation.keeper(leader).unwrap().replica().status();
-    assert_ne!(status.role, Role::Leader, "a leader that hears no majority steps down");
+    assert_ne!(status.role, Role::Leader, "a leader without a majority steps down");
     let changes = simulation.keeper(leader).unwrap().replica().state().changes().count();
-    assert_eq!(changes, 1, "nothing is taken on the minority's side");
+    assert_eq!(changes, 1, "nothing is committed on the side of the minority");
     simulation.heal_links();
     for client in clients {
         assert!(simulation.run_until(30 * SECOND, has_outcome(client)));
@@ -120,9 +123,9 @@
     wait_for_agreement(&mut simulation);
 }
 
-/// A leader that can send and not hear, and one that can hear and not send.
+/// A leader that can only send, and one that can only receive.
 #[test]
-fn a_link_that_carries_one_way_only_does_not_stop_the_record() {
+fn a_one_way_link_does_not_stop_the_record() {
     for sends in [true, false] {
         let mut simulation = new_fleet_with_leader(5, 3);
         let leader = simulation.leader().unwrap();
@@ -138,19 +141,19 @@
 }
 
 #[test]
-fn a_paused_leader_does_not_take_back_what_was_decided_meanwhile() {
+fn a_paused_leader_does_not_undo_commits_made_meanwhile() {
     let mut simulation = new_fleet_with_leader(6, 3);
     let leader = simulation.leader().unwrap();
     simulation.pause(leader, 15 * SECOND);
     let client = propose_change(&mut simulation, 1);
-    assert!(simulation.run_until(14 * SECOND, has_outcome(client)), "two of three go on");
+    assert!(simulation.run_until(14 * SECOND, has_outcome(client)), "two of three keepers go on");
     simulation.run(20 * SECOND);
     wait_for_agreement(&mut simulation);
 }
 
-/// A tail that is lost is said, the keeper has no voice until all has come back, and nothing is forgotten.
+/// A lost log tail is reported, the keeper does not vote until it has all entries again, and no change is lost.
 #[test]
-fn a_keeper_that_lost_its_tail_says_so_and_begins_again() {
+fn a_keeper_that_lost_its_log_tail_reports_it_and_rejoins() {
     for lost in [1, 3, 100] {
         let mut simulation = new_fleet_with_leader(7, 3);
         for n in 1..=5 {
@@ -181,9 +184,10 @@
     }
 }
 
-/// The case that the voice is withheld for: the only other copy is at the leader, which is then gone.
+/// Why a keeper that lost entries must not vote: the only other copy of the entry is at the leader, which is then
+/// killed.
 #[test]
-fn what_two_of_three_had_is_not_forgotten_when_one_loses_it_and_the_other_is_killed() {
+fn a_committed_change_survives_when_one_of_its_two_keepers_loses_it_and_the_other_is_killed() {
     let mut simulation = new_fleet_with_leader(8, 3);
     let leader = simulation.leader().unwrap();
     let (follower, isolated) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -199,8 +203,8 @@
     simulation.heal_links();
     simulation.start(follower);
     simulation.run(30 * SECOND);
-    // The far one and the one that lost it would be a majority without it.
-    assert_eq!(simulation.leader(), None, "nobody is elected who may lack it");
+    // The isolated keeper and the one that lost the entry would be a majority without it.
+    assert_eq!(simulation.leader(), None, "no keeper that may lack the entry is elected");
     simulation.start(leader);
     wait_for_agreement(&mut simulation);
     assert!(matches!(change, Outcome::Queued { change: 2, .. }), "{change:?}");
@@ -208,7 +212,7 @@
 }
 
 #[test]
-fn a_spoilt_block_is_found_and_what_follows_it_is_fetched_again() {
+fn a_corrupt_block_is_detected_and_the_entries_after_it_are_fetched_again() {
     let mut simulation = new_fleet_with_leader(9, 3);
     for n in 1..=10 {
         let client = propose_change(&mut simulation, n);
@@ -227,9 +231,9 @@
     assert!(simulation.run_until(30 * SECOND, has_rejoined));
 }
 
-/// A disk that can't be made sense of is refused; one of another keeper, too.
+/// An ambiguous disk is refused, and so is the disk of another keeper.
 #[test]
-fn a_disk_that_cannot_be_settled_is_refused_in_words() {
+fn an_ambiguous_or_foreign_disk_is_refused_with_a_reason() {
     let mut simulation = new_fleet_with_leader(10, 3);
     simulation.kill(0);
     let disk = simulation.processes[0].disk.clone();
@@ -256,9 +260,9 @@
     );
 }
 
-/// Guards against a wiped keeper that founds a record of its own, or votes as if it never had.
+/// A wiped keeper must not start a record of its own or vote as if it had never voted.
 #[test]
-fn a_wiped_keeper_takes_the_record_from_the_others() {
+fn a_wiped_keeper_copies_the_record_from_the_others() {
     let mut simulation = new_fleet_with_leader(11, 3);
     for index in 0..3 {
         simulation.kill(index);
@@ -274,9 +278,9 @@
     assert_eq!(simulation.keeper(0).unwrap().replica().state().changes().count(), 1);
 }
 
-/// All others gone, a wiped keeper founds nothing.
+/// A wiped keeper does not start a new record while all others are down.
 #[test]
-fn a_wiped_keeper_alone_waits() {
+fn a_wiped_keeper_without_peers_waits() {
     let mut simulation = new_fleet_with_leader(12, 3);
     (0..3).for_each(|index| simulation.kill(index));
     simulation.processes[0].disk.wipe();
@@ -288,16 +292,17 @@
     wait_for_agreement(&mut simulation);
 }
 
-/// A write that stops between log and mark leaves more than the mark says: nothing was vouched for, nothing is lost.
+/// A write that stops between log and watermark leaves more entries than the watermark says. None of them was
+/// acknowledged, so nothing is lost.
 #[test]
-fn a_kill_between_log_and_mark_costs_nothing() {
+fn a_kill_between_log_and_watermark_loses_nothing() {
     for seed in 0..10 {
         let mut simulation = new_fleet_with_leader(seed, 3);
         let index = (simulation.leader().unwrap() + seed as usize) % 3;
         simulation.processes[index].disk.tear_next_write = true;
         let client = propose_change(&mut simulation, 1);
         assert!(simulation.run_until(30 * SECOND, has_outcome(client)));
-        assert!(!simulation.is_up(index), "the write was torn");
+        assert!(!simulation.is_up(index), "the write was interrupted");
         simulation.start(index);
         let disk_faults = simulation.keeper(index).unwrap().replica().disk_faults().to_vec();
         assert_eq!(disk_faults, Vec::<String>::new());
@@ -318,9 +323,9 @@
     wait_for_agreement(&mut simulation);
 }
 
-/// Long past the bounds of the log a keeper that was away comes back by a snapshot, and a restart begins at one.
+/// A keeper that was down beyond the bounds of the log catches up by a snapshot, and a restart begins at one.
 #[test]
-fn a_keeper_far_behind_comes_back_by_a_snapshot() {
+fn a_keeper_far_behind_catches_up_by_a_snapshot() {
     let mut simulation = new_fleet_with_leader(14, 3);
     let absent = (simulation.leader().unwrap() + 1) % 3;
     simulation.kill(absent);
@@ -360,9 +365,9 @@
     );
 }
 
-/// Guards against a record that no frame can carry: a keeper far behind could not be brought up again.
+/// A snapshot must fit into a frame: otherwise a keeper far behind could never catch up.
 #[test]
-fn large_proposals_are_refused_before_a_snapshot_outgrows_a_frame() {
+fn large_proposals_are_refused_before_a_snapshot_exceeds_a_frame() {
     use elderstage_fleet::change::{ChangeContent, content_digest};
     use elderstage_fleet::record::{Command, Proposer, RecordState};
     let mut state = RecordState::new(name("shop"));
@@ -379,9 +384,9 @@
     assert!(state.encode().len() < elderstage_fleet::wire::MAX_FRAME_BYTES / 2);
 }
 
-/// What is wrong is refused at the door and by the record, and changes nothing.
+/// An invalid command is refused by the keeper that gets it or by the record, and changes nothing.
 #[test]
-fn a_wrong_command_is_refused_and_changes_nothing() {
+fn an_invalid_command_is_refused_and_changes_nothing() {
     let mut simulation = new_fleet_with_leader(15, 3);
     let leader = simulation.leader().unwrap();
     let digest = simulation.keeper(leader).unwrap().replica().state().digest();
--- a/crates/fleet/tests/world/checks.rs
+++ b/crates/fleet/tests/world/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold of a fleet, read from disks, answers and what was said, not from a keeper's own claims.
+//! Invariants of a fleet, checked against disks, responses and sent reports instead of keepers' own statements.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use super::Simulation;
 
-/// What a client was told is in the record, once, at every keeper that is up, and all have the same record.
+/// Every acknowledged change is in the record of every running keeper exactly once, and all records are equal.
 pub fn record(simulation: &Simulation) -> Result<(), String> {
     let mut digests = BTreeMap::new();
     for index in simulation.running_keepers() {
@@ -23,12 +23,12 @@
             let times = by_proposer.get(proposer).copied().unwrap_or(0);
             if times > 1 {
                 return Err(format!(
-                    "client {n}: its command was taken {times} times at {}",
+                    "client {n}: its command was applied {times} times at {}",
                     simulation.names[index]
                 ));
             }
             let Some(Outcome::Queued { change, .. }) = &client.outcome else { continue };
-            let found = state.changes().find(|change_found| change_found.number == *change);
+            let found = state.changes().find(|candidate| candidate.number == *change);
             let same = found.is_some_and(|found| {
                 matches!(operation, Operation::Propose(proposal) if **proposal == found.proposal)
                     && found.proposer == *proposer
@@ -36,7 +36,7 @@
             if !same {
                 let at = &simulation.names[index];
                 return Err(format!(
-                    "client {n}: change {change} was acknowledged and is not at {at}: {found:?}"
+                    "client {n}: change {change} was acknowledged but is missing at {at}: {found:?}"
                 ));
             }
         }
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// What was acknowledged is on the disks of a majority, as they lie there.
+/// Number of keepers that have the command on disk.
 pub fn on_disk(simulation: &Simulation, command: &elderstage_fleet::record::Command) -> usize {
     let expected = postcard::to_stdvec(command).unwrap();
     let has = |stored: &StoredBlocks, index: usize| {
@@ -63,7 +63,7 @@
     (0..simulation.keepers).filter(|index| has(&simulation.processes[*index].disk.stored(), *index)).count()
 }
 
-/// What a keeper had on its disk is in every keeper's sum, once, and nothing that no member told; all sums are alike.
+/// Every keeper's sum contains each persisted count once and nothing that no member reported, and all sums are equal.
 pub fn evidence(simulation: &Simulation) -> Result<(), String> {
     let sum = |tallies: &BTreeMap<(usize, u64), Tally>| {
         let mut sum = Tally::default();
@@ -79,12 +79,12 @@
         let counts = found.sum();
         if counts.asked < min.asked || counts.asked > max.asked || counts.in_time > max.in_time {
             let (found, name) = (counts.asked, &simulation.names[index]);
-            return Err(format!("{name} counts {found} requests, {} to {} were told", min.asked, max.asked));
+            return Err(format!("{name} counts {found} requests, expected {} to {}", min.asked, max.asked));
         }
         sums.push(found);
     }
     if sums.windows(2).any(|pair| pair[0] != pair[1]) {
-        return Err("keepers' sums differ".into());
+        return Err("the sums of the keepers differ".into());
     }
     Ok(())
 }
--- a/crates/fleet/tests/world/disk.rs
+++ b/crates/fleet/tests/world/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can lose its tail, spoil blocks, fill up and be wiped.
+//! An in-memory disk that can lose its tail, corrupt blocks, fill up and be wiped.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
     pub snapshot: Option<Vec<u8>>,
     pub entries: BTreeMap<u64, Vec<u8>>,
     reports: BTreeMap<u64, Vec<u8>>,
-    /// Takes nothing more.
+    /// Every write fails.
     pub is_full: bool,
-    /// A write stops between the log and the mark, as a kill there leaves it.
+    /// The next write stops between the log and the watermark, as after a kill.
     pub tear_next_write: bool,
 }
 
@@ -58,13 +58,14 @@
         }
     }
 
-    /// The last entries are gone, as after a write that the disk only claimed to have done.
+    /// Removes the last `n` entries, like a disk that reported writes as done but lost them.
     pub fn lose_tail(&mut self, n: usize) {
         for _ in 0..n {
             self.entries.pop_last();
         }
     }
 
+    /// Flips a bit of the nth entry from the end.
     pub fn corrupt_entry(&mut self, nth: usize) {
         if let Some((_, block)) = self.entries.iter_mut().rev().nth(nth) {
             let middle = block.len() / 2;
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A whole fleet in simulated time: keepers with disks, agents, links between each pair, clients. All faults are drawn
-//! from one seed, so a run that fails is played again exactly.
-#![allow(dead_code, reason = "each test file uses its part of the world")]
+//! Simulation of a whole fleet: keepers with disks, agents, links between each pair, and clients, in simulated time.
+//! All random faults come from one seed, so a failed run can be repeated exactly.
+#![allow(dead_code, reason = "each test file uses only a part of the simulation")]
 
 pub mod checks;
 pub mod disk;
@@ -25,11 +25,11 @@
     text.parse().unwrap()
 }
 
-/// How a link between two members treats what is sent one way.
+/// Faults of a link between two members, in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
     pub is_cut: bool,
-    /// Shares of frames that are lost, sent twice, and held back behind later ones.
+    /// Fractions of the frames that are lost, duplicated, and delayed behind later ones.
     pub loss_rate: f64,
     pub duplicate_rate: f64,
     pub delay_rate: f64,
@@ -44,11 +44,11 @@
     pub core: Option<Core>,
     pub disk: Disk,
     pub starts: u64,
-    /// Stands still until then; what comes meanwhile waits.
+    /// Paused until this time; events in between wait.
     pub paused_until: Micros,
-    /// What a front beside an agent has counted since its start.
+    /// What the front beside an agent has counted since its start.
     pub front_tally: Option<Told>,
-    /// Why a keeper has ended by itself.
+    /// The error with which a keeper has ended by itself.
     pub exit_reason: Option<String>,
 }
 
@@ -61,7 +61,7 @@
     Retry { client: usize },
 }
 
-/// A client that has one command and sends it until it knows what came of it.
+/// A client with one command, which it sends until it knows the outcome.
 pub struct Client {
     pub command: Command,
     pub outcome: Option<Outcome>,
@@ -83,26 +83,26 @@
     events: BTreeMap<(Micros, u64), Event>,
     next: u64,
     conns: BTreeMap<u64, usize>,
-    /// Frames and bytes that were sent, by sender.
+    /// Number of frames and bytes sent, by sender.
     pub sent: Vec<(u64, u64)>,
-    /// Notes of keepers in the order in which they came.
+    /// Notices of keepers in order.
     pub notices: Vec<(Micros, usize, Notice)>,
-    /// What each front beside an agent has counted, by boot, as it was last told to any keeper; and of that what a
-    /// keeper has had long enough to have it on its disk.
+    /// By boot, the latest counts of each front that reached any keeper, and of these the ones that a keeper has had
+    /// long enough to have them on its disk.
     pub reported: TallyByBoot,
     pub persisted: TallyByBoot,
-    /// Told to a keeper, in its start, and not yet for so long.
+    /// Reports that a running keeper took too recently to have them on its disk.
     pending_reports: Vec<PendingReport>,
     zones: usize,
 }
 
-/// Reports are on a keeper's disk within this; a little more for one that stands still meanwhile.
+/// Time within which a report is on a keeper's disk, with a margin for one that is paused meanwhile.
 const REPORT_PERSIST_TIME: Micros = 5 * SECOND + 100 * MILLISECOND;
 
-/// By member and boot of its front.
+/// Counts by member and boot of its front.
 type TallyByBoot = BTreeMap<(usize, u64), Tally>;
 
-/// A report that a keeper took at this time, in this start of it.
+/// A report that a keeper took at time `at`, in its start number `start`.
 struct PendingReport {
     at: Micros,
     keeper: usize,
@@ -118,7 +118,7 @@
     }
 }
 
-/// Between two machines of one fleet: up to some milliseconds.
+/// Range of delays between two machines of one fleet: up to a few milliseconds.
 const LINK_DELAY: (Micros, Micros) = (200, 3 * MILLISECOND);
 
 pub fn proposal(scope: &str, n: u64) -> Proposal {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Starts a process that is down. A keeper whose disk can't be used stays down and says why.
+    /// Starts a process that is down. A keeper whose disk is unusable stays down and sets `exit_reason`.
     pub fn start(&mut self, index: usize) {
         assert!(self.processes[index].core.is_none(), "{} is up", self.names[index]);
         self.processes[index].starts += 1;
@@ -223,7 +223,7 @@
         self.schedule_wake(index);
     }
 
-    /// Ends a process as SIGKILL does: what is on its disk stays.
+    /// Ends a process like SIGKILL: its disk keeps its content.
     pub fn kill(&mut self, index: usize) {
         self.processes[index].core = None;
         self.processes[index].paused_until = 0;
@@ -254,7 +254,7 @@
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |index: &usize| self.keeper(*index).is_some_and(Keeper::is_leader);
         let leaders: Vec<usize> = (0..self.keepers).filter(is_leader).collect();
-        // A leader that was cut off may still think that it leads: the one of the highest term does.
+        // An isolated leader may not know yet that it was replaced: the one with the highest term is current.
         leaders
             .into_iter()
             .max_by_key(|index| self.keeper(*index).map(|keeper| keeper.replica().status().term))
@@ -289,7 +289,7 @@
 
     fn send(&mut self, from: usize, to: &Name, body: MemberMessage) {
         let Some(to) = self.names.iter().position(|name| name == to) else { return };
-        // Through the codec, as on sockets.
+        // Encoded as on sockets.
         let bytes = wire::encode(&Frame::MemberMessage(body)).unwrap();
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes.len() as u64;
@@ -303,7 +303,7 @@
             if self.rng.random_bool(link.delay_rate) {
                 at += self.rng.random_range(0..200 * MILLISECOND);
             }
-            // What is on its way to a process that dies does not reach the next one.
+            // A frame to a process that ends does not reach its next start.
             let start = self.processes[to].starts;
             self.push(at, Event::Frame { from, to, start, bytes: bytes.clone() });
         }
@@ -335,7 +335,7 @@
         }
     }
 
-    /// A new client that proposes this until it knows what came of it; a number for it.
+    /// Adds a client that proposes `operation` until it knows the outcome; returns its index.
     pub fn propose(&mut self, by: &str, operation: Operation) -> usize {
         let proposer = Proposer { name: name(by), run: self.rng.random() };
         self.send_command(Command { proposer, number: 1, operation })
@@ -348,7 +348,7 @@
         client
     }
 
-    /// Sends its command, now to another keeper.
+    /// Sends the command of a client again, to a random keeper.
     fn retry(&mut self, client: usize) {
         if client >= self.clients.len()
             || self.clients[client].outcome.is_some()
@@ -372,7 +372,7 @@
         self.push(retry_at, Event::Retry { client });
     }
 
-    /// Clients that know what came of their commands are done with.
+    /// Removes all clients.
     pub fn forget_clients(&mut self) {
         self.clients.clear();
         self.conns.clear();
@@ -380,7 +380,7 @@
 
     fn handle_response(&mut self, conn: u64, response: ClientResponse) {
         let Some(client) = self.conns.get(&conn).copied() else { return };
-        // The client may not hear it: it asks again then.
+        // The response may be lost; the client then asks again.
         if self.rng.random_bool(self.default_link.loss_rate) {
             return;
         }
@@ -391,7 +391,7 @@
         }
     }
 
-    /// A front beside an agent counts so many more requests.
+    /// Adds requests to the counts of the front beside an agent.
     pub fn count_requests(&mut self, index: usize, asked: u64, in_time: u64) {
         let Some(front_tally) = &mut self.processes[index].front_tally else { return };
         let key = Key { class: "chat".into(), release: "r1".into(), settings: "s1".into(), ..Key::default() };
@@ -411,13 +411,13 @@
         }
     }
 
-    /// The front beside an agent starts anew and counts from nothing. Its clock may say anything.
+    /// Restarts the front beside an agent: it counts from zero under a random boot ID, as its clock may be wrong.
     pub fn restart_front(&mut self, index: usize) {
         let boot = self.rng.random();
         self.processes[index].front_tally = Some(Told { boot, version: 0, tally: Tally::default() });
     }
 
-    /// Plays on for this time.
+    /// Runs the simulation for this time.
     pub fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(((at, _), _)) = self.events.first_key_value() {
@@ -432,7 +432,7 @@
         self.now = end;
     }
 
-    /// Plays until something holds; `false` if it does not within this time.
+    /// Runs until the condition holds; `false` if it does not within this time.
     pub fn run_until(&mut self, time: Micros, condition: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
@@ -463,7 +463,7 @@
                     return;
                 }
                 let Ok(Some((Frame::MemberMessage(body), _))) = wire::decode(&bytes) else {
-                    panic!("a frame is spoilt")
+                    panic!("a frame is corrupt")
                 };
                 if let MemberMessage::Report(report) = &body
                     && to < self.keepers
@@ -530,7 +530,7 @@
         }
     }
 
-    /// What was told to a keeper that has been up for long enough since.
+    /// Moves reports to `persisted` once the keeper that took them has run long enough since.
     pub fn settle_reports(&mut self) {
         for pending_reports in std::mem::take(&mut self.pending_reports) {
             let process = &self.processes[pending_reports.keeper];
@@ -545,7 +545,7 @@
         }
     }
 
-    /// Keepers that are up.
+    /// Keepers that are running.
     pub fn running_keepers(&self) -> BTreeSet<usize> {
         (0..self.keepers).filter(|index| self.is_up(*index)).collect()
     }
