--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `elderstage fleet`: keepers and agents, what is proposed to them, and how they stand.
+//! `elderstage fleet`: runs keepers and agents, proposes changes, and shows the state of a fleet.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,44 +10,47 @@
 use elderstage_fleet::wire::FleetStatus;
 use elderstage_fleetd::ClientError;
 
+/// Subcommands of `elderstage fleet`.
 #[derive(Subcommand)]
 pub enum What {
     /// Run a keeper of the record, or an agent beside a front or an engine, until SIGTERM.
     Run {
-        /// The file: it tells which of them this process is.
+        /// Configuration file of this keeper or agent.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
     /// Put a change into the record, or stop one. Exits with 0 when a majority of the keepers has it on disk, with 1
-    /// when it is refused, and with 3 when it is not known to be taken.
+    /// when it is refused, and with 3 when it is not confirmed.
     Propose {
-        /// The proposal.
+        /// File with the proposal or stop.
         file: PathBuf,
-        /// Keepers to ask, the next where one can't tell.
+        /// Addresses of keepers, tried in order until one confirms or refuses.
         #[arg(long, value_name = "ADDR", required = true, num_args = 1..)]
         to: Vec<SocketAddr>,
-        /// Who proposes.
+        /// Name of the proposer.
         #[arg(long = "as", value_name = "NAME", default_value = "operator")]
         by: Name,
-        /// Send the proposal of an earlier run again, by the number that it printed: it is taken once.
+        /// Send the proposal of an earlier run again, by the number that it printed; it is applied once.
         #[arg(long, value_name = "RUN")]
         again: Option<u64>,
     },
-    /// How the fleet stands, as one keeper sees it.
+    /// Show the state of the fleet as one keeper sees it.
     Show {
+        /// Address of the keeper.
         #[arg(long, value_name = "ADDR")]
         to: SocketAddr,
-        /// As JSON, with all that the keeper tells.
+        /// Print everything that the keeper reports, as JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// A proposal that the record refused.
-const REFUSED: u8 = 1;
-/// Nobody knows yet what came of it.
-const NOT_YET: u8 = 3;
+/// Exit code of a refused proposal.
+const REFUSED_EXIT_CODE: u8 = 1;
+/// Exit code of a proposal whose outcome is unknown.
+const UNCONFIRMED_EXIT_CODE: u8 = 3;
 
+/// Runs a subcommand of `elderstage fleet`.
 pub fn fleet(what: &What) -> Result<ExitCode, String> {
     match what {
         What::Run { config } => {
@@ -59,6 +62,7 @@
     }
 }
 
+/// Proposes the content of a file to the keepers, one after the other until one confirms or refuses it.
 fn propose(file: &Path, to: &[SocketAddr], by: &Name, again: Option<u64>) -> Result<ExitCode, String> {
     let shown = file.display();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{shown}: {error}"))?;
@@ -83,7 +87,7 @@
             Ok(other) => return Err(format!("{at}: {other:?}")),
             Err(error @ ClientError::Refused(_)) => {
                 eprintln!("elderstage: {error}");
-                return Ok(ExitCode::from(REFUSED));
+                return Ok(ExitCode::from(REFUSED_EXIT_CODE));
             }
             Err(error @ (ClientError::Unconfirmed(_) | ClientError::Unreachable { .. })) => {
                 eprintln!("elderstage: {error}");
@@ -96,23 +100,24 @@
         Some(ClientError::Unreachable { .. }) if to.len() == 1 => Ok(ExitCode::from(2)),
         _ => {
             eprintln!("elderstage: to send the same proposal again: --as {by} --again {run}");
-            Ok(ExitCode::from(NOT_YET))
+            Ok(ExitCode::from(UNCONFIRMED_EXIT_CODE))
         }
     }
 }
 
+/// Prints the state of the fleet.
 fn show(to: SocketAddr, json: bool) -> Result<ExitCode, String> {
     let shown = elderstage_fleetd::show(to).map_err(|error| error.to_string())?;
     if json {
         println!("{}", serde_json::to_string_pretty(&shown).map_err(|error| error.to_string())?);
     } else {
-        print!("{}", page(&shown));
+        print!("{}", format_page(&shown));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// What an operator reads first.
-fn page(shown: &FleetStatus) -> String {
+/// Formats the state of the fleet for an operator.
+fn format_page(shown: &FleetStatus) -> String {
     use std::fmt::Write;
     let mut page = String::new();
     let status = &shown.status;
@@ -120,7 +125,7 @@
         let keeper = usize::try_from(number).ok().and_then(|n| shown.keepers.get(n.checked_sub(1)?));
         keeper.map_or("nobody", |keeper| keeper.as_str())
     };
-    // Writing to a string can't fail.
+    // Writing to a string does not fail.
     let _ = writeln!(page, "fleet {}, seen by keeper {} ({:?})", shown.fleet, shown.keeper, status.role);
     let _ = writeln!(
         page,
@@ -132,8 +137,8 @@
         shown.applied_commands,
         shown.digest
     );
-    for doubt in &shown.disk_faults {
-        let _ = writeln!(page, "at its start the disk was not as it was left: {doubt}");
+    for fault in &shown.disk_faults {
+        let _ = writeln!(page, "fault found on disk at start: {fault}");
     }
     let up = shown.members.iter().filter(|member| member.is_up).count();
     let _ = writeln!(page, "members: {up} up of {} known", shown.members.len());
--- a/crates/fleetd/examples/commits.rs
+++ b/crates/fleetd/examples/commits.rs
@@ -1,6 +1,6 @@
-//! What a commit of the record costs beside a bare fsync, on the disk of a folder.
-//! `cargo run --release -p elderstage-fleetd --example commits -- FOLDER [ADDR...]`: with the addresses of running
-//! keepers also how long a proposal takes through them.
+//! Compares the time of a commit of the record with that of a plain fsync, on the disk of a folder.
+//! `cargo run --release -p elderstage-fleetd --example commits -- FOLDER [ADDR...]`: given the addresses of
+//! running keepers, it also measures the time of a proposal.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -13,7 +13,7 @@
 use elderstage_fleetd::Disk;
 
 const RUNS: usize = 300;
-/// Bytes of a small command.
+/// Size of a small command.
 const COMMAND_BYTES: usize = 400;
 
 fn print_times(label: &str, mut times: Vec<Duration>) {
@@ -24,13 +24,13 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut args = std::env::args().skip(1);
-    let folder = PathBuf::from(args.next().ok_or("a folder is wanted")?);
+    let folder = PathBuf::from(args.next().ok_or("expected a folder as the first argument")?);
     std::fs::create_dir_all(&folder)?;
     let disk = Disk::open(&folder.join("keeper"))?;
     let mut file = OpenOptions::new().create(true).append(true).open(folder.join("bare"))?;
     let (mut fsync_times, mut commit_times) = (Vec::new(), Vec::new());
     for n in 0..RUNS as u64 {
-        // One after the other, so that both see the same disk.
+        // Alternate, so that both see the same state of the disk.
         let started_at = Instant::now();
         file.write_all(&[7; COMMAND_BYTES])?;
         file.sync_data()?;
@@ -67,7 +67,7 @@
         };
         let command = Command { proposer: Proposer { name, run: rand::random() }, number: 1, operation };
         let started_at = Instant::now();
-        // A stop of a change that another run has made is refused: it has its place in the record all the same.
+        // Stopping a change of an earlier run is refused, but the command is still applied to the record.
         let _ = elderstage_fleetd::propose(*at, command);
         proposal_times.push(started_at.elapsed());
     }
--- a/crates/fleetd/src/client.rs
+++ b/crates/fleetd/src/client.rs
@@ -1,4 +1,4 @@
-//! The commands' side: one question to a keeper, and its answer.
+//! Client of a keeper: sends one request and waits for its response.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -15,31 +15,37 @@
 use crate::links::read_frame;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Over the time that a keeper gives a command.
+/// Longer than the time after which a keeper answers that a command is not confirmed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(45);
 
+/// Why a request did not succeed.
 #[derive(Debug, Error)]
 pub enum ClientError {
+    /// No connection to the keeper, or the request could not be sent.
     #[error("{at}: {reason}")]
     Unreachable { at: SocketAddr, reason: String },
-    /// It may or may not be taken in the end; the same command may be sent again.
-    #[error("not known to be taken: {0}")]
+    /// The command may or may not be applied; the same command may be sent again.
+    #[error("not confirmed: {0}")]
     Unconfirmed(String),
+    /// The command is invalid; nothing has changed.
     #[error("refused: {0}")]
     Refused(BadProposal),
+    /// The keeper sent no response to this request.
     #[error("{at}: {reason}")]
     UnexpectedResponse { at: SocketAddr, reason: String },
 }
 
+/// Runs the exchange on a coroutine and waits for it.
 fn request(at: SocketAddr, request: ClientRequest) -> Result<ClientResponse, ClientError> {
     init_small(4);
     let (response, responses) = mpsc::channel();
     go(move || drop(response.send(exchange(at, request))));
     responses.recv().unwrap_or_else(|_| {
-        Err(ClientError::UnexpectedResponse { at, reason: "the question was dropped".into() })
+        Err(ClientError::UnexpectedResponse { at, reason: "the request was dropped".into() })
     })
 }
 
+/// Connects, sends the request and reads the response.
 fn exchange(at: SocketAddr, request: ClientRequest) -> Result<ClientResponse, ClientError> {
     let unreachable = |reason: String| ClientError::Unreachable { at, reason };
     let mut conn = open(at, CONNECT_TIMEOUT).map_err(|error| unreachable(error.to_string()))?;
@@ -54,29 +60,36 @@
     }
     match read_frame(&mut conn) {
         Ok(Frame::ClientResponse(response)) => Ok(*response),
-        Ok(_) => Err(ClientError::UnexpectedResponse { at, reason: "answered what was not asked".into() }),
-        // It was sent: what came of it is open.
+        Ok(_) => Err(ClientError::UnexpectedResponse {
+            at,
+            reason: "the response does not match the request".into(),
+        }),
+        // The request was sent, so its outcome is unknown.
         Err(reason) => Err(ClientError::Unconfirmed(format!("{at}: {reason}"))),
     }
 }
 
-/// Puts a command into the record: returns when a majority has it on disk.
+/// Proposes a command; returns its outcome when a majority of the keepers has it on disk.
 pub fn propose(at: SocketAddr, command: Command) -> Result<Outcome, ClientError> {
     match request(at, ClientRequest::Propose(Box::new(command)))? {
         ClientResponse::Applied(outcome) => Ok(outcome),
         ClientResponse::Refused(error) => Err(ClientError::Refused(error)),
         ClientResponse::Unconfirmed(reason) => Err(ClientError::Unconfirmed(reason)),
-        ClientResponse::Status(_) => {
-            Err(ClientError::UnexpectedResponse { at, reason: "answered what was not asked".into() })
-        }
+        ClientResponse::Status(_) => Err(ClientError::UnexpectedResponse {
+            at,
+            reason: "the response does not match the request".into(),
+        }),
     }
 }
 
-/// How the fleet stands, as this keeper sees it.
+/// Returns the state of the fleet as this keeper sees it.
 pub fn show(at: SocketAddr) -> Result<FleetStatus, ClientError> {
     match request(at, ClientRequest::Show)? {
-        ClientResponse::Status(shown) => Ok(*shown),
+        ClientResponse::Status(status) => Ok(*status),
         ClientResponse::Unconfirmed(reason) => Err(ClientError::UnexpectedResponse { at, reason }),
-        _ => Err(ClientError::UnexpectedResponse { at, reason: "answered what was not asked".into() }),
+        _ => Err(ClientError::UnexpectedResponse {
+            at,
+            reason: "the response does not match the request".into(),
+        }),
     }
 }
--- a/crates/fleetd/src/disk.rs
+++ b/crates/fleetd/src/disk.rs
@@ -1,8 +1,8 @@
-//! A keeper's disk: a database of the record and the reports, and beside it the mark.
+//! Storage of a keeper: a database with the record and the reports, and beside it the watermark file `mark`.
 //!
-//! The database is `redb`: one commit a write, on disk before it returns. The mark is a file of its own, replaced whole
-//! after each commit, so that the loss of either shows at the other. Every block carries its own digest
-//! (`elderstage_fleet::record::seal`): what the database reads back is not believed without.
+//! The database is `redb`, with one commit per write; a write is on disk when it returns. The watermark is a separate
+//! file, replaced as a whole after each commit, so that the loss of either is visible from the other. Every block
+//! carries its own digest (`elderstage_fleet::record::encode_block`). This module does not verify the digests.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write as _};
@@ -19,35 +19,40 @@
 const SNAPSHOT_KEY: &str = "snapshot";
 const DATABASE_FILE: &str = "record.redb";
 const WATERMARK_FILE: &str = "mark";
-/// Largest mark, in bytes.
+/// Largest watermark file.
 const MAX_WATERMARK_BYTES: u64 = 4096;
-/// Memory for the database's pages, in bytes: the record is small.
+/// Memory for the database's page cache; the record is small.
 const CACHE_BYTES: usize = 8 << 20;
 
+/// Why a keeper's directory can't be used.
 #[derive(Debug, Error)]
 pub enum DiskError {
+    /// A file operation failed.
     #[error("{path}: {error}")]
     File { path: PathBuf, error: io::Error },
-    /// The database is there and can't be used: it is refused, not guessed at.
+    /// The database exists but is unusable. It is refused; nothing is repaired.
     #[error(
-        "{path}: {error}; move it away to begin without it: the keeper then takes the record from the others"
+        "{path}: {error}; move it away to start without it: the keeper then copies the record from the others"
     )]
     Database { path: PathBuf, error: redb::Error },
-    #[error("{path}: another process uses it")]
+    /// Another process has the database open.
+    #[error("{path}: another process has the database open")]
     InUse { path: PathBuf },
 }
 
+/// Storage of a keeper.
 pub struct Disk {
     directory: PathBuf,
     database: Database,
 }
 
+/// Adds the path to an I/O error.
 fn with_path<T>(path: &Path, result: io::Result<T>) -> Result<T, DiskError> {
     result.map_err(|error| DiskError::File { path: path.to_owned(), error })
 }
 
 impl Disk {
-    /// Opens a keeper's directory, and makes it where there is none.
+    /// Opens a keeper's directory and creates it if it does not exist.
     pub fn open(directory: &Path) -> Result<Disk, DiskError> {
         with_path(directory, fs::create_dir_all(directory))?;
         let path = directory.join(DATABASE_FILE);
@@ -58,7 +63,7 @@
         let opened = Database::builder().set_cache_size(CACHE_BYTES).create(&path);
         let database = opened.map_err(|error| database_error(error.into()))?;
         let disk = Disk { directory: directory.to_owned(), database };
-        // Tables that are read must be there.
+        // A read transaction needs existing tables.
         let create_tables = || -> Result<(), redb::Error> {
             let write = disk.database.begin_write()?;
             write.open_table(ENTRIES)?;
@@ -75,7 +80,7 @@
         DiskError::Database { path: self.directory.join(DATABASE_FILE), error }
     }
 
-    /// All that is there, unchecked; what can't even be read is said in words.
+    /// Reads all blocks without verifying them; a failed read is added to the result's `read_errors`.
     pub fn read_blocks(&self) -> Result<StoredBlocks, DiskError> {
         let mut blocks = StoredBlocks { watermark: self.read_watermark()?, ..StoredBlocks::default() };
         let read = self.database.begin_read().map_err(|error| self.database_error(error.into()))?;
@@ -102,7 +107,8 @@
         Ok(blocks)
     }
 
-    /// Members' reports, unchecked. They are evidence, not the record: what can't be read is left aside.
+    /// Reads the members' reports without verifying them. They are not part of the record, so a failed read is only
+    /// logged.
     pub fn reports(&self) -> Vec<(u64, Vec<u8>)> {
         let read = || -> Result<Vec<(u64, Vec<u8>)>, redb::Error> {
             let read = self.database.begin_read()?;
@@ -114,11 +120,12 @@
             Ok(reports)
         };
         read().unwrap_or_else(|error| {
-            tracing::warn!(target: "fleet", %error, "reports can't be read");
+            tracing::warn!(target: "fleet", %error, "failed to read reports");
             Vec::new()
         })
     }
 
+    /// Reads the watermark file; `None` if there is none.
     fn read_watermark(&self) -> Result<Option<Vec<u8>>, DiskError> {
         let path = self.directory.join(WATERMARK_FILE);
         let mut bytes = Vec::new();
@@ -132,7 +139,7 @@
         }
     }
 
-    /// On the disk when this returns, the mark last.
+    /// Writes the record, then the watermark; both are on disk when this returns.
     pub fn write(&self, write: &DiskWrite) -> Result<(), DiskError> {
         self.write_record(write).map_err(|error| self.database_error(error))?;
         if write.watermark.is_empty() {
@@ -140,9 +147,9 @@
         }
         let (path, new) = (self.directory.join(WATERMARK_FILE), self.directory.join("mark.new"));
         let written = || -> io::Result<()> {
-            let mut transaction = OpenOptions::new().write(true).create(true).truncate(true).open(&new)?;
-            transaction.write_all(&write.watermark)?;
-            transaction.sync_data()?;
+            let mut new_file = OpenOptions::new().write(true).create(true).truncate(true).open(&new)?;
+            new_file.write_all(&write.watermark)?;
+            new_file.sync_data()?;
             fs::rename(&new, &path)?;
             File::open(&self.directory)?.sync_all()
         };
@@ -180,6 +187,7 @@
         Ok(())
     }
 
+    /// Writes reports by key.
     pub fn store_reports(&self, reports: &[(u64, Vec<u8>)]) -> Result<(), DiskError> {
         let store_reports = || -> Result<(), redb::Error> {
             let transaction = self.database.begin_write()?;
@@ -196,8 +204,8 @@
     }
 }
 
-/// Counts a member's starts in its directory: a count in the upper half, `random_half` below, so that a directory that was
-/// wiped does not begin with a number that was there before.
+/// Counts a start in the member's directory and returns its boot ID: the start count in the upper 32 bits,
+/// `random_half` in the lower, so that a wiped directory does not repeat an earlier boot ID.
 pub fn next_boot_id(directory: &Path, random_half: u32) -> Result<u64, DiskError> {
     with_path(directory, fs::create_dir_all(directory))?;
     let path = directory.join("starts");
@@ -206,7 +214,7 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
         Err(error) => return with_path(&path, Err(error)),
     };
-    // A spoilt count begins anew: the drawn half keeps starts apart.
+    // A corrupt count restarts from 1: the random half keeps boot IDs distinct.
     let start_count = text.trim().parse::<u32>().unwrap_or(0).wrapping_add(1);
     let new = directory.join("starts.new");
     with_path(&new, fs::write(&new, start_count.to_string()))?;
--- a/crates/fleetd/src/host.rs
+++ b/crates/fleetd/src/host.rs
@@ -1,4 +1,6 @@
-//! The owner's thread: one core, its disk and its links.
+//! The state held by the owner thread: one state machine, its disk and its connections.
+//!
+//! Carries out outputs in order; after a failed write it carries out nothing more.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,59 +14,63 @@
 use crate::disk::Disk;
 use crate::links::{Event, FrameSender, PeerConnections};
 
-/// Which core it is.
+/// The state machine of this process.
 pub enum Core {
     Keeper(Box<Keeper>, Disk),
     Agent(Box<Agent>),
 }
 
+/// A keeper or agent process.
 pub struct FleetProcess {
     pub core: Core,
     pub connections: PeerConnections,
-    /// Clients' connections, by number.
+    /// Connections of clients, by number.
     pub clients: HashMap<u64, FrameSender>,
-    /// Why it can't go on. Seen by the main thread at `has_failed`: with nothing more coming in no event would end it.
+    /// Why the process can't go on. The main thread polls `has_failed`, since without further events the owner would
+    /// not end.
     pub failure: Option<String>,
     pub has_failed: Arc<AtomicBool>,
 }
 
+/// Logs an event of the keeper.
 fn log_notice(notice: &Notice) {
     match notice {
-        Notice::DiskFault(what) => tracing::warn!(target: "fleet", %what, "the disk is not as it was left"),
-        Notice::Bootstrapped => tracing::info!(target: "fleet", "the record is founded"),
-        Notice::Rejoined => tracing::info!(target: "fleet", "has all of the record again"),
-        Notice::LeaderChanged(Some(keeper)) => tracing::info!(target: "fleet", %keeper, "leads"),
-        Notice::LeaderChanged(None) => tracing::info!(target: "fleet", "no leader is known"),
+        Notice::DiskFault(what) => tracing::warn!(target: "fleet", %what, "fault found on disk at start"),
+        Notice::Bootstrapped => tracing::info!(target: "fleet", "started a new record"),
+        Notice::Rejoined => tracing::info!(target: "fleet", "rejoined the record"),
+        Notice::LeaderChanged(Some(keeper)) => tracing::info!(target: "fleet", %keeper, "leader changed"),
+        Notice::LeaderChanged(None) => tracing::info!(target: "fleet", "no leader known"),
         Notice::CommandApplied { command, outcome } => {
             let (by, number) = (&command.proposer.name, command.number);
-            tracing::info!(target: "fleet", %by, number, ?outcome, "decided");
+            tracing::info!(target: "fleet", %by, number, ?outcome, "command applied");
         }
-        Notice::CorruptReport(key) => tracing::warn!(target: "fleet", key, "a report on disk is spoilt"),
-        Notice::RejectedMessage { peer } => tracing::warn!(target: "fleet", %peer, "said what can't be used"),
+        Notice::CorruptReport(key) => tracing::warn!(target: "fleet", key, "report on disk is corrupt"),
+        Notice::RejectedMessage { peer } => tracing::warn!(target: "fleet", %peer, "rejected message"),
     }
 }
 
 impl FleetProcess {
-    fn fail(&mut self, why: String) {
-        self.failure.get_or_insert(why);
+    /// Records the first failure.
+    fn fail(&mut self, reason: String) {
+        self.failure.get_or_insert(reason);
         self.has_failed.store(true, Ordering::SeqCst);
     }
 
-    /// Carries out what a keeper says, in order. `false`: the disk has failed and nothing after it was done.
+    /// Carries out a keeper's outputs in order. `false` if a write failed; no output after it was carried out.
     pub fn run_keeper_outputs(&mut self, outputs: Vec<keeper::Output>) -> bool {
-        for action in outputs {
+        for output in outputs {
             let Core::Keeper(_, disk) = &self.core else { return false };
-            let result = match &action {
+            let result = match &output {
                 keeper::Output::Write(write) => disk.write(write),
                 keeper::Output::StoreReports(reports) => disk.store_reports(reports),
                 _ => Ok(()),
             };
             if let Err(error) = result {
-                // What follows must not be said: whoever can't write is not there.
+                // Later messages depend on this write and must not be sent.
                 self.fail(error.to_string());
                 return false;
             }
-            match action {
+            match output {
                 keeper::Output::Send { to, at, body } => self.connections.send(&to, at, body),
                 keeper::Output::ClientResponse { conn, response } => {
                     if let (Some(sender), Ok(frame)) =
@@ -73,7 +79,7 @@
                         sender.send(frame.into());
                     }
                 }
-                keeper::Output::Notice(what) => log_notice(&what),
+                keeper::Output::Notice(notice) => log_notice(&notice),
                 keeper::Output::Write(_) | keeper::Output::StoreReports(_) => {}
             }
         }
@@ -81,14 +87,14 @@
     }
 
     fn run_agent_outputs(&mut self, outputs: Vec<agent::Output>) {
-        for action in outputs {
-            match action {
+        for output in outputs {
+            match output {
                 agent::Output::Send { to, at, body } => self.connections.send(&to, at, body),
                 agent::Output::ReachableKeepers { reachable } => {
-                    tracing::info!(target: "fleet", heard = reachable, "keepers")
+                    tracing::info!(target: "fleet", heard = reachable, "number of reachable keepers changed")
                 }
                 agent::Output::RejectedMessage { peer } => {
-                    tracing::warn!(target: "fleet", %peer, "said what can't be used")
+                    tracing::warn!(target: "fleet", %peer, "rejected message")
                 }
             }
         }
@@ -119,7 +125,7 @@
     type Event = Event;
 
     fn handle(&mut self, now: Micros, event: Event) -> bool {
-        // Nothing is said after a write that failed.
+        // Nothing is sent after a failed write.
         if self.failure.is_some() {
             return false;
         }
@@ -142,7 +148,7 @@
                     self.clients.insert(conn, sender);
                     return self.handle_keeper_input(now, keeper::Input::ClientRequest { conn, request });
                 }
-                let reason = "this is an agent: ask a keeper".to_owned();
+                let reason = "this process is an agent; send requests to a keeper".to_owned();
                 let response = Box::new(wire::ClientResponse::Unconfirmed(reason));
                 if let Ok(frame) = wire::encode(&Frame::ClientResponse(response)) {
                     sender.send(frame.into());
@@ -152,14 +158,14 @@
                 self.clients.remove(&conn);
                 return self.handle_keeper_input(now, keeper::Input::ClientDisconnected { conn });
             }
-            Event::TallyRead(told) => return self.handle_agent_input(now, agent::Input::TallyRead(told)),
+            Event::TallyRead(tally) => return self.handle_agent_input(now, agent::Input::TallyRead(tally)),
             Event::Stop => return false,
         }
         true
     }
 
     fn next_timer(&self) -> Option<Micros> {
-        // A disk that has failed is an end, told at the next look.
+        // After a failure no timer runs; the main thread sees `has_failed` at its next poll.
         if self.failure.is_some() {
             return None;
         }
--- a/crates/fleetd/src/lib.rs
+++ b/crates/fleetd/src/lib.rs
@@ -1,5 +1,5 @@
-//! Keepers and agents of a fleet on real sockets and disks. Decides nothing: what comes in on sockets is told to one
-//! owner, which holds the core, and what the core says is carried out in order.
+//! Runs the keepers and agents of a fleet on real sockets and disks. Decides nothing: one owner thread holds the state
+//! machine, receives all events from the sockets and carries out the outputs in order.
 
 mod client;
 mod disk;
--- a/crates/fleetd/src/links.rs
+++ b/crates/fleetd/src/links.rs
@@ -1,8 +1,8 @@
-//! Connections to other members and clients: frames in to the owner, frames out from a queue of each.
+//! Connections to members and clients. Received frames become events of the owner; each connection has a send queue.
 //!
-//! A connection carries frames both ways, whoever opened it. It ends when what comes on it can't be read, when nothing
-//! has come for [`PEER_READ_TIMEOUT`], or when the peer takes nothing for [`WRITE_TIMEOUT`]; only it ends then. What can't be sent is
-//! dropped: everything that members say is said again.
+//! A connection carries frames both ways, whichever side opened it. It ends on a malformed frame, when nothing has
+//! arrived for [`PEER_READ_TIMEOUT`], or when the peer accepts no bytes for [`WRITE_TIMEOUT`]; other connections are
+//! unaffected. Messages that can't be sent are dropped: members repeat all their messages.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,23 +16,24 @@
 use elderstage_net::owner::Inbox;
 use elderstage_net::{Conn, NetError, go, open};
 
-/// A connection is not waited for longer than this.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first frame comes within this.
+/// Time within which the first frame must have arrived.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// Nothing has come for so long: the peer is gone or cut off, or has nothing to say, and is called again when needed.
+/// A peer from which nothing has arrived for this long is gone, unreachable or idle; the next message opens a new
+/// connection.
 const PEER_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// A client may think for so long.
+/// A client may pause this long between requests.
 const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// The peer takes nothing for so long.
+/// Timeout for writing to a peer that accepts no bytes.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that wait for one peer at most; what comes then is dropped.
+/// Maximum bytes queued for one peer; further frames are dropped.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
-/// After a failed call the next one waits so long, and each time twice as long up to the second figure.
+/// Delay before the next attempt after a failed connect; it doubles with each failure up to the maximum.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Frames that wait to be written.
+/// Send queue of a connection.
 #[derive(Clone)]
 pub struct FrameSender {
     queue: Sender<Arc<[u8]>>,
@@ -45,7 +46,7 @@
         (FrameSender { queue, queued: Arc::default() }, frames)
     }
 
-    /// `false`: it was dropped, or the connection has ended.
+    /// Queues a frame; `false` if it was dropped or the connection has ended.
     pub fn send(&self, frame: Arc<[u8]>) -> bool {
         let length = frame.len();
         if self.queued.fetch_add(length, Ordering::SeqCst) > MAX_QUEUED_BYTES {
@@ -56,40 +57,27 @@
     }
 }
 
-/// What connections tell the owner.
+/// An event for the owner.
 pub enum Event {
-    /// A member can be reached on this connection.
-    PeerConnected {
-        conn: u64,
-        peer: Name,
-        sender: FrameSender,
-    },
-    PeerMessage {
-        peer: Name,
-        body: MemberMessage,
-    },
-    PeerDisconnected {
-        conn: u64,
-        peer: Name,
-    },
-    /// A call to a member came to nothing.
-    ConnectFailed {
-        peer: Name,
-    },
-    ClientRequest {
-        conn: u64,
-        request: ClientRequest,
-        sender: FrameSender,
-    },
-    ClientDisconnected {
-        conn: u64,
-    },
-    /// The end is wanted.
+    /// A connection to a member is open.
+    PeerConnected { conn: u64, peer: Name, sender: FrameSender },
+    /// A message from a member.
+    PeerMessage { peer: Name, body: MemberMessage },
+    /// A connection to a member has closed.
+    PeerDisconnected { conn: u64, peer: Name },
+    /// A connection to a member could not be opened.
+    ConnectFailed { peer: Name },
+    /// A client sent a request on this connection.
+    ClientRequest { conn: u64, request: ClientRequest, sender: FrameSender },
+    /// The connection of a client has closed.
+    ClientDisconnected { conn: u64 },
+    /// The process shall stop.
     Stop,
+    /// New counts were read from the file of the front.
     TallyRead(elderstage_tally::Told),
 }
 
-/// What all connections of a process share.
+/// Context shared by all connections of a process.
 pub struct ConnectionContext {
     pub key: FleetKey,
     pub me: Name,
@@ -110,7 +98,7 @@
     }
 }
 
-/// Reads one frame whole.
+/// Reads one complete frame.
 pub fn read_frame(conn: &mut Conn) -> Result<Frame, String> {
     loop {
         match wire::decode(conn.pending()) {
@@ -119,7 +107,7 @@
                 return Ok(frame);
             }
             Ok(None) => conn.fill().map_err(|error| match error {
-                NetError::TimedOut => "silent".to_owned(),
+                NetError::TimedOut => "read timed out".to_owned(),
                 error => error.to_string(),
             })?,
             Err(error) => return Err(error.to_string()),
@@ -127,7 +115,7 @@
     }
 }
 
-/// Writes what waits, until the connection ends.
+/// Writes queued frames until the connection ends.
 fn write_frames(mut conn: Conn, frames: Receiver<Arc<[u8]>>, queued: Arc<AtomicUsize>) {
     conn.set_write_timeout(Some(WRITE_TIMEOUT));
     while let Ok(frame) = frames.recv() {
@@ -140,39 +128,40 @@
     conn.socket().shut();
 }
 
+/// Validates the first frame of a peer: `Some` name for a member, `None` for a client.
 fn check_hello(context: &ConnectionContext, hello: &Hello) -> Result<Option<Name>, String> {
     if hello.protocol_version != PROTOCOL_VERSION {
-        return Err(format!("speaks form {}, this is {PROTOCOL_VERSION}", hello.protocol_version));
+        return Err(format!("uses protocol version {}, expected {PROTOCOL_VERSION}", hello.protocol_version));
     }
     match &hello.member {
         None => Ok(None),
         Some((_, key)) if key.name != context.key.name => Err(format!("is of fleet {}", key.name)),
         Some((_, key)) if *key != context.key => {
-            Err(format!("is of another fleet named {}: its keepers are others", key.name))
+            Err(format!("is of another fleet named {}: its keepers differ", key.name))
         }
-        Some((name, _)) if *name == context.me => Err(format!("calls itself {name}, as this one")),
+        Some((name, _)) if *name == context.me => Err(format!("has the same name as this process: {name}")),
         Some((name, _)) => Ok(Some(name.clone())),
     }
 }
 
-/// A connection that somebody has opened.
+/// Serves a connection that another process has opened.
 pub fn handle_accepted(context: Arc<ConnectionContext>, mut conn: Conn) {
-    // However slowly it comes: guards against strangers that hold memory by a frame that never ends.
+    // A deadline for the whole frame: a stranger must not hold memory with a frame that never ends.
     conn.set_deadline(Some(Instant::now() + HELLO_TIMEOUT));
     let peer = match read_frame(&mut conn) {
         Ok(Frame::Hello(hello)) => check_hello(&context, &hello),
-        Ok(_) => Err("does not say who it is".into()),
+        Ok(_) => Err("first frame is not a hello".into()),
         Err(error) => Err(error),
     };
     conn.set_deadline(None);
     match peer {
         Ok(Some(peer)) => serve_member(&context, conn, peer, true),
         Ok(None) => serve_client(&context, conn),
-        Err(reason) => tracing::warn!(target: "fleet", %reason, "a connection was not taken"),
+        Err(reason) => tracing::warn!(target: "fleet", %reason, "refused a connection"),
     }
 }
 
-/// Frames of a member, both ways.
+/// Exchanges frames with a member until the connection ends.
 fn serve_member(context: &Arc<ConnectionContext>, mut conn: Conn, peer: Name, reply_hello: bool) {
     let (conn_id, (sender, frames)) = (context.new_connection_id(), FrameSender::new());
     let Ok(writer) = conn.writer() else { return };
@@ -187,19 +176,19 @@
         match read_frame(&mut conn) {
             Ok(Frame::MemberMessage(body)) => {
                 if !context.inbox.send(Event::PeerMessage { peer: peer.clone(), body }) {
-                    break "ending".to_owned();
+                    break "this process is stopping".to_owned();
                 }
             }
-            Ok(_) => break "said what members do not say".to_owned(),
+            Ok(_) => break "frame is not a member message".to_owned(),
             Err(reason) => break reason,
         }
     };
-    tracing::debug!(target: "fleet", %peer, %reason, "a connection ends");
+    tracing::debug!(target: "fleet", %peer, %reason, "connection closed");
     conn.socket().shut();
     context.inbox.send(Event::PeerDisconnected { conn: conn_id, peer });
 }
 
-/// Questions of a client.
+/// Serves the requests of a client until the connection ends.
 fn serve_client(context: &Arc<ConnectionContext>, mut conn: Conn) {
     let (conn_id, (sender, frames)) = (context.new_connection_id(), FrameSender::new());
     let Ok(writer) = conn.writer() else { return };
@@ -215,12 +204,12 @@
     context.inbox.send(Event::ClientDisconnected { conn: conn_id });
 }
 
-/// Calls a member; `delay`: not before.
+/// Opens a connection to a member after `delay`.
 fn connect_to(context: Arc<ConnectionContext>, peer: Name, at: SocketAddr, delay: Duration) {
     go(move || {
         elderstage_net::sleep(delay);
         let connect_failed = |reason: String| {
-            tracing::debug!(target: "fleet", %peer, %at, %reason, "not reached");
+            tracing::debug!(target: "fleet", %peer, %at, %reason, "failed to connect");
             context.inbox.send(Event::ConnectFailed { peer: peer.clone() });
         };
         let mut conn = match open(at, CONNECT_TIMEOUT) {
@@ -231,43 +220,44 @@
         conn.set_read_timeout(Some(HELLO_TIMEOUT));
         let written = wire::encode(&context.hello()).map(|hello| conn.write(&hello));
         if !matches!(written, Ok(Ok(()))) {
-            return connect_failed("it takes nothing".into());
+            return connect_failed("failed to send the hello".into());
         }
         match read_frame(&mut conn) {
             Ok(Frame::Hello(hello)) => match check_hello(&context, &hello) {
                 Ok(Some(found_peer)) if found_peer == peer => serve_member(&context, conn, peer, false),
                 Ok(found_peer) => connect_failed(format!(
-                    "{} is there",
-                    found_peer.map_or("nobody".into(), |name| name.to_string())
+                    "the process there is {}",
+                    found_peer.map_or("not a member".into(), |name| name.to_string())
                 )),
                 Err(reason) => {
-                    tracing::warn!(target: "fleet", %peer, %at, %reason, "is not of this fleet");
+                    tracing::warn!(target: "fleet", %peer, %at, %reason, "peer is not of this fleet");
                     connect_failed(reason);
                 }
             },
-            Ok(_) => connect_failed("does not say who it is".into()),
+            Ok(_) => connect_failed("first frame is not a hello".into()),
             Err(error) => connect_failed(error),
         }
     });
 }
 
-/// How members are reached from here; held by the owner.
+/// Connections to the other members; held by the owner.
 pub struct PeerConnections {
     context: Arc<ConnectionContext>,
-    /// Where members are by the file.
+    /// Addresses of members from the configuration file.
     configured: HashMap<Name, SocketAddr>,
-    /// Ways that prevail over what members tell of themselves.
+    /// Addresses that take precedence over all others.
     overrides: HashMap<Name, SocketAddr>,
     senders: HashMap<Name, Vec<(u64, FrameSender)>>,
-    /// Calls under way, with the first frame that waits for one, and how long the last failed ones waited.
+    /// Frames queued for each connect in progress, and the delay of the next connect after failures.
     connecting: HashMap<Name, Vec<Arc<[u8]>>>,
     retry_delays: HashMap<Name, Duration>,
 }
 
-/// Frames that wait for a call at most.
+/// Maximum number of frames queued for a connect in progress.
 const MAX_FRAMES_PER_CONNECT: usize = 64;
 
 impl PeerConnections {
+    /// Creates the connections; none is open yet.
     pub fn new(
         context: Arc<ConnectionContext>,
         configured: HashMap<Name, SocketAddr>,
@@ -283,6 +273,7 @@
         }
     }
 
+    /// A connection to a member is open: sends the frames queued for it.
     pub fn peer_connected(&mut self, conn: u64, peer: Name, sender: FrameSender) {
         self.retry_delays.remove(&peer);
         for frame in self.connecting.remove(&peer).unwrap_or_default() {
@@ -291,6 +282,7 @@
         self.senders.entry(peer).or_default().push((conn, sender));
     }
 
+    /// Forgets a closed connection.
     pub fn peer_disconnected(&mut self, conn: u64, peer: &Name) {
         if let Some(senders) = self.senders.get_mut(peer) {
             senders.retain(|(id, _)| *id != conn);
@@ -300,20 +292,22 @@
         }
     }
 
+    /// Drops the frames queued for a failed connect and increases the delay of the next one.
     pub fn connect_failed(&mut self, peer: &Name) {
         self.connecting.remove(peer);
-        let wait =
-            self.retry_delays.get(peer).map_or(MIN_RETRY_DELAY, |wait| (*wait * 2).min(MAX_RETRY_DELAY));
-        self.retry_delays.insert(peer.clone(), wait);
+        let delay =
+            self.retry_delays.get(peer).map_or(MIN_RETRY_DELAY, |delay| (*delay * 2).min(MAX_RETRY_DELAY));
+        self.retry_delays.insert(peer.clone(), delay);
     }
 
-    /// Sends to a member, calling it where no connection is up. `announced`: where it says that it listens.
+    /// Sends a message to a member and connects to it if no connection is open. `announced` is the address that the
+    /// member announces.
     pub fn send(&mut self, peer: &Name, announced: Option<SocketAddr>, body: MemberMessage) {
         let frame: Arc<[u8]> = match wire::encode(&Frame::MemberMessage(body)) {
             Ok(frame) => frame.into(),
-            Err(error) => return tracing::error!(target: "fleet", %peer, %error, "not sent"),
+            Err(error) => return tracing::error!(target: "fleet", %peer, %error, "failed to encode message"),
         };
-        // The connection that came last: an older one may be of a process that is gone.
+        // The newest connection: an older one may belong to a process that is gone.
         if let Some((_, sender)) = self.senders.get(peer).and_then(|senders| senders.last()) {
             sender.send(frame);
             return;
@@ -327,7 +321,7 @@
         let at = self.overrides.get(peer).or_else(|| self.configured.get(peer)).copied().or(announced);
         let Some(at) = at else { return };
         self.connecting.insert(peer.clone(), vec![frame]);
-        let wait = self.retry_delays.get(peer).copied().unwrap_or(Duration::ZERO);
-        connect_to(self.context.clone(), peer.clone(), at, wait);
+        let delay = self.retry_delays.get(peer).copied().unwrap_or(Duration::ZERO);
+        connect_to(self.context.clone(), peer.clone(), at, delay);
     }
 }
--- a/crates/fleetd/src/run.rs
+++ b/crates/fleetd/src/run.rs
@@ -1,4 +1,4 @@
-//! `elderstage fleet run`: from the file to the end.
+//! `elderstage fleet run`: starts a keeper or agent from its configuration file and waits for its end.
 
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -23,31 +23,38 @@
 use crate::host::{Core, FleetProcess};
 use crate::links::{self, ConnectionContext, Event, PeerConnections};
 
-/// Events that may wait for the owner; who adds to a full queue waits.
+/// Maximum number of queued events for the owner; a sender blocks while the queue is full.
 const EVENT_QUEUE_LENGTH: usize = 4096;
-/// How often the main thread looks for signals and at the owner, and an agent at its front's file.
+/// How often the main thread polls signals and the owner, and how often an agent reads its front's file.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const TALLY_READ_INTERVAL: Duration = Duration::from_millis(500);
-/// Largest file of a front's counts, in bytes.
+/// Largest file with a front's counts.
 const MAX_TALLY_FILE_BYTES: u64 = 4 << 20;
-/// Coroutine stacks that are kept for connections to come.
+/// Unused coroutine stacks kept for later connections.
 const MAX_KEPT_STACKS: usize = 64;
 
+/// Why a process of a fleet could not start or ended.
 #[derive(Debug, Error)]
 pub enum FleetError {
+    /// The configuration file could not be read.
     #[error("{path}: {error}")]
     Read { path: PathBuf, error: std::io::Error },
+    /// The configuration file is invalid.
     #[error("{path}: {error}")]
     Config { path: PathBuf, error: BadConfig },
+    /// The listen address could not be bound.
     #[error("{at}: {error}")]
     Listen { at: std::net::SocketAddr, error: std::io::Error },
+    /// The directory could not be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
+    /// The record on disk could not be used.
     #[error("{path}: {error}")]
     Record { path: PathBuf, error: RecordError },
+    /// A thread or signal handler could not be set up.
     #[error("cannot start: {0}")]
     System(#[from] std::io::Error),
-    /// It served and could not go on.
+    /// The process ran and could not go on.
     #[error("ended: {0}")]
     Ended(String),
 }
@@ -57,7 +64,7 @@
     let text =
         std::fs::read_to_string(path).map_err(|error| FleetError::Read { path: path.into(), error })?;
     let config = Config::parse(&text).map_err(|error| FleetError::Config { path: path.into(), error })?;
-    // Before anything else: who asks for the end early is heard.
+    // Before anything else, so that an early signal is not lost.
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     init_small(MAX_KEPT_STACKS);
     let listener =
@@ -82,26 +89,29 @@
             let context = accept_context.clone();
             go(move || links::handle_accepted(context, conn));
         };
-        listener.serve(each, |error| tracing::error!(target: "fleet", %error, "no room for a connection"));
+        listener
+            .serve(each, |error| tracing::error!(target: "fleet", %error, "failed to accept a connection"));
     });
     tracing::info!(
         target: "fleet", name = %config.name, kind = ?config.kind(), listen = %at, boot, "ready",
     );
-    let ended = wait_for_end(&config, &mut signals, &inbox, &owner, &has_failed);
+    let stopped_by_signal = wait_for_end(&config, &mut signals, &inbox, &owner, &has_failed);
     stop.stop();
     inbox.send(Event::Stop);
-    let process = owner.join().map_err(|_| FleetError::Ended("the owner's thread has panicked".into()))?;
+    let process = owner.join().map_err(|_| FleetError::Ended("the owner thread has panicked".into()))?;
     match process.failure {
-        Some(why) => Err(FleetError::Ended(why)),
-        None if !ended => Err(FleetError::Ended("the owner's thread has ended".into())),
+        Some(reason) => Err(FleetError::Ended(reason)),
+        None if !stopped_by_signal => Err(FleetError::Ended("the owner thread has ended".into())),
         None => Ok(()),
     }
 }
 
+/// Addresses of the keepers from the configuration file.
 fn configured_addresses(config: &Config) -> HashMap<elderstage_fleet::name::Name, std::net::SocketAddr> {
     config.keepers.iter().map(|keeper| (keeper.name.clone(), keeper.at)).collect()
 }
 
+/// Creates the state machine of this process and what it needs.
 fn new_process(
     config: &Config,
     at: std::net::SocketAddr,
@@ -118,7 +128,7 @@
         boot,
         incarnation: 0,
     };
-    // Keepers are whom one says hello to; what else they are they tell.
+    // Membership starts from the keepers; zone and boot of a seed are placeholders until the keeper announces itself.
     let seed = |keeper: &elderstage_fleet::config::KeeperAddress| Identity {
         name: keeper.name.clone(),
         kind: MemberKind::Keeper,
@@ -160,7 +170,7 @@
     Ok(process)
 }
 
-/// Until a signal, or until the owner ends by itself (`false`).
+/// Waits for a signal (`true`), or until the owner ends by itself (`false`).
 fn wait_for_end(
     config: &Config,
     signals: &mut Signals,
@@ -172,10 +182,10 @@
         Some(MonitoredProcess::Front { tally }) => Some(tally),
         _ => None,
     };
-    let (mut last_read, mut last) = (std::time::Instant::now(), None);
+    let (mut last_read, mut last_version) = (std::time::Instant::now(), None);
     loop {
         if signals.pending().next().is_some() {
-            tracing::info!(target: "fleet", "told to stop");
+            tracing::info!(target: "fleet", "received a signal to stop");
             return true;
         }
         if owner.is_finished() || has_failed.load(Ordering::SeqCst) {
@@ -185,18 +195,21 @@
             last_read = std::time::Instant::now();
             match read_tally(path) {
                 Ok(counts) => {
-                    if last.as_ref() != Some(&(counts.boot, counts.version)) {
-                        last = Some((counts.boot, counts.version));
+                    if last_version.as_ref() != Some(&(counts.boot, counts.version)) {
+                        last_version = Some((counts.boot, counts.version));
                         inbox.send(Event::TallyRead(counts));
                     }
                 }
-                Err(reason) => tracing::debug!(target: "fleet", path = %path.display(), %reason, "no counts"),
+                Err(reason) => {
+                    tracing::debug!(target: "fleet", path = %path.display(), %reason, "failed to read counts")
+                }
             }
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
+/// Reads a front's counts.
 fn read_tally(path: &Path) -> Result<Told, String> {
     use std::io::Read;
     let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
