--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `elderstage fleet`: keepers and agents, what is proposed to them, and how they stand.
+//! `elderstage fleet`: runs keepers and agents, proposes changes, and shows the state of a fleet.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -6,48 +6,51 @@
 
 use clap::Subcommand;
 use elderstage_fleet::name::Name;
-use elderstage_fleet::record::{Command, Order, Outcome, Phase, Proposer};
-use elderstage_fleet::wire::Shown;
+use elderstage_fleet::record::{Command, Operation, Outcome, Phase, Proposer};
+use elderstage_fleet::wire::FleetStatus;
 use elderstage_fleetd::ClientError;
 
+/// Subcommands of `elderstage fleet`.
 #[derive(Subcommand)]
 pub enum What {
     /// Run a keeper of the record, or an agent beside a front or an engine, until SIGTERM.
     Run {
-        /// The file: it tells which of them this process is.
+        /// Configuration file of this keeper or agent.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
     /// Put a change into the record, or stop one. Exits with 0 when a majority of the keepers has it on disk, with 1
-    /// when it is refused, and with 3 when it is not known to be taken.
+    /// when it is refused, and with 3 when it is not confirmed.
     Propose {
-        /// The proposal.
+        /// File with the proposal or stop.
         file: PathBuf,
-        /// Keepers to ask, the next where one can't tell.
+        /// Addresses of keepers, tried in order until one confirms or refuses.
         #[arg(long, value_name = "ADDR", required = true, num_args = 1..)]
         to: Vec<SocketAddr>,
-        /// Who proposes.
+        /// Name of the proposer.
         #[arg(long = "as", value_name = "NAME", default_value = "operator")]
         by: Name,
-        /// Send the proposal of an earlier run again, by the number that it printed: it is taken once.
+        /// Send the proposal of an earlier run again, by the number that it printed; it is applied once.
         #[arg(long, value_name = "RUN")]
         again: Option<u64>,
     },
-    /// How the fleet stands, as one keeper sees it.
+    /// Show the state of the fleet as one keeper sees it.
     Show {
+        /// Address of the keeper.
         #[arg(long, value_name = "ADDR")]
         to: SocketAddr,
-        /// As JSON, with all that the keeper tells.
+        /// Print everything that the keeper reports, as JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// A proposal that the record refused.
-const REFUSED: u8 = 1;
-/// Nobody knows yet what came of it.
-const NOT_YET: u8 = 3;
+/// Exit code of a refused proposal.
+const REFUSED_EXIT_CODE: u8 = 1;
+/// Exit code of a proposal whose outcome is unknown.
+const UNCONFIRMED_EXIT_CODE: u8 = 3;
 
+/// Runs a subcommand of `elderstage fleet`.
 pub fn fleet(what: &What) -> Result<ExitCode, String> {
     match what {
         What::Run { config } => {
@@ -59,12 +62,13 @@
     }
 }
 
+/// Proposes the content of a file to the keepers, one after the other until one confirms or refuses it.
 fn propose(file: &Path, to: &[SocketAddr], by: &Name, again: Option<u64>) -> Result<ExitCode, String> {
     let shown = file.display();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{shown}: {error}"))?;
-    let order = Order::parse(&text).map_err(|error| format!("{shown}: {error}"))?;
+    let operation = Operation::parse(&text).map_err(|error| format!("{shown}: {error}"))?;
     let run = again.unwrap_or_else(rand::random);
-    let command = Command { proposer: Proposer { name: by.clone(), run }, number: 1, order };
+    let command = Command { proposer: Proposer { name: by.clone(), run }, number: 1, operation };
     let mut last = None;
     for at in to {
         match elderstage_fleetd::propose(*at, command.clone()) {
@@ -83,9 +87,9 @@
             Ok(other) => return Err(format!("{at}: {other:?}")),
             Err(error @ ClientError::Refused(_)) => {
                 eprintln!("elderstage: {error}");
-                return Ok(ExitCode::from(REFUSED));
+                return Ok(ExitCode::from(REFUSED_EXIT_CODE));
             }
-            Err(error @ (ClientError::NotYet(_) | ClientError::Unreached { .. })) => {
+            Err(error @ (ClientError::Unconfirmed(_) | ClientError::Unreachable { .. })) => {
                 eprintln!("elderstage: {error}");
                 last = Some(error);
             }
@@ -93,51 +97,52 @@
         }
     }
     match last {
-        Some(ClientError::Unreached { .. }) if to.len() == 1 => Ok(ExitCode::from(2)),
+        Some(ClientError::Unreachable { .. }) if to.len() == 1 => Ok(ExitCode::from(2)),
         _ => {
             eprintln!("elderstage: to send the same proposal again: --as {by} --again {run}");
-            Ok(ExitCode::from(NOT_YET))
+            Ok(ExitCode::from(UNCONFIRMED_EXIT_CODE))
         }
     }
 }
 
+/// Prints the state of the fleet.
 fn show(to: SocketAddr, json: bool) -> Result<ExitCode, String> {
     let shown = elderstage_fleetd::show(to).map_err(|error| error.to_string())?;
     if json {
         println!("{}", serde_json::to_string_pretty(&shown).map_err(|error| error.to_string())?);
     } else {
-        print!("{}", page(&shown));
+        print!("{}", format_page(&shown));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// What an operator reads first.
-fn page(shown: &Shown) -> String {
+/// Formats the state of the fleet for an operator.
+fn format_page(shown: &FleetStatus) -> String {
     use std::fmt::Write;
     let mut page = String::new();
-    let standing = &shown.standing;
+    let status = &shown.status;
     let name = |number: u64| {
         let keeper = usize::try_from(number).ok().and_then(|n| shown.keepers.get(n.checked_sub(1)?));
         keeper.map_or("nobody", |keeper| keeper.as_str())
     };
-    // Writing to a string can't fail.
-    let _ = writeln!(page, "fleet {}, seen by keeper {} ({:?})", shown.fleet, shown.keeper, standing.role);
+    // Writing to a string does not fail.
+    let _ = writeln!(page, "fleet {}, seen by keeper {} ({:?})", shown.fleet, shown.keeper, status.role);
     let _ = writeln!(
         page,
         "record: {} leads in term {}, entry {} of {} applied, {} commands taken, digest {:.16}",
-        name(standing.leader),
-        standing.term,
-        standing.applied,
-        standing.last,
-        shown.taken,
+        name(status.leader),
+        status.term,
+        status.applied,
+        status.last,
+        shown.applied_commands,
         shown.digest
     );
-    for doubt in &shown.doubts {
-        let _ = writeln!(page, "at its start the disk was not as it was left: {doubt}");
+    for fault in &shown.disk_faults {
+        let _ = writeln!(page, "fault found on disk at start: {fault}");
     }
-    let up = shown.members.iter().filter(|member| member.up).count();
+    let up = shown.members.iter().filter(|member| member.is_up).count();
     let _ = writeln!(page, "members: {up} up of {} known", shown.members.len());
-    for member in shown.members.iter().filter(|member| !member.up) {
+    for member in shown.members.iter().filter(|member| !member.is_up) {
         let _ = writeln!(page, "  down: {} in zone {}", member.identity.name, member.identity.zone);
     }
     let _ = writeln!(page, "counting: {} members, {} of them silent", shown.counting, shown.silent);
@@ -156,7 +161,7 @@
             counts.refused,
             counts.failed,
             counts.broken,
-            group.unheard,
+            group.unreported,
             group.members,
             group.silent
         );
@@ -166,7 +171,7 @@
             Phase::Waiting => "waits".to_owned(),
             Phase::Stopped { reason } => format!("stopped: {reason}"),
         };
-        let (number, scope, by) = (change.number, &change.proposal.scope, &change.by.name);
+        let (number, scope, by) = (change.number, &change.proposal.scope, &change.proposer.name);
         let _ = writeln!(page, "change {number} of {scope} by {by}: {phase}");
     }
     page
--- a/crates/fleetd/src/host.rs
+++ b/crates/fleetd/src/host.rs
@@ -1,102 +1,110 @@
-//! The owner's thread: one core, its disk and its links.
+//! The state held by the owner thread: one state machine, its disk and its connections.
+//!
+//! Carries out outputs in order; after a failed write it carries out nothing more.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use elderstage_fleet::agent::{self, Agent};
-use elderstage_fleet::keeper::{self, Keeper, Note};
+use elderstage_fleet::keeper::{self, Keeper, Notice};
 use elderstage_fleet::wire::{self, Frame};
 use elderstage_net::owner::{Machine, Micros};
 
 use crate::disk::Disk;
-use crate::links::{Event, Links, Way};
+use crate::links::{Event, FrameSender, PeerConnections};
 
-/// Which core it is.
+/// The state machine of this process.
 pub enum Core {
     Keeper(Box<Keeper>, Disk),
     Agent(Box<Agent>),
 }
 
-pub struct Host {
+/// A keeper or agent process.
+pub struct FleetProcess {
     pub core: Core,
-    pub links: Links,
-    /// Clients' connections, by number.
-    pub clients: HashMap<u64, Way>,
-    /// Why it can't go on. Seen by the main thread at `over`: with nothing more coming in no event would end it.
-    pub failed: Option<String>,
-    pub over: Arc<AtomicBool>,
+    pub connections: PeerConnections,
+    /// Connections of clients, by number.
+    pub clients: HashMap<u64, FrameSender>,
+    /// Why the process can't go on. The main thread polls `has_failed`, since without further events the owner would
+    /// not end.
+    pub failure: Option<String>,
+    pub has_failed: Arc<AtomicBool>,
 }
 
-fn note(note: &Note) {
-    match note {
-        Note::Doubt(what) => tracing::warn!(target: "fleet", %what, "the disk is not as it was left"),
-        Note::Founded => tracing::info!(target: "fleet", "the record is founded"),
-        Note::Rejoined => tracing::info!(target: "fleet", "has all of the record again"),
-        Note::Leads(Some(keeper)) => tracing::info!(target: "fleet", %keeper, "leads"),
-        Note::Leads(None) => tracing::info!(target: "fleet", "no leader is known"),
-        Note::Decided { command, outcome } => {
+/// Logs an event of the keeper.
+fn log_notice(notice: &Notice) {
+    match notice {
+        Notice::DiskFault(what) => tracing::warn!(target: "fleet", %what, "fault found on disk at start"),
+        Notice::Bootstrapped => tracing::info!(target: "fleet", "started a new record"),
+        Notice::Rejoined => tracing::info!(target: "fleet", "rejoined the record"),
+        Notice::LeaderChanged(Some(keeper)) => tracing::info!(target: "fleet", %keeper, "leader changed"),
+        Notice::LeaderChanged(None) => tracing::info!(target: "fleet", "no leader known"),
+        Notice::CommandApplied { command, outcome } => {
             let (by, number) = (&command.proposer.name, command.number);
-            tracing::info!(target: "fleet", %by, number, ?outcome, "decided");
+            tracing::info!(target: "fleet", %by, number, ?outcome, "command applied");
         }
-        Note::ReportSpoilt(key) => tracing::warn!(target: "fleet", key, "a report on disk is spoilt"),
-        Note::Unread { peer } => tracing::warn!(target: "fleet", %peer, "said what can't be used"),
+        Notice::CorruptReport(key) => tracing::warn!(target: "fleet", key, "report on disk is corrupt"),
+        Notice::RejectedMessage { peer } => tracing::warn!(target: "fleet", %peer, "rejected message"),
     }
 }
 
-impl Host {
-    fn fail(&mut self, why: String) {
-        self.failed.get_or_insert(why);
-        self.over.store(true, Ordering::SeqCst);
+impl FleetProcess {
+    /// Records the first failure.
+    fn fail(&mut self, reason: String) {
+        self.failure.get_or_insert(reason);
+        self.has_failed.store(true, Ordering::SeqCst);
     }
 
-    /// Carries out what a keeper says, in order. `false`: the disk has failed and nothing after it was done.
-    pub fn keeper_does(&mut self, out: Vec<keeper::Out>) -> bool {
-        for action in out {
+    /// Carries out a keeper's outputs in order. `false` if a write failed; no output after it was carried out.
+    pub fn run_keeper_outputs(&mut self, outputs: Vec<keeper::Output>) -> bool {
+        for output in outputs {
             let Core::Keeper(_, disk) = &self.core else { return false };
-            let done = match &action {
-                keeper::Out::Write(write) => disk.write(write),
-                keeper::Out::Keep(reports) => disk.keep(reports),
+            let result = match &output {
+                keeper::Output::Write(write) => disk.write(write),
+                keeper::Output::StoreReports(reports) => disk.store_reports(reports),
                 _ => Ok(()),
             };
-            if let Err(error) = done {
-                // What follows must not be said: whoever can't write is not there.
+            if let Err(error) = result {
+                // Later messages depend on this write and must not be sent.
                 self.fail(error.to_string());
                 return false;
             }
-            match action {
-                keeper::Out::Send { to, at, body } => self.links.send(&to, at, body),
-                keeper::Out::Answer { conn, answer } => {
-                    if let (Some(way), Ok(frame)) =
-                        (self.clients.get(&conn), wire::encode(&Frame::Answer(answer)))
+            match output {
+                keeper::Output::Send { to, at, body } => self.connections.send(&to, at, body),
+                keeper::Output::ClientResponse { conn, response } => {
+                    if let (Some(sender), Ok(frame)) =
+                        (self.clients.get(&conn), wire::encode(&Frame::ClientResponse(response)))
                     {
-                        way.send(frame.into());
+                        sender.send(frame.into());
                     }
                 }
-                keeper::Out::Note(what) => note(&what),
-                keeper::Out::Write(_) | keeper::Out::Keep(_) => {}
+                keeper::Output::Notice(notice) => log_notice(&notice),
+                keeper::Output::Write(_) | keeper::Output::StoreReports(_) => {}
             }
         }
         true
     }
 
-    fn agent_does(&mut self, out: Vec<agent::Out>) {
-        for action in out {
-            match action {
-                agent::Out::Send { to, at, body } => self.links.send(&to, at, body),
-                agent::Out::Keepers { heard } => tracing::info!(target: "fleet", heard, "keepers"),
-                agent::Out::Unread { peer } => {
-                    tracing::warn!(target: "fleet", %peer, "said what can't be used")
+    fn run_agent_outputs(&mut self, outputs: Vec<agent::Output>) {
+        for output in outputs {
+            match output {
+                agent::Output::Send { to, at, body } => self.connections.send(&to, at, body),
+                agent::Output::ReachableKeepers { reachable } => {
+                    tracing::info!(target: "fleet", heard = reachable, "number of reachable keepers changed")
+                }
+                agent::Output::RejectedMessage { peer } => {
+                    tracing::warn!(target: "fleet", %peer, "rejected message")
                 }
             }
         }
     }
 
-    fn keeper_in(&mut self, now: Micros, input: keeper::In) -> bool {
+    fn handle_keeper_input(&mut self, now: Micros, input: keeper::Input) -> bool {
         let Core::Keeper(core, _) = &mut self.core else { return true };
-        let mut out = Vec::new();
-        match core.handle(now, input, &mut out) {
-            Ok(()) => self.keeper_does(out),
+        let mut outputs = Vec::new();
+        match core.handle(now, input, &mut outputs) {
+            Ok(()) => self.run_keeper_outputs(outputs),
             Err(error) => {
                 self.fail(error.to_string());
                 false
@@ -104,57 +112,61 @@
         }
     }
 
-    fn agent_in(&mut self, now: Micros, input: agent::In) -> bool {
+    fn handle_agent_input(&mut self, now: Micros, input: agent::Input) -> bool {
         let Core::Agent(core) = &mut self.core else { return true };
-        let mut out = Vec::new();
-        core.handle(now, input, &mut out);
-        self.agent_does(out);
+        let mut outputs = Vec::new();
+        core.handle(now, input, &mut outputs);
+        self.run_agent_outputs(outputs);
         true
     }
 }
 
-impl Machine for Host {
+impl Machine for FleetProcess {
     type Event = Event;
 
     fn handle(&mut self, now: Micros, event: Event) -> bool {
-        // Nothing is said after a write that failed.
-        if self.failed.is_some() {
+        // Nothing is sent after a failed write.
+        if self.failure.is_some() {
             return false;
         }
         match event {
-            Event::Up { conn, peer, way } => self.links.up(conn, peer, way),
-            Event::Down { conn, peer } => self.links.down(conn, &peer),
-            Event::Missed { peer } => self.links.missed(&peer),
-            Event::Said { peer, body } => {
+            Event::PeerConnected { conn, peer, sender } => {
+                self.connections.peer_connected(conn, peer, sender)
+            }
+            Event::PeerDisconnected { conn, peer } => self.connections.peer_disconnected(conn, &peer),
+            Event::ConnectFailed { peer } => self.connections.connect_failed(&peer),
+            Event::PeerMessage { peer, body } => {
                 return match &self.core {
-                    Core::Keeper(..) => self.keeper_in(now, keeper::In::From { peer, body }),
-                    Core::Agent(_) => self.agent_in(now, agent::In::From { peer, body }),
+                    Core::Keeper(..) => {
+                        self.handle_keeper_input(now, keeper::Input::PeerMessage { peer, body })
+                    }
+                    Core::Agent(_) => self.handle_agent_input(now, agent::Input::PeerMessage { peer, body }),
                 };
             }
-            Event::Asked { conn, ask, way } => {
+            Event::ClientRequest { conn, request, sender } => {
                 if matches!(self.core, Core::Keeper(..)) {
-                    self.clients.insert(conn, way);
-                    return self.keeper_in(now, keeper::In::Asked { conn, ask });
+                    self.clients.insert(conn, sender);
+                    return self.handle_keeper_input(now, keeper::Input::ClientRequest { conn, request });
                 }
-                let reason = "this is an agent: ask a keeper".to_owned();
-                let answer = Box::new(wire::Answer::NotYet(reason));
-                if let Ok(frame) = wire::encode(&Frame::Answer(answer)) {
-                    way.send(frame.into());
+                let reason = "this process is an agent; send requests to a keeper".to_owned();
+                let response = Box::new(wire::ClientResponse::Unconfirmed(reason));
+                if let Ok(frame) = wire::encode(&Frame::ClientResponse(response)) {
+                    sender.send(frame.into());
                 }
             }
-            Event::Left { conn } => {
+            Event::ClientDisconnected { conn } => {
                 self.clients.remove(&conn);
-                return self.keeper_in(now, keeper::In::Left { conn });
+                return self.handle_keeper_input(now, keeper::Input::ClientDisconnected { conn });
             }
-            Event::Tally(told) => return self.agent_in(now, agent::In::Told(told)),
+            Event::TallyRead(tally) => return self.handle_agent_input(now, agent::Input::TallyRead(tally)),
             Event::Stop => return false,
         }
         true
     }
 
     fn next_timer(&self) -> Option<Micros> {
-        // A disk that has failed is an end, told at the next look.
-        if self.failed.is_some() {
+        // After a failure no timer runs; the main thread sees `has_failed` at its next poll.
+        if self.failure.is_some() {
             return None;
         }
         Some(match &self.core {
@@ -166,16 +178,16 @@
     fn wake(&mut self, now: Micros) {
         match &mut self.core {
             Core::Keeper(core, _) => {
-                let mut out = Vec::new();
-                match core.wake(now, &mut out) {
-                    Ok(()) => drop(self.keeper_does(out)),
+                let mut outputs = Vec::new();
+                match core.wake(now, &mut outputs) {
+                    Ok(()) => drop(self.run_keeper_outputs(outputs)),
                     Err(error) => self.fail(error.to_string()),
                 }
             }
             Core::Agent(core) => {
-                let mut out = Vec::new();
-                core.wake(now, &mut out);
-                self.agent_does(out);
+                let mut outputs = Vec::new();
+                core.wake(now, &mut outputs);
+                self.run_agent_outputs(outputs);
             }
         }
     }
