--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -15,10 +15,10 @@
 use elderstage_protocol::{http, mcp as codec, sse};
 use serde_json::Value;
 
-use crate::engines::{self, Attempt, Sink};
+use crate::engines::{self, Attempt, StreamSink};
 use crate::mcp::{self, Asked};
 use crate::owner::{self, Input, Mail, SendMail};
-use crate::slot::{Key, Slot};
+use crate::slot::{CancelSlot, OperationKey};
 use crate::{Shared, plan, tools};
 
 /// How often an open GET stream is written to, so that middle boxes keep it.
@@ -367,7 +367,7 @@
 
     fn run(&mut self, session: Option<String>) {
         let (mail, told): (Sender<Mail>, Receiver<Mail>) = channel();
-        let slot = Arc::new(Slot::default());
+        let slot = Arc::new(CancelSlot::default());
         let route = &self.shared.config.routes[self.route];
         let bytes = self.messages.iter().filter_map(|m| m.content.as_ref()).map(String::len).sum();
         let prefix = (!route.preamble.is_empty()).then(|| (route.name.clone(), route.preamble.len()));
@@ -415,7 +415,7 @@
         self.turn_began = self.text.len();
     }
 
-    fn send(&mut self, send: &SendMail, slot: &Slot) {
+    fn send(&mut self, send: &SendMail, slot: &CancelSlot) {
         self.take_turn();
         let route = &self.shared.config.routes[self.route];
         let stage = match send.stage {
@@ -435,17 +435,17 @@
         let attempt = Attempt {
             server: &send.server,
             stage: send.stage,
-            key: Key::Attempt { turn: send.turn, attempt: send.attempt },
+            operation: OperationKey::Attempt { turn: send.turn, attempt: send.attempt },
             rid: format!("{}/{}/{}", self.rid, send.turn, send.attempt),
-            idempotency: send.keyed.then(|| format!("{}/{}", self.rid, send.turn)),
+            idempotency_key: send.keyed.then(|| format!("{}/{}", self.rid, send.turn)),
             timeout: Duration::from_micros(send.timeout),
-            once: send.once,
+            is_at_most_once: send.once,
             body,
             slot,
         };
         let begun = self.shared.clock.now();
         let shared = self.shared.clone();
-        let ended = engines::attempt(&shared, &attempt, &mut Stream { request: self, send, begun });
+        let ended = engines::run_attempt(&shared, &attempt, &mut Stream { request: self, send, begun });
         let took = self.shared.clock.now() - begun;
         let load = ended.report.as_ref().map(plan::load);
         if let Some(report) = ended.report {
@@ -479,7 +479,15 @@
 
     // ---- To tools ----
 
-    fn call_tool(&mut self, turn: u32, call: usize, tool: usize, attempt: u32, timeout: Time, slot: &Slot) {
+    fn call_tool(
+        &mut self,
+        turn: u32,
+        call: usize,
+        tool: usize,
+        attempt: u32,
+        timeout: Time,
+        slot: &CancelSlot,
+    ) {
         let (Some(client), Some((made, _))) = (self.shared.tools.get(tool), self.calls.get(call)) else {
             return;
         };
@@ -490,7 +498,7 @@
             key: format!("{}/{turn}/t{call}", self.rid),
             arguments: arguments.unwrap_or_else(|| serde_json::json!({})),
             slot,
-            slot_key: Key::Tool { turn, call },
+            slot_key: OperationKey::Tool { turn, call },
             timeout: Duration::from_micros(timeout),
         };
         let (end, text) = client.call(self.shared, &tool_call);
@@ -543,8 +551,8 @@
     begun: Time,
 }
 
-impl Sink for Stream<'_, '_> {
-    fn first(&mut self) {
+impl StreamSink for Stream<'_, '_> {
+    fn on_first_output(&mut self) {
         let took = self.request.shared.clock.now() - self.begun;
         self.request.tell(Event::Streaming {
             chain: self.request.chain,
@@ -554,7 +562,7 @@
         });
     }
 
-    fn text(&mut self, text: &str) {
+    fn on_text(&mut self, text: &str) {
         let request = &mut *self.request;
         if request.text.len() + text.len() > request.shared.config.front.answer {
             request.tell(Event::TooLong { chain: request.chain });
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -1,4 +1,8 @@
-//! One attempt at an engine: connect or reuse, send, read the answer, and say what was seen.
+//! One attempt at an engine: connects or reuses a connection, sends the request, reads the response and reports the
+//! evidence.
+//!
+//! Whether the attempt is repeated is the core's decision. A connection is reused only after a response that was read
+//! to its end.
 
 use std::time::{Duration, Instant};
 
@@ -12,135 +16,153 @@
 use serde_json::Value;
 
 use crate::Shared;
-use crate::links::{Got, Wanted};
-use crate::slot::{Key, Slot};
+use crate::links::{ConnectOutcome, ConnectRequest};
+use crate::slot::{CancelSlot, OperationKey};
 
-/// What is to be sent, and where.
+/// What an attempt sends, to which server, and under which limits.
 pub(crate) struct Attempt<'a> {
     pub server: &'a ServerId,
     pub stage: Stage,
-    pub key: Key,
+    pub operation: OperationKey,
     pub rid: String,
-    /// Names the request to engines that drop repeats.
-    pub idempotency: Option<String>,
+    /// Identifies the request to engines that ignore repeated requests (`idempotency-key`).
+    pub idempotency_key: Option<String>,
     pub timeout: Duration,
-    /// It must not run twice.
-    pub once: bool,
+    /// The request must not run twice.
+    pub is_at_most_once: bool,
     pub body: Vec<u8>,
-    pub slot: &'a Slot,
+    pub slot: &'a CancelSlot,
 }
 
-/// How it went.
+/// Result of an attempt.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct AttemptOutcome {
     pub evidence: Evidence,
     pub usage: Option<Usage>,
     pub report: Option<orca::Report>,
-    /// Parameters for the writer, from a reader.
+    /// Transfer parameters of the KV state, from a reader for the writer.
     pub state: Option<Value>,
     pub calls: Vec<ToolCall>,
 }
 
-impl Ended {
-    fn with(evidence: Evidence) -> Ended {
-        Ended { evidence, usage: None, report: None, state: None, calls: Vec::new() }
+impl AttemptOutcome {
+    fn from_evidence(evidence: Evidence) -> AttemptOutcome {
+        AttemptOutcome { evidence, usage: None, report: None, state: None, calls: Vec::new() }
     }
 }
 
-/// What a stream gives while it runs: `first` once, then each piece of text. `false` stops nothing: the stream is
-/// read on until it ends or is cancelled.
-pub(crate) trait Sink {
-    fn first(&mut self);
-    fn text(&mut self, text: &str);
+/// Receives the output of a stream while it runs. A sink cannot stop the stream, which is read until it ends or is
+/// cancelled.
+pub(crate) trait StreamSink {
+    /// Called once, before the first text or tool call.
+    fn on_first_output(&mut self);
+    /// Called with each piece of text.
+    fn on_text(&mut self, text: &str);
 }
 
-/// Makes the attempt.
-pub(crate) fn attempt(shared: &Shared, attempt: &Attempt<'_>, sink: &mut dyn Sink) -> Ended {
-    let (key, slot) = (attempt.key, attempt.slot);
-    if !slot.begin(key) {
-        slot.end(key);
-        return Ended::with(Evidence::Cancelled);
+/// Makes an attempt, unless it was cancelled before it began.
+pub(crate) fn run_attempt(
+    shared: &Shared,
+    attempt: &Attempt<'_>,
+    sink: &mut dyn StreamSink,
+) -> AttemptOutcome {
+    let (operation, slot) = (attempt.operation, attempt.slot);
+    if !slot.begin(operation) {
+        slot.end(operation);
+        return AttemptOutcome::from_evidence(Evidence::Cancelled);
     }
-    let mut ended = run(shared, attempt, sink);
-    if slot.end(key) && !matches!(ended.evidence, Evidence::Read { .. } | Evidence::Turn { .. }) {
-        ended.evidence = Evidence::Cancelled;
+    let mut outcome = connect_and_send(shared, attempt, sink);
+    if slot.end(operation) && !matches!(outcome.evidence, Evidence::Read { .. } | Evidence::Turn { .. }) {
+        outcome.evidence = Evidence::Cancelled;
     }
-    ended
+    outcome
 }
 
-fn run(shared: &Shared, attempt: &Attempt<'_>, sink: &mut dyn Sink) -> Ended {
-    let end = Instant::now() + attempt.timeout;
+/// Connects, sends the request and reads the response.
+fn connect_and_send(shared: &Shared, attempt: &Attempt<'_>, sink: &mut dyn StreamSink) -> AttemptOutcome {
+    let deadline = Instant::now() + attempt.timeout;
     let mut headers = vec![
         ("content-type", "application/json"),
         ("x-request-id", attempt.rid.as_str()),
         ("via", shared.site.via.as_str()),
         orca::ASK,
     ];
-    if let Some(key) = &attempt.idempotency {
+    if let Some(key) = &attempt.idempotency_key {
         headers.push(("idempotency-key", key.as_str()));
     }
     let ask = Ask {
-        once: attempt.once,
+        once: attempt.is_at_most_once,
         proof: shared.site.proof(attempt.server),
         connect: shared.config.rules.connect,
         time: attempt.timeout.as_micros() as u64,
     };
-    let wanted = Wanted {
+    let connect_request = ConnectRequest {
         server: attempt.server,
         ask,
         path: engine::COMPLETIONS,
         headers: &headers,
-        body: attempt.body.len(),
-        slot: Some((attempt.slot, attempt.key)),
+        body_bytes: attempt.body.len(),
+        slot: Some((attempt.slot, attempt.operation)),
     };
-    let (mut link, rest) = match shared.links.connect(&wanted) {
-        Got::Link(link, rest) => (link, rest),
-        Got::Lost(Lost::NotConnected) => return Ended::with(Evidence::NotConnected),
-        Got::Lost(Lost::NotProven) => return Ended::with(Evidence::NotProven),
-        Got::Lost(Lost::NoRoom) => return Ended::with(Evidence::NoRoom),
-        Got::Answered(status) => return Ended::with(Evidence::Unsent { status }),
-        Got::Cancelled => return Ended::with(Evidence::Cancelled),
+    let (mut pooled, rest) = match shared.pool.connect(&connect_request) {
+        ConnectOutcome::Connected(pooled, rest) => (pooled, rest),
+        ConnectOutcome::Lost(Lost::NotConnected) => {
+            return AttemptOutcome::from_evidence(Evidence::NotConnected);
+        }
+        ConnectOutcome::Lost(Lost::NotProven) => return AttemptOutcome::from_evidence(Evidence::NotProven),
+        ConnectOutcome::Lost(Lost::NoRoom) => return AttemptOutcome::from_evidence(Evidence::NoRoom),
+        ConnectOutcome::Answered(status) => {
+            return AttemptOutcome::from_evidence(Evidence::Unsent { status });
+        }
+        ConnectOutcome::Cancelled => return AttemptOutcome::from_evidence(Evidence::Cancelled),
     };
-    if !attempt.slot.connected(attempt.key, link.conn.socket()) {
-        return Ended::with(Evidence::Cancelled);
+    if !attempt.slot.set_connected(attempt.operation, pooled.conn.socket()) {
+        return AttemptOutcome::from_evidence(Evidence::Cancelled);
     }
-    if Instant::now() >= end {
-        return Ended::with(Evidence::NotWritten);
+    if Instant::now() >= deadline {
+        return AttemptOutcome::from_evidence(Evidence::NotWritten);
     }
-    link.conn.set_deadline(Some(end));
-    link.conn.set_write_timeout(Some(end.saturating_duration_since(Instant::now())));
-    let to = link.to(engine::COMPLETIONS);
-    let number = shared.links.sent(attempt.server, &link, !attempt.once);
-    let sent = match rest {
-        Rest::Body => link.conn.write(&attempt.body),
-        Rest::Whole => send(&mut link.conn, "POST", &to, &headers, &attempt.body),
+    pooled.conn.set_deadline(Some(deadline));
+    pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
+    let endpoint = pooled.endpoint(engine::COMPLETIONS);
+    let wait_id = shared.pool.record_sent(attempt.server, &pooled, !attempt.is_at_most_once);
+    let send_result = match rest {
+        Rest::Body => pooled.conn.write(&attempt.body),
+        Rest::Whole => send(&mut pooled.conn, "POST", &endpoint, &headers, &attempt.body),
     };
-    let head = match sent.and_then(|()| link.conn.response()) {
+    let head = match send_result.and_then(|()| pooled.conn.response()) {
         Ok(head) => head,
         Err(error) => {
-            let given_up = shared.links.silent(number, link.reused);
-            return Ended::with(if given_up { Evidence::GivenUp } else { seen(&error) });
+            let given_up = shared.pool.record_no_answer(wait_id, pooled.reused);
+            return AttemptOutcome::from_evidence(if given_up {
+                Evidence::GivenUp
+            } else {
+                evidence_of(&error)
+            });
         }
     };
-    shared.links.answered(number);
-    let conn = &mut link.conn;
+    shared.pool.record_answered(wait_id);
+    let conn = &mut pooled.conn;
     let report = head.headers.get(orca::HEADER).and_then(orca::parse);
-    let streams = head.headers.get("content-type").is_some_and(|kind| kind.starts_with("text/event-stream"));
-    let mut ended = if head.status == 200 && streams && attempt.stage != Stage::Read {
-        stream(shared, conn, &head, sink)
+    let is_stream =
+        head.headers.get("content-type").is_some_and(|kind| kind.starts_with("text/event-stream"));
+    let mut outcome = if head.status == 200 && is_stream && attempt.stage != Stage::Read {
+        read_stream(shared, conn, &head, sink)
     } else {
-        whole(conn, &head, attempt.stage)
+        read_whole_response(conn, &head, attempt.stage)
     };
-    ended.report = report;
-    // A connection is used again only after an answer that has ended in good order.
-    if head.keep_alive && !matches!(ended.evidence, Evidence::Garbled | Evidence::Broke | Evidence::TimedOut)
+    outcome.report = report;
+    // A connection is reused only after a response that was read to its end.
+    if head.keep_alive
+        && !matches!(outcome.evidence, Evidence::Garbled | Evidence::Broke | Evidence::TimedOut)
     {
-        shared.links.free(*link);
+        shared.pool.put_back(*pooled);
     }
-    ended
+    outcome
 }
 
-fn seen(error: &NetError) -> Evidence {
+/// The evidence for a failure to send the request or to read the response.
+fn evidence_of(error: &NetError) -> Evidence {
     match error {
         NetError::TimedOut => Evidence::TimedOut,
         NetError::Closed | NetError::Io(_) => Evidence::Broke,
@@ -148,104 +170,119 @@
     }
 }
 
-fn whole(conn: &mut Conn, head: &http::Response, stage: Stage) -> Ended {
+/// Reads a response that is not a stream: a reader's answer or an error.
+fn read_whole_response(conn: &mut Conn, head: &http::Response, stage: Stage) -> AttemptOutcome {
     let body = match conn.body(head.framing) {
         Ok(body) => body,
-        Err(error) => return Ended::with(seen(&error)),
+        Err(error) => return AttemptOutcome::from_evidence(evidence_of(&error)),
     };
     if head.status != 200 {
-        return Ended::with(Evidence::Status { status: head.status, code: engine::error_code(&body) });
+        return AttemptOutcome::from_evidence(Evidence::Status {
+            status: head.status,
+            code: engine::error_code(&body),
+        });
     }
     match engine::read_answer(&body) {
-        Some((usage, state)) if stage == Stage::Read => Ended {
+        Some((usage, state)) if stage == Stage::Read => AttemptOutcome {
             usage: Some(usage),
             state: Some(state),
-            ..Ended::with(Evidence::Read { cached: usage.cached })
+            ..AttemptOutcome::from_evidence(Evidence::Read { cached: usage.cached })
         },
-        _ => Ended::with(Evidence::Garbled),
+        _ => AttemptOutcome::from_evidence(Evidence::Garbled),
     }
 }
 
-/// What a stream has said so far.
+/// What was received of a stream so far.
 #[derive(Default)]
-struct Said {
-    texts: engine::TextReader,
+struct StreamState {
+    text_reader: engine::TextReader,
     calls: engine::Calls,
-    begun: bool,
-    done: bool,
-    garbled: bool,
+    has_output: bool,
+    is_done: bool,
+    is_garbled: bool,
     finish: Option<Finish>,
     usage: Option<Usage>,
 }
 
-impl Said {
-    /// Takes one event; its text goes to `text`.
-    fn event(&mut self, data: &str, text: &mut String, most: usize) {
-        if self.done || self.garbled || self.texts.read(data, text) {
+impl StreamState {
+    /// Processes the data of one event and appends its text to `text`.
+    fn push_event(&mut self, data: &str, text: &mut String, max_call_bytes: usize) {
+        if self.is_done || self.is_garbled || self.text_reader.read(data, text) {
             return;
         }
         if data == engine::DONE {
-            self.done = true;
+            self.is_done = true;
             return;
         }
         match engine::chunk(data) {
             Ok(chunk) if chunk.error.is_none() => {
                 text.push_str(&chunk.text);
                 for piece in chunk.calls {
-                    self.garbled |= !self.calls.push(piece) || self.calls.bytes() > most;
+                    self.is_garbled |= !self.calls.push(piece) || self.calls.bytes() > max_call_bytes;
                 }
                 self.finish = chunk.finish.or(self.finish);
                 self.usage = chunk.usage.or(self.usage);
             }
-            _ => self.garbled = true,
+            _ => self.is_garbled = true,
         }
     }
 }
 
-fn stream(shared: &Shared, conn: &mut Conn, head: &http::Response, sink: &mut dyn Sink) -> Ended {
+/// Reads a streamed response from the socket and passes its output to the sink.
+fn read_stream(
+    shared: &Shared,
+    conn: &mut Conn,
+    head: &http::Response,
+    sink: &mut dyn StreamSink,
+) -> AttemptOutcome {
     let (mut body, mut parser) = (http::Body::new(head.framing), sse::Parser::default());
     let (mut bytes, mut text) = (Vec::new(), String::new());
-    let mut said = Said::default();
-    let most = shared.config.front.body;
+    let mut stream_state = StreamState::default();
+    let max_call_bytes = shared.config.front.body;
     loop {
         bytes.clear();
         match conn.body_piece(&mut body, &mut bytes) {
-            // The stream has ended without its last event.
-            Ok(false) => return Ended::with(Evidence::Broke),
+            // The body ended before the `[DONE]` event.
+            Ok(false) => return AttemptOutcome::from_evidence(Evidence::Broke),
             Ok(true) => {}
-            Err(error) => return Ended::with(seen(&error)),
+            Err(error) => return AttemptOutcome::from_evidence(evidence_of(&error)),
         }
-        // What came in one read goes on in one piece.
+        // Text that arrived in one socket read is passed on as one piece.
         text.clear();
-        let parsed = parser.each(&bytes, |event| said.event(event.data, &mut text, most));
-        if !said.begun && (!text.is_empty() || said.calls.begun()) {
-            said.begun = true;
-            // From here on the client's patience for a first token no longer runs; a stream in which nothing
-            // moves is broken.
+        let parsed =
+            parser.each(&bytes, |event| stream_state.push_event(event.data, &mut text, max_call_bytes));
+        if !stream_state.has_output && (!text.is_empty() || stream_state.calls.begun()) {
+            stream_state.has_output = true;
+            // The deadline for the first token no longer applies. From here on, a stream without data for the stall
+            // time counts as broken.
             conn.set_deadline(None);
             conn.set_read_timeout(Some(Duration::from_micros(shared.config.front.stall)));
-            sink.first();
+            sink.on_first_output();
         }
         if !text.is_empty() {
-            sink.text(&text);
+            sink.on_text(&text);
         }
-        if parsed.is_err() || said.garbled {
-            return Ended::with(Evidence::Garbled);
+        if parsed.is_err() || stream_state.is_garbled {
+            return AttemptOutcome::from_evidence(Evidence::Garbled);
         }
-        if said.done {
-            // The end of the body follows; without it the connection is not used again.
-            let rest = conn.body_piece(&mut body, &mut bytes);
-            let calls = said.calls.take();
-            let fits = match said.finish {
+        if stream_state.is_done {
+            // The end of the body must follow; without it the connection cannot be reused.
+            let body_end = conn.body_piece(&mut body, &mut bytes);
+            let calls = stream_state.calls.take();
+            let is_consistent = match stream_state.finish {
                 None => false,
                 Some(Finish::ToolCalls) => !calls.is_empty(),
                 Some(_) => calls.is_empty(),
             };
-            if !said.begun || !fits || !matches!(rest, Ok(false)) {
-                return Ended::with(Evidence::Garbled);
+            if !stream_state.has_output || !is_consistent || !matches!(body_end, Ok(false)) {
+                return AttemptOutcome::from_evidence(Evidence::Garbled);
             }
-            let cached = said.usage.map_or(0, |usage| usage.cached);
-            return Ended { usage: said.usage, calls, ..Ended::with(Evidence::Turn { cached }) };
+            let cached = stream_state.usage.map_or(0, |usage| usage.cached);
+            return AttemptOutcome {
+                usage: stream_state.usage,
+                calls,
+                ..AttemptOutcome::from_evidence(Evidence::Turn { cached })
+            };
         }
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -27,7 +27,7 @@
 use elderstage_net::{Listener, Stop, go, init};
 use thiserror::Error;
 
-use links::Links;
+use links::ConnPool;
 pub use owner::Status;
 use owner::{Input, Owner};
 use plan::Site;
@@ -59,7 +59,7 @@
     pub config: Config,
     pub site: Site,
     pub inbox: Inbox<Input>,
-    pub links: Arc<Links>,
+    pub pool: Arc<ConnPool>,
     pub sessions: Sessions,
     pub tools: Vec<tools::ToolClient>,
     pub clock: Clock,
@@ -95,9 +95,9 @@
         // Fronts that start together differ by their seed in when they try an address again.
         let jitter = (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
         let connect = config.rules.connect;
-        let links = Links::new(plan::bounds(&config), jitter, clock, site.via.clone(), connect);
+        let pool = ConnPool::new(plan::bounds(&config), jitter, clock, site.via.clone(), connect);
         let shared = Arc::new(Shared {
-            links,
+            pool,
             sessions: Sessions::new(seed),
             tools,
             site,
@@ -112,9 +112,12 @@
         let watch = Arc::new(AtomicBool::new(true));
         servers::begin(&shared, base, watch.clone())?;
         {
-            let (links, goes_on) = (shared.links.clone(), watch.clone());
-            let tend = move || links.tend(&goes_on);
-            std::thread::Builder::new().name("addresses".into()).spawn(tend).map_err(StartError::Thread)?;
+            let (pool, keeps_running) = (shared.pool.clone(), watch.clone());
+            let maintain = move || pool.run_maintenance(&keeps_running);
+            std::thread::Builder::new()
+                .name("addresses".into())
+                .spawn(maintain)
+                .map_err(StartError::Thread)?;
         }
         run("owner", clock, events, Owner::new(core, shared.clone())).map_err(StartError::Thread)?;
         let stop = listener.stopper();
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -1,9 +1,13 @@
-//! Connections to engines and tool servers: dials, proofs and idle ones, as the core says.
+//! The pool of connections to engines and tool servers.
 //!
-//! Each dial and each proof has a coroutine of its own, since a request's coroutine waits for several of them at
-//! once. What they find is told to the core's state of addresses, which stands behind a lock that is held for a
-//! few instructions and never over I/O: an order of addresses is needed where the connection is made, and going to
-//! the owner and back for it would double the way of each attempt.
+//! This module opens, proves, reuses and closes connections. The decisions (which address to dial, when to prove a
+//! connection, which idle one to reuse) are made by `Addresses` of the core. To prove a connection is to check, before
+//! a request is sent on it, that the server behind it responds.
+//!
+//! Each dial and each proof runs in its own coroutine, since the coroutine of a request waits for several of them at
+//! once. They report their results to `Addresses`, which is protected by a mutex. The mutex is held for a few
+//! instructions and never during I/O. `Addresses` is not part of the owner's state, because the order of addresses is
+//! needed where the connection is made: a round trip to the owner would double the path of each attempt.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
@@ -20,160 +24,179 @@
 };
 use elderstage_protocol::{engine, http};
 
-use crate::slot::{Key, Slot};
+use crate::slot::{CancelSlot, OperationKey};
 
-/// How often the core is asked for trials and for connections to close.
-const TEND: Duration = Duration::from_millis(50);
-/// Bytes of padding in a trial that is to be as long as a request: more than two packets of an Ethernet.
-const PADDING: usize = 4096;
+/// How often the pool asks the core for trials to start and for connections to close.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
+/// Padding of a trial that must be as long as a request: more than two Ethernet packets.
+const TRIAL_PADDING_BYTES: usize = 4096;
 
-/// Counts a connection, or a dial, for as long as it lives.
-struct Open {
-    links: Weak<Links>,
+/// Keeps a connection or a dial counted as open, until dropped.
+struct OpenCountGuard {
+    pool: Weak<ConnPool>,
     place: Place,
 }
 
-impl Drop for Open {
+impl Drop for OpenCountGuard {
     fn drop(&mut self) {
-        if let Some(links) = self.links.upgrade() {
-            links.desk().closed(&self.place);
+        if let Some(pool) = self.pool.upgrade() {
+            pool.addresses().closed(&self.place);
         }
     }
 }
 
-/// A connection to a server.
-pub(crate) struct Link {
-    // Closed before it is counted as closed.
+/// A connection to a server, with its history in the pool.
+pub(crate) struct PooledConn {
+    // Declared before the guard: the socket closes before the connection is counted as closed.
     pub conn: Conn,
     pub place: Place,
     life: Life,
-    /// It was idle before this request.
+    /// Whether it was idle in the pool before this request.
     pub reused: bool,
-    _open: Open,
+    _guard: OpenCountGuard,
 }
 
-impl Link {
-    pub fn to(&self, path: &str) -> Endpoint {
+impl PooledConn {
+    /// The endpoint of this path at the connected server.
+    pub fn endpoint(&self, path: &str) -> Endpoint {
         Endpoint::new(self.place.clone(), path)
     }
 }
 
-/// What is asked of a connection.
-pub(crate) struct Wanted<'a> {
+/// The request that a connection is needed for.
+pub(crate) struct ConnectRequest<'a> {
     pub server: &'a ServerId,
     pub ask: Ask,
-    /// Head and body of the request, for a proof by its head.
+    /// Path and headers of the request, for a proof that sends its head (`Expect: 100-continue`).
     pub path: &'a str,
     pub headers: &'a [(&'a str, &'a str)],
-    pub body: usize,
-    /// Where a cancel comes in.
-    pub slot: Option<(&'a Slot, Key)>,
+    /// Length of the request's body.
+    pub body_bytes: usize,
+    /// Slot and operation through which the request can be cancelled.
+    pub slot: Option<(&'a CancelSlot, OperationKey)>,
 }
 
-/// How it went.
-pub(crate) enum Got {
-    Link(Box<Link>, Rest),
+/// Result of asking the pool for a connection.
+pub(crate) enum ConnectOutcome {
+    /// The connection, and which part of the request is still to be sent on it.
+    Connected(Box<PooledConn>, Rest),
     Lost(Lost),
-    /// A final answer to the head alone.
+    /// The server answered the head of the request with this final status.
     Answered(u16),
     Cancelled,
 }
 
-enum Word {
-    /// Go on.
-    On(Box<Link>),
-    /// 417; the connection if it stays open.
-    Unknown(Option<Box<Link>>),
+/// Result of a proof.
+enum ProofOutcome {
+    /// The server is ready for the request (100 to a head, 200 to a health request).
+    Proven(Box<PooledConn>),
+    /// The server answered 417: it does not support `100-continue`. Holds the connection if it stays open.
+    ContinueUnsupported(Option<Box<PooledConn>>),
+    /// The server answered with this final status.
     Final(u16),
-    Nothing,
+    /// No usable answer came.
+    Failed,
 }
 
-enum News {
-    Dialed(usize, Option<Box<Link>>),
-    /// With the number of the proof, since a lane may have several.
-    Proved(usize, u32, Word),
-    Time,
+/// What the coroutine that runs a race is woken for.
+enum RaceEvent {
+    /// The lane of a dial, and its connection if the dial succeeded.
+    Dialed(usize, Option<Box<PooledConn>>),
+    /// The lane and the id of a proof, since a lane may run several, and its result.
+    Proved(usize, u32, ProofOutcome),
+    TimerFired,
     Cancelled,
 }
 
-/// All connections of a front.
-pub(crate) struct Links {
-    desk: Mutex<Addresses<Link>>,
-    /// Requests that wait for a first byte, by the core's number for them.
+/// All connections of a front to engines and tool servers.
+pub(crate) struct ConnPool {
+    addresses: Mutex<Addresses<PooledConn>>,
+    /// Sockets of requests that wait for the first byte of their answer, by the wait id that the core gave them.
     waiting: Mutex<HashMap<u64, Socket>>,
     clock: Clock,
     via: String,
-    connect: Time,
+    connect_timeout_us: Time,
 }
 
-impl Links {
-    pub fn new(bounds: Bounds, jitter: f64, clock: Clock, via: String, connect: Time) -> Arc<Links> {
-        let desk = Mutex::new(Addresses::new(bounds, jitter));
-        Arc::new(Links { desk, waiting: Mutex::default(), clock, via, connect })
+impl ConnPool {
+    pub fn new(
+        bounds: Bounds,
+        jitter: f64,
+        clock: Clock,
+        via: String,
+        connect_timeout_us: Time,
+    ) -> Arc<ConnPool> {
+        let addresses = Mutex::new(Addresses::new(bounds, jitter));
+        Arc::new(ConnPool { addresses, waiting: Mutex::default(), clock, via, connect_timeout_us })
     }
 
-    fn desk(&self) -> std::sync::MutexGuard<'_, Addresses<Link>> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn addresses(&self) -> std::sync::MutexGuard<'_, Addresses<PooledConn>> {
+        self.addresses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks the core; what it wants closed is closed after the lock, since closing takes it again.
-    fn with<T>(&self, f: impl FnOnce(&mut Addresses<Link>, Time) -> T) -> T {
+    /// Runs `f` on the address state. Connections that the core wants closed are dropped after the lock is released,
+    /// since dropping one takes the lock again.
+    fn with_addresses<T>(&self, f: impl FnOnce(&mut Addresses<PooledConn>, Time) -> T) -> T {
         let now = self.clock.now();
-        let mut desk = self.desk();
-        let out = f(&mut desk, now);
-        let closing = desk.closing();
-        drop(desk);
+        let mut addresses = self.addresses();
+        let value = f(&mut addresses, now);
+        let closing = addresses.closing();
+        drop(addresses);
         drop(closing);
-        out
+        value
     }
 
-    pub fn list(&self, servers: Vec<(ServerId, Vec<Place>, bool)>) {
-        self.with(|desk, now| desk.list(now, servers));
+    /// Replaces the list of servers: their addresses, and whether each is leaving.
+    pub fn set_servers(&self, servers: Vec<(ServerId, Vec<Place>, bool)>) {
+        self.with_addresses(|addresses, now| addresses.list(now, servers));
     }
 
-    /// What was counted; connections open and idle; addresses that fail; families that are down.
+    /// Returns the counters, the open and idle connections, the failing addresses and the address families that are
+    /// down.
     pub fn counts(&self) -> (Counts, (usize, usize), usize, Vec<String>) {
-        self.with(|desk, _| {
-            let down = desk.down().map(|family| family.to_string()).collect();
-            (desk.counts(), desk.open(), desk.book.failing(), down)
+        self.with_addresses(|addresses, _| {
+            let down = addresses.down().map(|family| family.to_string()).collect();
+            (addresses.counts(), addresses.open(), addresses.book.failing(), down)
         })
     }
 
-    fn link(self: &Arc<Self>, conn: Conn, open: Open) -> Box<Link> {
+    fn wrap(self: &Arc<Self>, conn: Conn, guard: OpenCountGuard) -> Box<PooledConn> {
         let now = self.clock.now();
-        let place = open.place.clone();
-        Box::new(Link { conn, place, life: Life::new(now), reused: false, _open: open })
+        let place = guard.place.clone();
+        Box::new(PooledConn { conn, place, life: Life::new(now), reused: false, _guard: guard })
     }
 
-    fn open(self: &Arc<Self>, place: &Place) -> Open {
-        Open { links: Arc::downgrade(self), place: place.clone() }
+    fn count_open(self: &Arc<Self>, place: &Place) -> OpenCountGuard {
+        OpenCountGuard { pool: Arc::downgrade(self), place: place.clone() }
     }
 
-    /// Keeps a connection whose last answer has ended in good order.
-    pub fn free(&self, mut link: Link) {
-        link.conn.set_deadline(None);
-        link.conn.set_read_timeout(None);
-        let (place, life) = (link.place.clone(), link.life);
-        self.with(|desk, now| desk.free(now, &place, link, life));
+    /// Returns a connection to the pool for reuse. Its last answer must have been read to its end.
+    pub fn put_back(&self, mut pooled: PooledConn) {
+        pooled.conn.set_deadline(None);
+        pooled.conn.set_read_timeout(None);
+        let (place, life) = (pooled.place.clone(), pooled.life);
+        self.with_addresses(|addresses, now| addresses.free(now, &place, pooled, life));
     }
 
-    /// A request was written on it and waits for the first byte of its answer.
-    pub fn sent(&self, server: &ServerId, link: &Link, safe: bool) -> u64 {
-        let number = self.with(|desk, now| desk.sent(now, server, &link.place, safe));
-        self.waiting().insert(number, link.conn.socket());
-        number
+    /// Records that a request is written on this connection and waits for the first byte of its answer. Returns the
+    /// id of the wait.
+    pub fn record_sent(&self, server: &ServerId, pooled: &PooledConn, is_repeatable: bool) -> u64 {
+        let wait_id =
+            self.with_addresses(|addresses, now| addresses.sent(now, server, &pooled.place, is_repeatable));
+        self.waiting().insert(wait_id, pooled.conn.socket());
+        wait_id
     }
 
-    /// The first byte has come.
-    pub fn answered(&self, number: u64) {
-        self.waiting().remove(&number);
-        self.with(|desk, now| desk.answered(now, number));
+    /// Records that the first byte of the answer has arrived.
+    pub fn record_answered(&self, wait_id: u64) {
+        self.waiting().remove(&wait_id);
+        self.with_addresses(|addresses, now| addresses.answered(now, wait_id));
     }
 
-    /// No byte has come. `true` when the wait was ended from here.
-    pub fn silent(&self, number: u64, reused: bool) -> bool {
-        let given_up = self.waiting().remove(&number).is_none();
-        self.with(|desk, now| desk.silent(now, number, reused));
+    /// Records that the wait ended without a byte. Returns `true` when the pool itself ended it.
+    pub fn record_no_answer(&self, wait_id: u64, reused: bool) -> bool {
+        let given_up = self.waiting().remove(&wait_id).is_none();
+        self.with_addresses(|addresses, now| addresses.silent(now, wait_id, reused));
         given_up
     }
 
@@ -181,28 +204,35 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // ---- One attempt ----
-
-    /// A connection for a request, proven as far as the core wants it.
-    pub fn connect(self: &Arc<Self>, wanted: &Wanted<'_>) -> Got {
-        let mut race = self.with(|desk, now| desk.begin(now, wanted.server, wanted.ask));
-        let mut runner =
-            Runner { links: self, wanted, held: Vec::new(), sockets: Vec::new(), proofs: 0, news: None };
-        let got = runner.run(&mut race);
-        for link in runner.held.into_iter().flatten() {
-            // Made and not used: nothing was written on it.
-            self.free(*link);
+    // ---- Connections for one request ----
+
+    /// Gets a connection for a request, proven if the core asks for that.
+    pub fn connect(self: &Arc<Self>, request: &ConnectRequest<'_>) -> ConnectOutcome {
+        let mut race =
+            self.with_addresses(|addresses, now| addresses.begin(now, request.server, request.ask));
+        let mut runner = RaceRunner {
+            pool: self,
+            request,
+            ready: Vec::new(),
+            proving: Vec::new(),
+            proofs_started: 0,
+            events: None,
+        };
+        let outcome = runner.run(&mut race);
+        for pooled in runner.ready.into_iter().flatten() {
+            // Nothing was written on this connection, so it can be reused.
+            self.put_back(*pooled);
         }
-        match got {
-            Got::Link(mut link, rest) => {
-                link.life.uses += 1;
-                Got::Link(link, rest)
+        match outcome {
+            ConnectOutcome::Connected(mut pooled, rest) => {
+                pooled.life.uses += 1;
+                ConnectOutcome::Connected(pooled, rest)
             }
             other => other,
         }
     }
 
-    /// One request that may be repeated, answered whole within `time`.
+    /// Sends one request that may be repeated and reads its whole answer, all within `timeout`.
     pub fn exchange(
         self: &Arc<Self>,
         server: &ServerId,
@@ -210,97 +240,108 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Answer, ExchangeError> {
-        let end = Instant::now() + time;
-        let time = time.as_micros() as Time;
-        // By a health request where nothing vouches for the address: any server that is asked this has that.
-        let ask = Ask { once: false, proof: Proof::Health, connect: self.connect, time };
-        let wanted = Wanted { server, ask, path, headers, body: body.len(), slot: None };
-        let Got::Link(mut link, _) = self.connect(&wanted) else { return Err(ExchangeError::NotConnected) };
-        link.conn.set_write_timeout(Some(end.saturating_duration_since(Instant::now())));
-        link.conn.set_deadline(Some(end));
-        let to = link.to(path);
-        let number = self.sent(server, &link, true);
-        let answer = send(&mut link.conn, method, &to, headers, body).and_then(|()| receive(&mut link.conn));
+        let deadline = Instant::now() + timeout;
+        let time = timeout.as_micros() as Time;
+        // An address that is not proven at present is proven by a health request. Every server that `exchange` is used
+        // with serves that path.
+        let ask = Ask { once: false, proof: Proof::Health, connect: self.connect_timeout_us, time };
+        let request = ConnectRequest { server, ask, path, headers, body_bytes: body.len(), slot: None };
+        let ConnectOutcome::Connected(mut pooled, _) = self.connect(&request) else {
+            return Err(ExchangeError::NotConnected);
+        };
+        pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
+        pooled.conn.set_deadline(Some(deadline));
+        let endpoint = pooled.endpoint(path);
+        let wait_id = self.record_sent(server, &pooled, true);
+        let answer =
+            send(&mut pooled.conn, method, &endpoint, headers, body).and_then(|()| receive(&mut pooled.conn));
         match answer {
             Ok(answer) => {
-                self.answered(number);
+                self.record_answered(wait_id);
                 if answer.head.keep_alive {
-                    self.free(*link);
+                    self.put_back(*pooled);
                 }
                 Ok(answer)
             }
             Err(error) => {
-                self.silent(number, link.reused);
+                self.record_no_answer(wait_id, pooled.reused);
                 Err(ExchangeError::Net(error))
             }
         }
     }
 
-    // ---- Now and then ----
+    // ---- Periodic maintenance ----
 
-    /// Begins trials and closes what is to be closed, until told to stop.
-    pub fn tend(self: &Arc<Self>, goes_on: &std::sync::atomic::AtomicBool) {
-        while goes_on.load(std::sync::atomic::Ordering::SeqCst) {
-            std::thread::sleep(TEND);
-            let tended = self.with(|desk, now| desk.tend(now, self.connect));
-            for number in tended.give_up {
-                // Taken out first: whoever waits sees by that why it ended.
-                if let Some(socket) = self.waiting().remove(&number) {
+    /// Starts trials of failing addresses, ends waits and closes connections, until `keeps_running` is false.
+    pub fn run_maintenance(self: &Arc<Self>, keeps_running: &std::sync::atomic::AtomicBool) {
+        while keeps_running.load(std::sync::atomic::Ordering::SeqCst) {
+            std::thread::sleep(MAINTENANCE_INTERVAL);
+            let due = self.with_addresses(|addresses, now| addresses.tend(now, self.connect_timeout_us));
+            for wait_id in due.give_up {
+                // Removed before the shutdown: the waiting coroutine recognizes by this that the pool ended its wait.
+                if let Some(socket) = self.waiting().remove(&wait_id) {
                     socket.shut();
                 }
             }
-            for (family, down) in tended.families {
+            for (family, down) in due.families {
                 if down {
-                    tracing::warn!(target: "addresses", %family, "unreachable for several servers; its addresses come last");
+                    tracing::warn!(target: "addresses", %family, "address family is unreachable on several servers; its addresses are tried last");
                 } else {
-                    tracing::info!(target: "addresses", %family, "reachable again");
+                    tracing::info!(target: "addresses", %family, "address family is reachable again");
                 }
             }
-            for trial in tended.trials {
-                let links = self.clone();
-                go(move || links.trial(&trial));
+            for trial in due.trials {
+                let pool = self.clone();
+                go(move || pool.run_trial(&trial));
             }
         }
     }
 
-    fn trial(self: &Arc<Self>, trial: &Trial) {
-        let since = self.clock.now();
-        let guard = self.open(&trial.place);
-        let time = Duration::from_micros(trial.time);
-        let tried = open(trial.place.clone(), time).and_then(|conn| {
-            let mut link = self.link(conn, guard);
-            let padding = if trial.heavy { "x".repeat(PADDING) } else { String::new() };
-            let answer = self.health(&mut link, time, &[("x-padding", padding.as_str())])?;
-            Ok((link, answer))
+    /// Tries a failing address by a health request, and reports the result to the core.
+    fn run_trial(self: &Arc<Self>, trial: &Trial) {
+        let started_at = self.clock.now();
+        let guard = self.count_open(&trial.place);
+        let timeout = Duration::from_micros(trial.time);
+        let result = open(trial.place.clone(), timeout).and_then(|conn| {
+            let mut pooled = self.wrap(conn, guard);
+            let padding = if trial.heavy { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
+            let answer = self.request_health(&mut pooled, timeout, &[("x-padding", padding.as_str())])?;
+            Ok((pooled, answer))
         });
-        self.with(|desk, now| desk.tried(now, trial, since, tried.is_ok()));
-        match tried {
-            Ok((link, answer)) => {
-                tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.place, "answers again");
+        self.with_addresses(|addresses, now| addresses.tried(now, trial, started_at, result.is_ok()));
+        match result {
+            Ok((pooled, answer)) => {
+                tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.place, "address answers again");
                 if answer.head.keep_alive {
-                    self.free(*link);
+                    self.put_back(*pooled);
                 }
             }
             Err(error) => {
-                tracing::debug!(target: "addresses", server = %trial.server.0, place = %trial.place, %error, "trial failed");
+                tracing::debug!(target: "addresses", server = %trial.server.0, place = %trial.place, %error, "trial of a failing address failed");
             }
         }
     }
 
-    fn health(&self, link: &mut Link, time: Duration, further: &[(&str, &str)]) -> Result<Answer, NetError> {
-        link.conn.set_write_timeout(Some(time));
-        link.conn.set_deadline(Some(Instant::now() + time));
-        let to = link.to(engine::HEALTH);
+    /// Sends a health request with these extra headers and reads its answer.
+    fn request_health(
+        &self,
+        pooled: &mut PooledConn,
+        timeout: Duration,
+        extra_headers: &[(&str, &str)],
+    ) -> Result<Answer, NetError> {
+        pooled.conn.set_write_timeout(Some(timeout));
+        pooled.conn.set_deadline(Some(Instant::now() + timeout));
+        let endpoint = pooled.endpoint(engine::HEALTH);
         let mut headers = vec![("via", self.via.as_str())];
-        headers.extend_from_slice(further);
-        send(&mut link.conn, "GET", &to, &headers, b"")?;
-        receive(&mut link.conn)
+        headers.extend_from_slice(extra_headers);
+        send(&mut pooled.conn, "GET", &endpoint, &headers, b"")?;
+        receive(&mut pooled.conn)
     }
 }
 
-/// Why an exchange gave nothing.
+/// Why an exchange returned no answer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
     #[error("no connection")]
@@ -309,206 +350,225 @@
     Net(NetError),
 }
 
-/// Does what a race says.
-struct Runner<'a> {
-    links: &'a Arc<Links>,
-    wanted: &'a Wanted<'a>,
-    /// Connections that are ready, by lane.
-    held: Vec<Option<Box<Link>>>,
-    /// Those that are being proven.
-    sockets: Vec<Option<(u32, Socket)>>,
-    proofs: u32,
-    news: Option<(Sender<News>, Receiver<News>)>,
+/// Carries out the steps that the core's race for a connection decides.
+struct RaceRunner<'a> {
+    pool: &'a Arc<ConnPool>,
+    request: &'a ConnectRequest<'a>,
+    /// Connections ready to use, by lane.
+    ready: Vec<Option<Box<PooledConn>>>,
+    /// Id of the running proof and the socket it uses, by lane.
+    proving: Vec<Option<(u32, Socket)>>,
+    proofs_started: u32,
+    events: Option<(Sender<RaceEvent>, Receiver<RaceEvent>)>,
 }
 
-fn at<T>(list: &mut Vec<Option<T>>, lane: usize) -> &mut Option<T> {
+/// The entry of a lane; the list grows as needed.
+fn lane_entry<T>(list: &mut Vec<Option<T>>, lane: usize) -> &mut Option<T> {
     if list.len() <= lane {
         list.resize_with(lane + 1, || None);
     }
     &mut list[lane]
 }
 
-impl Runner<'_> {
-    /// The way in for news; a request that takes an idle connection needs none.
-    fn sender(&mut self) -> Sender<News> {
-        let (sender, _) = self.news.get_or_insert_with(channel);
+impl RaceRunner<'_> {
+    /// A sender of events. The channel is created on first use: a request that takes an idle connection needs none.
+    fn event_sender(&mut self) -> Sender<RaceEvent> {
+        let (sender, _) = self.events.get_or_insert_with(channel);
         sender.clone()
     }
 
-    fn run(&mut self, race: &mut Race) -> Got {
+    /// Runs the race to its end.
+    fn run(&mut self, race: &mut Race) -> ConnectOutcome {
         loop {
-            let (step, now) = self.links.with(|desk, now| (desk.poll(now, race), now));
+            let (step, now) = self.pool.with_addresses(|addresses, now| (addresses.poll(now, race), now));
             match step {
-                Step::Reuse(lane, (mut link, life)) => {
-                    if link.conn.is_idle() {
-                        (link.life, link.reused) = (life, true);
-                        *at(&mut self.held, lane) = Some(Box::new(link));
+                Step::Reuse(lane, (mut pooled, life)) => {
+                    if pooled.conn.is_idle() {
+                        (pooled.life, pooled.reused) = (life, true);
+                        *lane_entry(&mut self.ready, lane) = Some(Box::new(pooled));
                     } else {
-                        drop(link);
-                        self.links.with(|desk, _| desk.stale(race, lane));
+                        drop(pooled);
+                        self.pool.with_addresses(|addresses, _| addresses.stale(race, lane));
                     }
                 }
                 Step::Dial(lane, until) => self.dial(race, lane, until.saturating_sub(now)),
                 Step::Prove(lane, proof) => self.prove(race, lane, proof, now),
                 Step::Drop(lane) => {
-                    if let Some((_, socket)) = at(&mut self.sockets, lane).take() {
+                    if let Some((_, socket)) = lane_entry(&mut self.proving, lane).take() {
                         socket.shut();
                     }
                 }
                 Step::Send(lane, rest) => {
-                    return match at(&mut self.held, lane).take() {
-                        Some(link) => Got::Link(link, rest),
-                        None => Got::Lost(Lost::NotConnected),
+                    return match lane_entry(&mut self.ready, lane).take() {
+                        Some(pooled) => ConnectOutcome::Connected(pooled, rest),
+                        None => ConnectOutcome::Lost(Lost::NotConnected),
                     };
                 }
                 Step::Lost(lost) => {
-                    self.shut();
-                    return Got::Lost(lost);
+                    self.abort_proofs();
+                    return ConnectOutcome::Lost(lost);
                 }
                 Step::Wait(until) => {
-                    if let Some(got) = self.wait(race, until.saturating_sub(now)) {
-                        self.shut();
-                        return got;
+                    if let Some(outcome) = self.wait_for_event(race, until.saturating_sub(now)) {
+                        self.abort_proofs();
+                        return outcome;
                     }
                 }
             }
         }
     }
 
-    /// Ends the proofs that are out.
-    fn shut(&mut self) {
-        for (_, socket) in self.sockets.drain(..).flatten() {
+    /// Aborts the running proofs by shutting down their sockets.
+    fn abort_proofs(&mut self) {
+        for (_, socket) in self.proving.drain(..).flatten() {
             socket.shut();
         }
     }
 
-    fn dial(&mut self, race: &Race, lane: usize, time: Time) {
-        let (links, sender) = (self.links.clone(), self.sender());
+    /// Starts a dial in a coroutine of its own.
+    fn dial(&mut self, race: &Race, lane: usize, timeout_us: Time) {
+        let (pool, sender) = (self.pool.clone(), self.event_sender());
         let place = race.place(lane).clone();
-        let guard = links.open(&place);
+        let guard = pool.count_open(&place);
         go(move || {
-            let since = links.clock.now();
-            let made = open(place.clone(), Duration::from_micros(time));
-            links.with(|desk, now| desk.dialed(now, &place, since, made.is_ok()));
-            let link = match made {
-                Ok(conn) => Some(links.link(conn, guard)),
+            let started_at = pool.clock.now();
+            let dialed = open(place.clone(), Duration::from_micros(timeout_us));
+            pool.with_addresses(|addresses, now| addresses.dialed(now, &place, started_at, dialed.is_ok()));
+            let pooled = match dialed {
+                Ok(conn) => Some(pool.wrap(conn, guard)),
                 Err(error) => {
-                    tracing::debug!(target: "addresses", %place, %error, "no connection");
+                    tracing::debug!(target: "addresses", %place, %error, "dial failed");
                     None
                 }
             };
-            if let Err(unheard) = sender.send(News::Dialed(lane, link))
-                && let News::Dialed(_, Some(link)) = unheard.0
+            if let Err(undelivered) = sender.send(RaceEvent::Dialed(lane, pooled))
+                && let RaceEvent::Dialed(_, Some(pooled)) = undelivered.0
             {
-                // The race is over: it waits for the next request.
-                links.free(*link);
+                // The race is over: the connection goes to the pool for the next request.
+                pool.put_back(*pooled);
             }
         });
     }
 
+    /// Starts a proof of the lane's connection in a coroutine of its own.
     fn prove(&mut self, race: &Race, lane: usize, proof: Proof, now: Time) {
-        let Some(mut link) = at(&mut self.held, lane).take() else { return };
-        self.proofs += 1;
-        let (number, sender, links) = (self.proofs, self.sender(), self.links.clone());
-        *at(&mut self.sockets, lane) = Some((number, link.conn.socket()));
-        let time = Duration::from_micros(race.end().saturating_sub(now));
+        let Some(mut pooled) = lane_entry(&mut self.ready, lane).take() else { return };
+        self.proofs_started += 1;
+        let (proof_id, sender, pool) = (self.proofs_started, self.event_sender(), self.pool.clone());
+        *lane_entry(&mut self.proving, lane) = Some((proof_id, pooled.conn.socket()));
+        let timeout = Duration::from_micros(race.end().saturating_sub(now));
         let head = match proof {
             Proof::Continue => {
-                let to = link.to(self.wanted.path);
-                Some(waiting_head("POST", &to, self.wanted.headers, self.wanted.body))
+                let endpoint = pooled.endpoint(self.request.path);
+                Some(waiting_head("POST", &endpoint, self.request.headers, self.request.body_bytes))
             }
             _ => None,
         };
         go(move || {
-            link.conn.set_write_timeout(Some(time));
-            link.conn.set_deadline(Some(Instant::now() + time));
-            let word = match head {
-                Some(head) => by_head(link, &head),
-                None => match links.health(&mut link, time, &[]) {
-                    Ok(answer) if answer.head.status == 200 && answer.head.keep_alive => Word::On(link),
-                    // Good, and closed: there is nothing to send on.
-                    Ok(answer) if answer.head.status == 200 => Word::Nothing,
-                    Ok(answer) => Word::Final(answer.head.status),
-                    Err(_) => Word::Nothing,
+            pooled.conn.set_write_timeout(Some(timeout));
+            pooled.conn.set_deadline(Some(Instant::now() + timeout));
+            let proof_outcome = match head {
+                Some(head) => prove_by_head(pooled, &head),
+                None => match pool.request_health(&mut pooled, timeout, &[]) {
+                    Ok(answer) if answer.head.status == 200 && answer.head.keep_alive => {
+                        ProofOutcome::Proven(pooled)
+                    }
+                    // The server is healthy but closes the connection, so the request cannot be sent on it.
+                    Ok(answer) if answer.head.status == 200 => ProofOutcome::Failed,
+                    Ok(answer) => ProofOutcome::Final(answer.head.status),
+                    Err(_) => ProofOutcome::Failed,
                 },
             };
-            // Whoever asked may have gone on with another.
-            let _ = sender.send(News::Proved(lane, number, word));
+            // The race may have ended with another connection.
+            let _ = sender.send(RaceEvent::Proved(lane, proof_id, proof_outcome));
         });
     }
 
-    /// Waits for news; a result where the race is over by them.
-    fn wait(&mut self, race: &mut Race, time: Time) -> Option<Got> {
-        let sender = self.sender();
-        let fires = sender.clone();
-        alarm(Instant::now() + Duration::from_micros(time), move || {
-            let _ = fires.send(News::Time);
+    /// Waits for the next event and applies it. Returns the result if the event ends the race.
+    fn wait_for_event(&mut self, race: &mut Race, timeout_us: Time) -> Option<ConnectOutcome> {
+        let sender = self.event_sender();
+        let timer_sender = sender.clone();
+        alarm(Instant::now() + Duration::from_micros(timeout_us), move || {
+            let _ = timer_sender.send(RaceEvent::TimerFired);
         });
-        if let Some((slot, key)) = self.wanted.slot
-            && !slot.racing(key, move || {
-                let _ = sender.send(News::Cancelled);
+        if let Some((slot, key)) = self.request.slot
+            && !slot.set_connecting(key, move || {
+                let _ = sender.send(RaceEvent::Cancelled);
             })
         {
-            return Some(Got::Cancelled);
+            return Some(ConnectOutcome::Cancelled);
         }
-        let (_, news) = self.news.as_ref()?;
-        match news.recv() {
-            Ok(News::Dialed(lane, Some(link))) => {
+        let (_, events) = self.events.as_ref()?;
+        match events.recv() {
+            Ok(RaceEvent::Dialed(lane, Some(pooled))) => {
                 if race.connected(lane) {
-                    *at(&mut self.held, lane) = Some(link);
+                    *lane_entry(&mut self.ready, lane) = Some(pooled);
                 } else {
-                    self.links.free(*link);
+                    self.pool.put_back(*pooled);
                 }
             }
-            Ok(News::Dialed(lane, None)) => {
+            Ok(RaceEvent::Dialed(lane, None)) => {
                 race.failed(lane);
             }
-            Ok(News::Proved(lane, number, word)) => {
-                // Guards against the word of a connection that was given up, heard as that of the next.
-                if at(&mut self.sockets, lane).as_ref().is_none_or(|(now, _)| *now != number) {
+            Ok(RaceEvent::Proved(lane, proof_id, proof_outcome)) => {
+                // A late result of an aborted proof must not count as the result of the lane's next proof.
+                if lane_entry(&mut self.proving, lane)
+                    .as_ref()
+                    .is_none_or(|(current, _)| *current != proof_id)
+                {
                     return None;
                 }
-                *at(&mut self.sockets, lane) = None;
-                return self.proved(race, lane, word);
+                *lane_entry(&mut self.proving, lane) = None;
+                return self.apply_proof(race, lane, proof_outcome);
             }
-            Ok(News::Time) => {}
-            Ok(News::Cancelled) | Err(_) => return Some(Got::Cancelled),
+            Ok(RaceEvent::TimerFired) => {}
+            Ok(RaceEvent::Cancelled) | Err(_) => return Some(ConnectOutcome::Cancelled),
         }
         None
     }
 
-    fn proved(&mut self, race: &mut Race, lane: usize, word: Word) -> Option<Got> {
-        match word {
-            Word::On(link) => {
-                if self.links.with(|desk, now| desk.proven(now, race, lane)) {
-                    *at(&mut self.held, lane) = Some(link);
+    /// Applies the result of a proof. Returns the result of the race if that ends it.
+    fn apply_proof(
+        &mut self,
+        race: &mut Race,
+        lane: usize,
+        proof_outcome: ProofOutcome,
+    ) -> Option<ConnectOutcome> {
+        match proof_outcome {
+            ProofOutcome::Proven(pooled) => {
+                if self.pool.with_addresses(|addresses, now| addresses.proven(now, race, lane)) {
+                    *lane_entry(&mut self.ready, lane) = Some(pooled);
                 }
             }
-            Word::Unknown(link) => {
-                self.links.with(|desk, now| desk.without_continue(now, race, lane, link.is_some()));
-                *at(&mut self.held, lane) = link;
+            ProofOutcome::ContinueUnsupported(pooled) => {
+                self.pool.with_addresses(|addresses, now| {
+                    addresses.without_continue(now, race, lane, pooled.is_some())
+                });
+                *lane_entry(&mut self.ready, lane) = pooled;
+            }
+            ProofOutcome::Final(status) => {
+                self.pool.with_addresses(|addresses, now| addresses.heard(now, &race.place(lane).clone()));
+                return Some(ConnectOutcome::Answered(status));
             }
-            Word::Final(status) => {
-                self.links.with(|desk, now| desk.heard(now, &race.place(lane).clone()));
-                return Some(Got::Answered(status));
+            ProofOutcome::Failed => {
+                self.pool.with_addresses(|addresses, now| addresses.not_proven(now, race, lane))
             }
-            Word::Nothing => self.links.with(|desk, now| desk.not_proven(now, race, lane)),
         }
         None
     }
 }
 
-/// Writes the head and hears the word.
-fn by_head(mut link: Box<Link>, head: &[u8]) -> Word {
-    let said = link.conn.write(head).and_then(|()| link.conn.go_on());
-    let last: http::Response = match said {
-        Ok(None) => return Word::On(link),
-        Ok(Some(last)) => last,
-        Err(_) => return Word::Nothing,
+/// Proves a connection by the head of the request: writes it and reads the interim or final answer.
+fn prove_by_head(mut pooled: Box<PooledConn>, head: &[u8]) -> ProofOutcome {
+    let received = pooled.conn.write(head).and_then(|()| pooled.conn.go_on());
+    let response: http::Response = match received {
+        Ok(None) => return ProofOutcome::Proven(pooled),
+        Ok(Some(response)) => response,
+        Err(_) => return ProofOutcome::Failed,
     };
-    if last.status != 417 {
-        return Word::Final(last.status);
+    if response.status != 417 {
+        return ProofOutcome::Final(response.status);
     }
-    let open = last.keep_alive && link.conn.body(last.framing).is_ok();
-    Word::Unknown(open.then_some(link))
+    let stays_open = response.keep_alive && pooled.conn.body(response.framing).is_ok();
+    ProofOutcome::ContinueUnsupported(stays_open.then_some(pooled))
 }
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -17,7 +17,7 @@
 use crate::Shared;
 use crate::links::ExchangeError;
 use crate::plan::{self, ClockMap};
-use crate::slot::{Key, Slot};
+use crate::slot::{CancelSlot, OperationKey};
 
 /// What a request's coroutine is told to do.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
         submit: Submit,
         rid: String,
         mail: Sender<Mail>,
-        slot: Arc<Slot>,
+        slot: Arc<CancelSlot>,
     },
     Core(Event),
     /// A load report came with an answer of this server.
@@ -72,7 +72,7 @@
 struct Open {
     rid: String,
     mail: Sender<Mail>,
-    slot: Arc<Slot>,
+    slot: Arc<CancelSlot>,
 }
 
 pub(crate) struct Owner {
@@ -119,12 +119,12 @@
             }
             Effect::Cancel { chain, turn, attempt, .. } => {
                 if let Some(open) = self.open.get(&chain) {
-                    open.slot.cancel(Key::Attempt { turn, attempt });
+                    open.slot.cancel(OperationKey::Attempt { turn, attempt });
                 }
             }
             Effect::CancelTool { chain, turn, call } => {
                 if let Some(open) = self.open.get(&chain) {
-                    open.slot.cancel(Key::Tool { turn, call });
+                    open.slot.cancel(OperationKey::Tool { turn, call });
                 }
             }
             Effect::Release { chain, turn, attempt, server } => {
@@ -198,7 +198,7 @@
         let time = Duration::from_micros(shared.config.rules.let_go / RELEASE_TRIES);
         let headers = [("content-type", "application/json"), ("via", shared.site.via.as_str())];
         for _ in 0..RELEASE_TRIES {
-            let done = shared.links.exchange(&server, "POST", engine::ABORT, &headers, body.as_bytes(), time);
+            let done = shared.pool.exchange(&server, "POST", engine::ABORT, &headers, body.as_bytes(), time);
             match done {
                 Ok(_) => return,
                 Err(error) => {
@@ -215,7 +215,7 @@
         let begun = shared.clock.now();
         let headers = [orca::ASK, ("via", shared.site.via.as_str())];
         let time = Duration::from_micros(shared.config.rules.connect);
-        let answer = shared.links.exchange(&server, "GET", engine::HEALTH, &headers, b"", time);
+        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH, &headers, b"", time);
         let took = shared.clock.now() - begun;
         let (evidence, report) = match answer {
             Ok(answer) if answer.head.status == 200 => {
@@ -260,7 +260,7 @@
     ] {
         lines.push(format!("elderstage_{name}_total {value}"));
     }
-    let (a, (open, idle), failing, down) = shared.links.counts();
+    let (a, (open, idle), failing, down) = shared.pool.counts();
     lines.push(format!("elderstage_engine_connections {open}"));
     lines.push(format!("elderstage_engine_connections_idle {idle}"));
     lines.push(format!("elderstage_addresses_failing {failing}"));
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -27,7 +27,7 @@
     };
     let tools = shared.tools.iter().map(|tool| (tool.server.clone(), vec![tool.place()], false));
     // Before the module hears of them: what it sends finds its addresses.
-    shared.links.list(servers.iter().map(listed).chain(tools).collect());
+    shared.pool.set_servers(servers.iter().map(listed).chain(tools).collect());
     tracing::info!(target: "servers", servers = entries.len(), "list taken");
     shared.inbox.send(Input::Core(Event::Servers { mode: ListMode::Full, entries }));
 }
--- a/crates/front/src/slot.rs
+++ b/crates/front/src/slot.rs
@@ -1,73 +1,80 @@
-//! Where a request's coroutine puts the socket of the one thing that it has out, so that the owner can end it.
+//! The cancellation slot of a request: holds what is needed to cancel the operation that its coroutine runs now.
+//!
+//! The coroutine registers each operation and its socket here; the owner cancels it from its own thread. A request has
+//! at most one operation at a time. A cancellation that comes before its operation begins is kept until then.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use elderstage_net::Socket;
 
-/// One thing that can be out: an attempt of a leg, or a try of a tool call.
+/// Identifies one operation of a request: an attempt at an engine, or one try of a tool call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Key {
+pub(crate) enum OperationKey {
     Attempt { turn: u32, attempt: u32 },
     Tool { turn: u32, call: usize },
 }
 
-/// By what it is ended.
-enum Handle {
+/// How the current operation is cancelled.
+enum CancelMethod {
+    /// It has no socket yet.
     Nothing,
-    Socket(Socket),
-    /// Connections are being made: told to whoever waits for them.
-    Race(Box<dyn Fn() + Send>),
+    /// The socket is shut down.
+    ShutSocket(Socket),
+    /// Connections are being made; the callback notifies the coroutine that waits for them.
+    Notify(Box<dyn Fn() + Send>),
 }
 
 #[derive(Default)]
-struct State {
-    out: Option<(Key, Handle)>,
-    cancelled: Option<Key>,
+struct SlotState {
+    current: Option<(OperationKey, CancelMethod)>,
+    cancelled: Option<OperationKey>,
 }
 
+/// Cancellation state that the coroutine of a request and the owner share.
 #[derive(Default)]
-pub(crate) struct Slot(Mutex<State>);
+pub(crate) struct CancelSlot(Mutex<SlotState>);
 
-impl Slot {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl CancelSlot {
+    fn lock(&self) -> MutexGuard<'_, SlotState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins something; `false` when it was cancelled before it began.
-    pub fn begin(&self, key: Key) -> bool {
+    /// Begins an operation. Returns `false` when it was cancelled before it began.
+    pub fn begin(&self, key: OperationKey) -> bool {
         let mut state = self.lock();
-        state.out = Some((key, Handle::Nothing));
+        state.current = Some((key, CancelMethod::Nothing));
         state.cancelled != Some(key)
     }
 
-    /// Its connection is being made; `false` when it was cancelled meanwhile.
-    pub fn racing(&self, key: Key, cancel: impl Fn() + Send + 'static) -> bool {
+    /// Registers the callback that cancels the operation while its connection is made. Returns `false` when it was
+    /// cancelled meanwhile.
+    pub fn set_connecting(&self, key: OperationKey, cancel: impl Fn() + Send + 'static) -> bool {
         let mut state = self.lock();
-        state.out = Some((key, Handle::Race(Box::new(cancel))));
+        state.current = Some((key, CancelMethod::Notify(Box::new(cancel))));
         state.cancelled != Some(key)
     }
 
-    /// It has a socket now; `false` when it was cancelled meanwhile.
-    pub fn connected(&self, key: Key, socket: Socket) -> bool {
+    /// Registers the socket of the operation. Returns `false` when the operation was cancelled meanwhile.
+    pub fn set_connected(&self, key: OperationKey, socket: Socket) -> bool {
         let mut state = self.lock();
-        state.out = Some((key, Handle::Socket(socket)));
+        state.current = Some((key, CancelMethod::ShutSocket(socket)));
         state.cancelled != Some(key)
     }
 
-    /// It has ended; `true` when it was cancelled.
-    pub fn end(&self, key: Key) -> bool {
+    /// Ends an operation. Returns `true` when it was cancelled.
+    pub fn end(&self, key: OperationKey) -> bool {
         let mut state = self.lock();
-        state.out = None;
+        state.current = None;
         state.cancelled == Some(key)
     }
 
-    /// Ends it now, or as soon as it begins.
-    pub fn cancel(&self, key: Key) {
+    /// Cancels an operation now, or as soon as it begins.
+    pub fn cancel(&self, key: OperationKey) {
         let mut state = self.lock();
         state.cancelled = Some(key);
-        match &state.out {
-            Some((out, Handle::Socket(socket))) if *out == key => socket.shut(),
-            Some((out, Handle::Race(cancel))) if *out == key => cancel(),
+        match &state.current {
+            Some((current, CancelMethod::ShutSocket(socket))) if *current == key => socket.shut(),
+            Some((current, CancelMethod::Notify(cancel))) if *current == key => cancel(),
             _ => {}
         }
     }
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -14,8 +14,8 @@
 use serde_json::Value;
 
 use crate::Shared;
-use crate::links::{Got, Wanted};
-use crate::slot::{Key, Slot};
+use crate::links::{ConnectOutcome, ConnectRequest};
+use crate::slot::{CancelSlot, OperationKey};
 
 /// One tool, and the session with its server.
 pub(crate) struct ToolClient {
@@ -40,8 +40,8 @@
     /// The same for all tries of one call.
     pub key: String,
     pub arguments: Value,
-    pub slot: &'a Slot,
-    pub slot_key: Key,
+    pub slot: &'a CancelSlot,
+    pub slot_key: OperationKey,
     pub timeout: Duration,
 }
 
@@ -101,21 +101,21 @@
         let left = || end.saturating_duration_since(Instant::now());
         let time = left().as_micros() as u64;
         let ask = Ask { once: false, proof: Proof::None, connect: self.connect, time };
-        let wanted = Wanted {
+        let connect_request = ConnectRequest {
             server: &self.server,
             ask,
             path: &self.to.path,
             headers: &[],
-            body: 0,
+            body_bytes: 0,
             slot: Some((call.slot, call.slot_key)),
         };
-        let Got::Link(mut link, _) = shared.links.connect(&wanted) else {
+        let ConnectOutcome::Connected(mut pooled, _) = shared.pool.connect(&connect_request) else {
             return Said::End(ToolEnd::NotRun);
         };
-        if !call.slot.connected(call.slot_key, link.conn.socket()) {
+        if !call.slot.set_connected(call.slot_key, pooled.conn.socket()) {
             return Said::End(ToolEnd::NotRun);
         }
-        let conn = &mut link.conn;
+        let conn = &mut pooled.conn;
         conn.set_deadline(Some(end));
         conn.set_write_timeout(Some(left()));
         let session = match self.known() {
@@ -144,7 +144,7 @@
             self.know(None);
         }
         if again {
-            shared.links.free(*link);
+            shared.pool.put_back(*pooled);
         }
         said
     }
