--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -1,4 +1,7 @@
-//! Connections of clients: HTTP requests in their order, and the coroutine of each request.
+//! Connections of clients: reads HTTP requests from the socket in order, and runs a coroutine for each tool call.
+//!
+//! Two coroutines share the connection during a call: one reads the socket and notices that the client has left, the
+//! other carries out the owner's commands and writes the response. Neither decides anything about the request.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,38 +19,40 @@
 use serde_json::Value;
 
 use crate::engines::{self, Attempt, StreamSink};
-use crate::mcp::{self, Asked};
-use crate::owner::{self, Input, Mail, SendMail};
+use crate::mcp::{self, PostAction};
+use crate::owner::{self, Command, Input, SendMail};
 use crate::slot::{CancelSlot, OperationKey};
 use crate::{Shared, plan, tools};
 
-/// How often an open GET stream is written to, so that middle boxes keep it.
-const PING: Duration = Duration::from_secs(15);
-/// Longest request id taken over from a client.
-const MOST_RID: usize = 64;
-const JSON: (&str, &str) = ("content-type", "application/json");
+/// Interval of the pings on an open GET stream, which keep middleboxes from closing it.
+const PING_INTERVAL: Duration = Duration::from_secs(15);
+/// Longest `x-request-id` accepted from a client.
+const MAX_REQUEST_ID_BYTES: usize = 64;
+const JSON_CONTENT_TYPE: (&str, &str) = ("content-type", "application/json");
 
-/// Takes a new connection.
-pub(crate) fn accepted(shared: &Arc<Shared>, mut conn: Conn) {
+/// Serves a new connection in a coroutine of its own.
+pub(crate) fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
     conn.limits = http::Limits { head: shared.config.front.head, body: shared.config.front.body };
     let shared = shared.clone();
     go(move || {
         shared.connections.fetch_add(1, Ordering::Relaxed);
-        let mut client = Client { shared: &shared, conn, writer: None };
+        let mut client = ClientConnection { shared: &shared, conn, writer: None };
         client.serve();
         client.conn.socket().shut();
         shared.connections.fetch_sub(1, Ordering::Relaxed);
     });
 }
 
-struct Client<'a> {
+/// The connection of a client.
+struct ClientConnection<'a> {
     shared: &'a Arc<Shared>,
     conn: Conn,
-    /// A second handle for the coroutine of a request; kept for the next one.
+    /// A second handle on the socket, for the coroutine of a call; kept for the next call.
     writer: Option<Conn>,
 }
 
-impl Client<'_> {
+impl ClientConnection<'_> {
+    /// Reads requests from the socket and answers them, until the connection ends.
     fn serve(&mut self) {
         let front = &self.shared.config.front;
         let (idle, stall) = (Duration::from_micros(front.idle), Duration::from_micros(front.stall));
@@ -64,40 +69,40 @@
                 Ok(received) => received,
                 Err(NetError::Http(error)) => {
                     let text = error.to_string();
-                    // The connection ends in any case.
-                    let _ = self.answer(error.status(), &[("connection", "close")], text.as_bytes());
+                    // The connection is closed whether or not this write succeeds.
+                    let _ = self.respond(error.status(), &[("connection", "close")], text.as_bytes());
                     return;
                 }
                 Err(_) => return,
             };
-            match self.request(&head, &body) {
+            match self.handle_request(&head, &body) {
                 Ok(true) if head.keep_alive => {}
                 _ => return,
             }
         }
     }
 
-    fn answer(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> Result<(), NetError> {
+    fn respond(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> Result<(), NetError> {
         let mut out = Vec::with_capacity(256 + body.len());
         http::write_response(status, headers, body, true, &mut out);
         self.conn.write(&out)
     }
 
-    /// Answers one request; `false` ends the connection.
-    fn request(&mut self, head: &http::Request, body: &[u8]) -> Result<bool, NetError> {
+    /// Answers one request. Returns `false` if the connection must close.
+    fn handle_request(&mut self, head: &http::Request, body: &[u8]) -> Result<bool, NetError> {
         let path = head.target.split('?').next().unwrap_or_default();
         match (head.method.as_str(), path) {
             (method, mcp::PATH) => {
-                if let Some((status, why)) = mcp::check(self.shared, head) {
-                    self.answer(status, &[("content-type", "text/plain")], why.as_bytes())?;
+                if let Some((status, why)) = mcp::check_headers(self.shared, head) {
+                    self.respond(status, &[("content-type", "text/plain")], why.as_bytes())?;
                     return Ok(true);
                 }
                 match method {
-                    "POST" => self.post(head, body),
-                    "GET" => self.stream(head),
-                    "DELETE" => self.delete(head).map(|()| true),
+                    "POST" => self.handle_post(head, body),
+                    "GET" => self.serve_ping_stream(head),
+                    "DELETE" => self.close_session(head).map(|()| true),
                     _ => {
-                        self.answer(405, &[("allow", "GET, POST, DELETE")], b"")?;
+                        self.respond(405, &[("allow", "GET, POST, DELETE")], b"")?;
                         Ok(true)
                     }
                 }
@@ -105,88 +110,90 @@
             ("GET", "/health") => {
                 let draining = self.shared.draining.load(Ordering::Relaxed);
                 let (status, text) = if draining { (503, "draining\n") } else { (200, "ok\n") };
-                self.answer(status, &[("content-type", "text/plain")], text.as_bytes())?;
+                self.respond(status, &[("content-type", "text/plain")], text.as_bytes())?;
                 Ok(true)
             }
             ("GET", "/metrics") => {
-                let text = self.metrics();
+                let text = self.collect_metrics();
                 let status = if text.is_some() { 200 } else { 503 };
-                self.answer(status, &[("content-type", "text/plain")], text.unwrap_or_default().as_bytes())?;
+                self.respond(status, &[("content-type", "text/plain")], text.unwrap_or_default().as_bytes())?;
                 Ok(true)
             }
             _ => {
-                self.answer(404, &[("content-type", "text/plain")], b"no such path\n")?;
+                self.respond(404, &[("content-type", "text/plain")], b"no such path\n")?;
                 Ok(true)
             }
         }
     }
 
-    fn metrics(&self) -> Option<String> {
-        let (reply, heard) = std::sync::mpsc::sync_channel(1);
+    fn collect_metrics(&self) -> Option<String> {
+        let (reply, status_receiver) = std::sync::mpsc::sync_channel(1);
         if !self.shared.inbox.send(Input::Status(reply)) {
             return None;
         }
-        // The owner answers within a turn of its queue; a coroutine must not block a worker for it.
+        // The owner answers as soon as it reaches the request in its queue. Polling keeps the coroutine from blocking
+        // its worker thread meanwhile.
         for _ in 0..200 {
-            if let Ok(status) = heard.try_recv() {
-                return Some(owner::metrics(&status, self.shared));
+            if let Ok(status) = status_receiver.try_recv() {
+                return Some(owner::render_metrics(&status, self.shared));
             }
             elderstage_net::sleep(Duration::from_millis(5));
         }
         None
     }
 
-    fn post(&mut self, head: &http::Request, body: &[u8]) -> Result<bool, NetError> {
-        let kind = head.headers.get("content-type").unwrap_or("application/json");
-        if !kind.starts_with("application/json") {
-            self.answer(415, &[("content-type", "text/plain")], b"expected application/json\n")?;
+    fn handle_post(&mut self, head: &http::Request, body: &[u8]) -> Result<bool, NetError> {
+        let content_type = head.headers.get("content-type").unwrap_or("application/json");
+        if !content_type.starts_with("application/json") {
+            self.respond(415, &[("content-type", "text/plain")], b"expected application/json\n")?;
             return Ok(true);
         }
-        match mcp::message(self.shared, head, body) {
-            Asked::Now { status, session, body } => {
-                let mut headers = vec![JSON];
+        match mcp::handle_message(self.shared, head, body) {
+            PostAction::Respond { status, session, body } => {
+                let mut headers = vec![JSON_CONTENT_TYPE];
                 if let Some(session) = &session {
                     headers.push((codec::SESSION_HEADER, session));
                 }
-                self.answer(status, &headers, body.as_bytes())?;
+                self.respond(status, &headers, body.as_bytes())?;
                 Ok(true)
             }
-            Asked::Call { id, route, prompt, session, progress } => {
+            PostAction::Call { id, route, prompt, session, progress_token } => {
                 if let Some(accept) = head.headers.get("accept")
                     && !accept.contains("text/event-stream")
                     && !accept.contains("*/*")
                 {
-                    self.answer(406, &[("content-type", "text/plain")], b"expected text/event-stream\n")?;
+                    self.respond(406, &[("content-type", "text/plain")], b"expected text/event-stream\n")?;
                     return Ok(true);
                 }
-                self.call(head, id, route, prompt, session, progress)
+                self.start_call(head, id, route, prompt, session, progress_token)
             }
         }
     }
 
-    fn delete(&mut self, head: &http::Request) -> Result<(), NetError> {
+    fn close_session(&mut self, head: &http::Request) -> Result<(), NetError> {
         let session = head.headers.get(codec::SESSION_HEADER);
         match session.and_then(|session| self.shared.sessions.close(session)) {
             Some(calls) => {
                 for chain in calls {
                     self.shared.inbox.send(Input::Core(Event::ClientGone { chain }));
                 }
-                self.answer(204, &[], b"")
+                self.respond(204, &[], b"")
             }
-            None => self.answer(400, &[("content-type", "text/plain")], b"expected a session\n"),
+            None => self.respond(400, &[("content-type", "text/plain")], b"expected a session\n"),
         }
     }
 
-    /// An open stream for messages of ours; there are none, so it only lives until the client leaves.
-    fn stream(&mut self, head: &http::Request) -> Result<bool, NetError> {
+    /// Serves the GET stream for messages from the server. The front sends none, so the stream carries only pings
+    /// until the client leaves.
+    fn serve_ping_stream(&mut self, head: &http::Request) -> Result<bool, NetError> {
         if !head.headers.get("accept").is_some_and(|accept| accept.contains("text/event-stream")) {
-            self.answer(406, &[("content-type", "text/plain")], b"expected text/event-stream\n")?;
+            self.respond(406, &[("content-type", "text/plain")], b"expected text/event-stream\n")?;
             return Ok(true);
         }
         let mut out = Vec::new();
         http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
         self.conn.write(&out)?;
-        self.conn.set_read_timeout(Some(PING));
+        self.conn.set_read_timeout(Some(PING_INTERVAL));
         loop {
             match self.conn.fill() {
                 Err(NetError::TimedOut) => {
@@ -198,84 +205,92 @@
                     http::write_chunk(b": ping\n\n", &mut out);
                     self.conn.write(&out)?;
                 }
-                // A further request on a stream that has no end: the client did not mean it.
+                // The client sent another request on an endless stream, which is a mistake: the connection closes.
                 Ok(()) => return Ok(false),
                 Err(error) => return Err(error),
             }
         }
     }
 
-    fn call(
+    /// Starts a tool call in a coroutine of its own and waits for its end.
+    fn start_call(
         &mut self,
         head: &http::Request,
         id: Id,
         route: usize,
         prompt: String,
         session: Option<String>,
-        progress: Option<Id>,
+        progress_token: Option<Id>,
     ) -> Result<bool, NetError> {
         let chain = ChainId(self.shared.next_chain.fetch_add(1, Ordering::Relaxed));
-        let owner = head.headers.get(codec::SESSION_HEADER).map(str::to_owned);
-        if let Some(owner) = &owner
-            && !self.shared.sessions.begin(owner, id.clone(), chain)
+        let session_id = head.headers.get(codec::SESSION_HEADER).map(str::to_owned);
+        if let Some(session_id) = &session_id
+            && !self.shared.sessions.begin(session_id, id.clone(), chain)
         {
             let error = elderstage_protocol::jsonrpc::RpcError::new(
                 elderstage_protocol::jsonrpc::INVALID_REQUEST,
                 "the id is in use",
             );
             let body = elderstage_protocol::jsonrpc::response(Some(&id), Err(error));
-            self.answer(200, &[JSON], body.as_bytes())?;
+            self.respond(200, &[JSON_CONTENT_TYPE], body.as_bytes())?;
             return Ok(true);
         }
-        let given = head.headers.get("x-request-id").filter(|rid| {
-            !rid.is_empty() && rid.len() <= MOST_RID && rid.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
+        let client_rid = head.headers.get("x-request-id").filter(|rid| {
+            !rid.is_empty()
+                && rid.len() <= MAX_REQUEST_ID_BYTES
+                && rid.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
         });
-        let name = &self.shared.config.front.name;
-        let rid = given.map_or_else(|| format!("{name}-{}", chain.0), str::to_owned);
+        let front_name = &self.shared.config.front.name;
+        let rid = client_rid.map_or_else(|| format!("{front_name}-{}", chain.0), str::to_owned);
         let mut writer = match self.writer.take() {
             Some(writer) => writer,
             None => self.conn.writer()?,
         };
         writer.set_write_timeout(Some(Duration::from_micros(self.shared.config.front.stall)));
-        let (done, finished) = channel();
+        let (end_sender, call_ended) = channel();
         let shared = self.shared.clone();
-        let guard = Active::new(&shared, owner.clone(), id.clone());
+        let guard = ActiveCallGuard::new(&shared, session_id.clone(), id.clone());
         go(move || {
             let _guard = guard;
-            let mut request = Request::new(&shared, writer, chain, id, route, rid, prompt, progress);
+            let mut request =
+                ToolCallRequest::new(&shared, writer, chain, id, route, rid, prompt, progress_token);
             request.run(session);
-            // The connection may have ended meanwhile.
-            let _ = done.send((request.writer, request.good));
+            // The connection may have closed meanwhile.
+            let _ = end_sender.send((request.writer, request.is_writable));
         });
-        self.watch(chain, &finished)
+        self.wait_for_call(chain, &call_ended)
     }
 
-    /// Waits for the request's end while watching whether the client is still there.
-    fn watch(&mut self, chain: ChainId, finished: &Receiver<(Conn, bool)>) -> Result<bool, NetError> {
+    /// Waits for the end of the call and reads the socket meanwhile, to notice when the client leaves.
+    fn wait_for_call(
+        &mut self,
+        chain: ChainId,
+        call_ended: &Receiver<(Conn, bool)>,
+    ) -> Result<bool, NetError> {
         let idle = Duration::from_micros(self.shared.config.front.idle);
         self.conn.set_read_timeout(Some(idle));
         loop {
-            // Guards against waiting for more from a client that waits for us: its next request may have come with
-            // this one. That it leaves is then noticed by writing only.
-            let more = if self.conn.has_pending() { Ok(()) } else { self.conn.fill() };
-            match more {
-                // The next request has come before the end of this one, or after it.
+            // A client that has already sent its next request may send nothing more until this one is answered, so
+            // the socket is not read again. A client that leaves is then noticed only by a failed write.
+            let read_result = if self.conn.has_pending() { Ok(()) } else { self.conn.fill() };
+            match read_result {
+                // The next request has arrived, before the end of this call or after it.
                 Ok(()) => {
-                    let Ok((writer, good)) = finished.recv() else { return Ok(false) };
+                    let Ok((writer, is_writable)) = call_ended.recv() else { return Ok(false) };
                     self.writer = Some(writer);
-                    return Ok(good);
+                    return Ok(is_writable);
                 }
                 Err(NetError::TimedOut) => {
-                    if let Ok((_, _)) = finished.try_recv() {
-                        // Ended, and nothing came for so long after it.
+                    if let Ok((_, _)) = call_ended.try_recv() {
+                        // The call has ended and the connection was idle for the idle timeout.
                         return Ok(false);
                     }
                 }
                 Err(error) => {
                     self.shared.inbox.send(Input::Core(Event::ClientGone { chain }));
-                    // The request's coroutine writes no more once this handle is shut.
+                    // The shutdown makes further writes of the call's coroutine fail.
                     self.conn.socket().shut();
-                    let _ = finished.recv();
+                    let _ = call_ended.recv();
                     return Err(error);
                 }
             }
@@ -283,21 +298,21 @@
     }
 }
 
-/// Counts a request while its coroutine runs, however that ends.
-struct Active {
+/// Counts a call as active, and its id as in use, while its coroutine runs, however that ends.
+struct ActiveCallGuard {
     shared: Arc<Shared>,
     session: Option<String>,
     id: Id,
 }
 
-impl Active {
-    fn new(shared: &Arc<Shared>, session: Option<String>, id: Id) -> Active {
+impl ActiveCallGuard {
+    fn new(shared: &Arc<Shared>, session: Option<String>, id: Id) -> ActiveCallGuard {
         shared.active.fetch_add(1, Ordering::SeqCst);
-        Active { shared: shared.clone(), session, id }
+        ActiveCallGuard { shared: shared.clone(), session, id }
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveCallGuard {
     fn drop(&mut self) {
         if let Some(session) = &self.session {
             self.shared.sessions.end(session, &self.id);
@@ -306,31 +321,35 @@
     }
 }
 
-/// One request of a client, over its legs.
-struct Request<'a> {
+/// One tool call of a client, over all its attempts and turns.
+struct ToolCallRequest<'a> {
     shared: &'a Arc<Shared>,
     writer: Conn,
     chain: ChainId,
     id: Id,
     route: usize,
     rid: String,
-    progress: Option<Id>,
+    progress_token: Option<Id>,
+    /// The conversation so far.
     messages: Vec<Message>,
-    /// All text of the answer so far, and how much of it stood there when the present turn began.
-    text: String,
-    turn_began: usize,
-    pieces: u64,
-    /// Calls of the last turn, with their results.
-    calls: Vec<(engine::ToolCall, Option<String>)>,
-    /// Parameters of the state that waits at a reader.
-    state: Option<Value>,
+    /// All text of the answer so far.
+    answer_text: String,
+    /// Length of `answer_text` when the current turn began.
+    turn_start: usize,
+    /// Progress notifications sent so far.
+    progress_count: u64,
+    /// Tool calls of the last turn, with their results.
+    tool_calls: Vec<(engine::ToolCall, Option<String>)>,
+    /// Transfer parameters of the KV state that a reader holds.
+    kv_params: Option<Value>,
     head_written: bool,
-    /// The client's connection still takes what is written.
-    good: bool,
-    out: Vec<u8>,
+    /// Whether writes to the client have succeeded so far.
+    is_writable: bool,
+    /// Output that is not written to the socket yet.
+    out_buffer: Vec<u8>,
 }
 
-impl<'a> Request<'a> {
+impl<'a> ToolCallRequest<'a> {
     #[allow(clippy::too_many_arguments)]
     fn new(
         shared: &'a Arc<Shared>,
@@ -340,98 +359,101 @@
         route: usize,
         rid: String,
         prompt: String,
-        progress: Option<Id>,
-    ) -> Request<'a> {
+        progress_token: Option<Id>,
+    ) -> ToolCallRequest<'a> {
         let preamble = &shared.config.routes[route].preamble;
         let system = (!preamble.is_empty()).then(|| Message::text("system", preamble.as_str()));
         let messages = system.into_iter().chain([Message::text("user", prompt)]).collect();
-        Request {
+        ToolCallRequest {
             shared,
             writer,
             chain,
             id,
             route,
             rid,
-            progress,
+            progress_token,
             messages,
-            text: String::new(),
-            turn_began: 0,
-            pieces: 0,
-            calls: Vec::new(),
-            state: None,
+            answer_text: String::new(),
+            turn_start: 0,
+            progress_count: 0,
+            tool_calls: Vec::new(),
+            kv_params: None,
             head_written: false,
-            good: true,
-            out: Vec::new(),
+            is_writable: true,
+            out_buffer: Vec::new(),
         }
     }
 
+    /// Submits the request to the owner and carries out the owner's commands until the last one.
     fn run(&mut self, session: Option<String>) {
-        let (mail, told): (Sender<Mail>, Receiver<Mail>) = channel();
+        let (command_sender, commands): (Sender<Command>, Receiver<Command>) = channel();
         let slot = Arc::new(CancelSlot::default());
         let route = &self.shared.config.routes[self.route];
         let bytes = self.messages.iter().filter_map(|m| m.content.as_ref()).map(String::len).sum();
         let prefix = (!route.preamble.is_empty()).then(|| (route.name.clone(), route.preamble.len()));
         let submit =
             Submit { chain: self.chain, route: self.route, tenant: 0, session, prefix, bytes, repeat: false };
-        let open = Input::Open { submit, rid: self.rid.clone(), mail, slot: slot.clone() };
-        if self.shared.inbox.offer(open).is_err() {
-            // The owner cannot keep up, or has ended: nothing was taken.
+        let submission =
+            Input::NewRequest { submit, rid: self.rid.clone(), commands: command_sender, slot: slot.clone() };
+        if self.shared.inbox.offer(submission).is_err() {
+            // The owner's queue is full or the owner has ended: the request was not submitted.
             let retry_after = self.shared.config.rules.retry_after;
             let reason = elderstage_core::Reason::FrontFull;
-            return self.last(Final::Refused { reason, retry_after });
+            return self.finish(Final::Refused { reason, retry_after });
         }
-        while let Ok(mail) = told.recv() {
-            match mail {
-                Mail::Send(send) => self.send(&send, &slot),
-                Mail::CallTool { turn, call, tool, attempt, timeout } => {
+        while let Ok(command) = commands.recv() {
+            match command {
+                Command::Send(send) => self.run_attempt(&send, &slot),
+                Command::CallTool { turn, call, tool, attempt, timeout } => {
                     self.call_tool(turn, call, tool, attempt, timeout, &slot);
                 }
-                Mail::Last(last) => return self.last(last),
+                Command::Last(last) => return self.finish(last),
             }
         }
-        // The owner has ended with this request open: the process is going down.
-        self.good = false;
+        // The owner ended while this request was open: the process is shutting down.
+        self.is_writable = false;
     }
 
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         self.shared.inbox.send(Input::Core(event));
     }
 
-    // ---- To engines ----
+    // ---- Attempts at engines ----
 
-    /// Appends the last turn and the results of its calls to the conversation, once.
-    fn take_turn(&mut self) {
-        if self.calls.is_empty() {
+    /// Appends the last turn and the results of its tool calls to the conversation, once.
+    fn append_turn(&mut self) {
+        if self.tool_calls.is_empty() {
             return;
         }
-        let calls = std::mem::take(&mut self.calls);
-        let said = self.text[self.turn_began..].to_owned();
+        let calls = std::mem::take(&mut self.tool_calls);
+        let text = self.answer_text[self.turn_start..].to_owned();
         let tool_calls = calls.iter().map(|(call, _)| call.clone()).collect();
-        self.messages.push(Message { tool_calls, ..Message::text("assistant", said) });
+        self.messages.push(Message { tool_calls, ..Message::text("assistant", text) });
         for (call, result) in calls {
             let result = result.unwrap_or_else(|| "error: the tool gave no result".into());
             self.messages.push(Message::tool(&call.id, result));
         }
-        self.turn_began = self.text.len();
+        self.turn_start = self.answer_text.len();
     }
 
-    fn send(&mut self, send: &SendMail, slot: &CancelSlot) {
-        self.take_turn();
+    /// Makes an attempt at an engine and reports its result to the core.
+    fn run_attempt(&mut self, send: &SendMail, slot: &CancelSlot) {
+        self.append_turn();
         let route = &self.shared.config.routes[self.route];
         let stage = match send.stage {
             Stage::Read => engine::Stage::Read,
-            Stage::Write => engine::Stage::Write(self.state.clone().unwrap_or(Value::Null)),
+            Stage::Write => engine::Stage::Write(self.kv_params.clone().unwrap_or(Value::Null)),
             Stage::Whole => engine::Stage::Whole,
         };
-        let ask = engine::Ask {
+        let engine_request = engine::Ask {
             model: route.model.clone(),
             messages: std::mem::take(&mut self.messages),
             tools: route.tools.clone(),
             max_tokens: u64::from(route.max_tokens),
             stage,
         };
-        let body = engine::body(&ask);
-        self.messages = ask.messages;
+        let body = engine::body(&engine_request);
+        self.messages = engine_request.messages;
         let attempt = Attempt {
             server: &send.server,
             stage: send.stage,
@@ -443,42 +465,44 @@
             body,
             slot,
         };
-        let begun = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let shared = self.shared.clone();
-        let ended = engines::run_attempt(&shared, &attempt, &mut Stream { request: self, send, begun });
-        let took = self.shared.clock.now() - begun;
-        let load = ended.report.as_ref().map(plan::load);
-        if let Some(report) = ended.report {
-            self.shared.inbox.send(Input::Report { server: send.server.clone(), report });
+        let outcome =
+            engines::run_attempt(&shared, &attempt, &mut ClientStream { request: self, send, started_at });
+        let took = self.shared.clock.now() - started_at;
+        let load = outcome.report.as_ref().map(plan::load_values);
+        if let Some(report) = outcome.report {
+            self.shared.inbox.send(Input::LoadReport { server: send.server.clone(), report });
         }
-        if ended.state.is_some() {
-            self.state = ended.state;
+        if outcome.state.is_some() {
+            self.kv_params = outcome.state;
         }
-        let calls = ended
+        let calls = outcome
             .calls
             .iter()
-            .map(|c| Call { tool: c.function.name.clone(), bytes: c.function.arguments.len() });
+            .map(|call| Call { tool: call.function.name.clone(), bytes: call.function.arguments.len() });
         let calls = calls.collect();
-        self.calls = ended.calls.into_iter().map(|call| (call, None)).collect();
+        self.tool_calls = outcome.calls.into_iter().map(|call| (call, None)).collect();
         tracing::debug!(
             target: "request", rid = %attempt.rid, server = %send.server.0, stage = ?send.stage,
-            evidence = ?ended.evidence, took_us = took, "attempt ended"
+            evidence = ?outcome.evidence, took_us = took, "attempt ended"
         );
-        self.tell(Event::AttemptEnded {
+        self.send_event(Event::AttemptEnded {
             chain: self.chain,
             leg: send.leg,
             attempt: send.attempt,
-            evidence: ended.evidence,
+            evidence: outcome.evidence,
             took,
-            usage: ended.usage.map(|usage| (usage.prompt, usage.completion)),
-            text: self.text.len() - self.turn_began,
+            usage: outcome.usage.map(|usage| (usage.prompt, usage.completion)),
+            text: self.answer_text.len() - self.turn_start,
             calls,
             load,
         });
     }
 
-    // ---- To tools ----
+    // ---- Tool calls ----
 
+    /// Makes one try of a tool call and reports its result to the core.
     fn call_tool(
         &mut self,
         turn: u32,
@@ -488,12 +512,13 @@
         timeout: Time,
         slot: &CancelSlot,
     ) {
-        let (Some(client), Some((made, _))) = (self.shared.tools.get(tool), self.calls.get(call)) else {
+        let (Some(client), Some((tool_call, _))) = (self.shared.tools.get(tool), self.tool_calls.get(call))
+        else {
             return;
         };
-        // A model may write arguments that are no JSON; the tool is told just that.
-        let arguments = serde_json::from_str(&made.function.arguments).ok().filter(Value::is_object);
-        let tool_call = tools::ToolCall {
+        // A model may write arguments that are not a JSON object; the tool then gets an empty object.
+        let arguments = serde_json::from_str(&tool_call.function.arguments).ok().filter(Value::is_object);
+        let tool_try = tools::ToolCall {
             rid: format!("{}/{turn}/t{call}.{attempt}", self.rid),
             key: format!("{}/{turn}/t{call}", self.rid),
             arguments: arguments.unwrap_or_else(|| serde_json::json!({})),
@@ -501,60 +526,64 @@
             slot_key: OperationKey::Tool { turn, call },
             timeout: Duration::from_micros(timeout),
         };
-        let (end, text) = client.call(self.shared, &tool_call);
-        tracing::debug!(target: "request", rid = %tool_call.rid, tool = %client.name, ?end, "tool call ended");
-        if let (ToolEnd::Result { .. }, Some((_, result))) = (&end, self.calls.get_mut(call)) {
+        let (end, text) = client.call(self.shared, &tool_try);
+        tracing::debug!(target: "request", rid = %tool_try.rid, tool = %client.name, ?end, "tool call ended");
+        if let (ToolEnd::Result { .. }, Some((_, result))) = (&end, self.tool_calls.get_mut(call)) {
             *result = text;
         }
-        self.tell(Event::ToolEnded { chain: self.chain, call, end });
+        self.send_event(Event::ToolEnded { chain: self.chain, call, end });
     }
 
-    // ---- To the client ----
+    // ---- Output to the client ----
 
-    fn write(&mut self) {
-        if self.good && !self.out.is_empty() && self.writer.write(&self.out).is_err() {
-            self.good = false;
-            self.tell(Event::ClientGone { chain: self.chain });
+    /// Writes the buffered output to the socket. A failure is reported to the core once.
+    fn flush(&mut self) {
+        if self.is_writable && !self.out_buffer.is_empty() && self.writer.write(&self.out_buffer).is_err() {
+            self.is_writable = false;
+            self.send_event(Event::ClientGone { chain: self.chain });
         }
-        self.out.clear();
+        self.out_buffer.clear();
     }
 
-    fn head(&mut self) {
+    /// Buffers the head of the response, once.
+    fn buffer_head(&mut self) {
         if !self.head_written {
             self.head_written = true;
             let headers = [("content-type", "text/event-stream"), ("cache-control", "no-store")];
-            http::write_stream_head(200, &headers, &mut self.out);
+            http::write_stream_head(200, &headers, &mut self.out_buffer);
         }
     }
 
-    fn event(&mut self, message: &str) {
-        self.head();
+    /// Buffers one server-sent event.
+    fn buffer_event(&mut self, message: &str) {
+        self.buffer_head();
         let mut event = Vec::with_capacity(message.len() + 32);
         sse::write(Some("message"), message, &mut event);
-        http::write_chunk(&event, &mut self.out);
+        http::write_chunk(&event, &mut self.out_buffer);
     }
 
-    fn last(&mut self, last: Final) {
-        if let Some(message) = mcp::last(&self.id, last, &self.text) {
-            self.event(&message);
+    /// Writes the final response and ends the stream.
+    fn finish(&mut self, last: Final) {
+        if let Some(message) = mcp::final_response(&self.id, last, &self.answer_text) {
+            self.buffer_event(&message);
         }
-        self.head();
-        self.out.extend_from_slice(http::LAST_CHUNK);
-        self.write();
+        self.buffer_head();
+        self.out_buffer.extend_from_slice(http::LAST_CHUNK);
+        self.flush();
     }
 }
 
-/// A stream that goes on to the client as it comes.
-struct Stream<'a, 'b> {
-    request: &'a mut Request<'b>,
+/// Passes the output of an attempt to the client as it arrives.
+struct ClientStream<'a, 'b> {
+    request: &'a mut ToolCallRequest<'b>,
     send: &'a SendMail,
-    begun: Time,
+    started_at: Time,
 }
 
-impl StreamSink for Stream<'_, '_> {
+impl StreamSink for ClientStream<'_, '_> {
     fn on_first_output(&mut self) {
-        let took = self.request.shared.clock.now() - self.begun;
-        self.request.tell(Event::Streaming {
+        let took = self.request.shared.clock.now() - self.started_at;
+        self.request.send_event(Event::Streaming {
             chain: self.request.chain,
             leg: self.send.leg,
             attempt: self.send.attempt,
@@ -564,16 +593,16 @@
 
     fn on_text(&mut self, text: &str) {
         let request = &mut *self.request;
-        if request.text.len() + text.len() > request.shared.config.front.answer {
-            request.tell(Event::TooLong { chain: request.chain });
+        if request.answer_text.len() + text.len() > request.shared.config.front.answer {
+            request.send_event(Event::TooLong { chain: request.chain });
             return;
         }
-        request.text.push_str(text);
-        if let Some(token) = request.progress.clone() {
-            request.pieces += 1;
-            let message = codec::progress(&token, request.pieces, text);
-            request.event(&message);
-            request.write();
+        request.answer_text.push_str(text);
+        if let Some(token) = request.progress_token.clone() {
+            request.progress_count += 1;
+            let message = codec::progress(&token, request.progress_count, text);
+            request.buffer_event(&message);
+            request.flush();
         }
     }
 }
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -84,7 +84,7 @@
     let mut headers = vec![
         ("content-type", "application/json"),
         ("x-request-id", attempt.rid.as_str()),
-        ("via", shared.site.via.as_str()),
+        ("via", shared.catalog.via.as_str()),
         orca::ASK,
     ];
     if let Some(key) = &attempt.idempotency_key {
@@ -92,7 +92,7 @@
     }
     let ask = Ask {
         once: attempt.is_at_most_once,
-        proof: shared.site.proof(attempt.server),
+        proof: shared.catalog.proof_for(attempt.server),
         connect: shared.config.rules.connect,
         time: attempt.timeout.as_micros() as u64,
     };
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -30,7 +30,7 @@
 use links::ConnPool;
 pub use owner::Status;
 use owner::{Input, Owner};
-use plan::Site;
+use plan::Catalog;
 pub use plan::{entries, plan as core_plan};
 use sessions::Sessions;
 
@@ -57,7 +57,7 @@
 /// What all coroutines of a front share. Nothing in it is a decision.
 pub(crate) struct Shared {
     pub config: Config,
-    pub site: Site,
+    pub catalog: Catalog,
     pub inbox: Inbox<Input>,
     pub pool: Arc<ConnPool>,
     pub sessions: Sessions,
@@ -88,19 +88,20 @@
             .map_err(|error| StartError::Listen { addr: listen, error })?;
         let addr = listener.addr();
         let clock = Clock::new(ORIGIN);
-        let site = Site::new(&config);
+        let catalog = Catalog::new(&config);
         let (inbox, events) = queue(QUEUE);
         let core = Core::new(plan::plan(&config), seed);
         let tools = config.tools.iter().map(|tool| tools::ToolClient::new(tool, &config)).collect();
         // Fronts that start together differ by their seed in when they try an address again.
         let jitter = (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
         let connect = config.rules.connect;
-        let pool = ConnPool::new(plan::bounds(&config), jitter, clock, site.via.clone(), connect);
+        let pool =
+            ConnPool::new(plan::connection_bounds(&config), jitter, clock, catalog.via.clone(), connect);
         let shared = Arc::new(Shared {
             pool,
             sessions: Sessions::new(seed),
             tools,
-            site,
+            catalog,
             inbox,
             clock,
             next_chain: AtomicU64::new(1),
@@ -126,7 +127,7 @@
             let short = |error: &std::io::Error| {
                 tracing::warn!(target: "front", %error, "no room for a connection; trying again");
             };
-            listener.serve(move |conn| client::accepted(&accept, conn), short);
+            listener.serve(move |conn| client::serve_connection(&accept, conn), short);
         });
         tracing::info!(target: "front", name = %shared.config.front.name, %addr, "listening");
         Ok(Front { shared, addr, listener: stop, watch })
@@ -175,7 +176,7 @@
         self.listener.stop();
         self.watch.store(false, Ordering::SeqCst);
         tracing::info!(target: "front", clean, "stopped");
-        self.shared.inbox.send(Input::End);
+        self.shared.inbox.send(Input::Stop);
         clean
     }
 }
--- a/crates/front/src/mcp.rs
+++ b/crates/front/src/mcp.rs
@@ -1,4 +1,6 @@
-//! The client's side of MCP: JSON-RPC messages to what is done about them, and answers back.
+//! MCP towards clients: turns JSON-RPC messages into actions and results into JSON-RPC responses.
+//!
+//! It does no I/O on sockets: `client.rs` writes the responses and runs the calls.
 
 use elderstage_core::chain::Final;
 use elderstage_protocol::http;
@@ -9,32 +11,34 @@
 use crate::Shared;
 use elderstage_core::Event;
 
-/// Path of the endpoint.
+/// Path of the MCP endpoint.
 pub(crate) const PATH: &str = "/mcp";
-/// Error codes for requests that are not served, from the range that JSON-RPC leaves to servers.
-const REFUSED: i64 = -32001;
-const FAILED: i64 = -32002;
+/// Error codes of refused and failed requests, from the range that JSON-RPC reserves for servers.
+const REFUSED_CODE: i64 = -32001;
+const FAILED_CODE: i64 = -32002;
 
-/// What a POST asks for.
-pub(crate) enum Asked {
-    /// Answered at once, with this status, headers and body.
-    Now { status: u16, session: Option<String>, body: String },
-    /// A tool call, to be answered by a stream.
-    Call { id: Id, route: usize, prompt: String, session: Option<String>, progress: Option<Id> },
+/// What the front does for a POST.
+pub(crate) enum PostAction {
+    /// Respond at once with this status and body, and with the id of a new session if there is one.
+    Respond { status: u16, session: Option<String>, body: String },
+    /// Run a tool call, whose response is a stream.
+    Call { id: Id, route: usize, prompt: String, session: Option<String>, progress_token: Option<Id> },
 }
 
-fn now(body: String) -> Asked {
-    Asked::Now { status: 200, session: None, body }
+/// Responds with a JSON body and status 200.
+fn respond_ok(body: String) -> PostAction {
+    PostAction::Respond { status: 200, session: None, body }
 }
 
-fn error(id: Option<&Id>, error: RpcError) -> Asked {
-    now(jsonrpc::response(id, Err(error)))
+fn respond_error(id: Option<&Id>, error: RpcError) -> PostAction {
+    respond_ok(jsonrpc::response(id, Err(error)))
 }
 
-/// Headers that the transport rules on; the answer where they forbid the request.
-pub(crate) fn check(shared: &Shared, head: &http::Request) -> Option<(u16, &'static str)> {
+/// Checks the headers that the MCP transport has rules for. Returns the status and the text of the response if they
+/// forbid the request.
+pub(crate) fn check_headers(shared: &Shared, head: &http::Request) -> Option<(u16, &'static str)> {
     if let Some(origin) = head.headers.get("origin")
-        && !local(origin)
+        && !is_local_origin(origin)
     {
         return Some((403, "origin not allowed"));
     }
@@ -52,8 +56,9 @@
     None
 }
 
-/// Guards against pages of other sites that reach a front on the browser's own machine (DNS rebinding).
-fn local(origin: &str) -> bool {
+/// Whether an `Origin` is the local machine. This protects a front that runs on the machine of a browser from pages of
+/// other sites (DNS rebinding).
+fn is_local_origin(origin: &str) -> bool {
     let host = origin.split_once("://").map_or(origin, |(_, host)| host);
     let name = match host.strip_prefix('[') {
         Some(rest) => rest.split(']').next().unwrap_or_default(),
@@ -62,16 +67,16 @@
     matches!(name, "localhost" | "127.0.0.1" | "::1")
 }
 
-/// Reads a POST's message.
-pub(crate) fn message(shared: &Shared, head: &http::Request, body: &[u8]) -> Asked {
+/// Handles the JSON-RPC message of a POST.
+pub(crate) fn handle_message(shared: &Shared, head: &http::Request, body: &[u8]) -> PostAction {
     let session = head.headers.get(mcp::SESSION_HEADER);
     match jsonrpc::parse(body) {
         Err(invalid) => {
             let status = if invalid.error.code == jsonrpc::PARSE_ERROR { 400 } else { 200 };
             let body = jsonrpc::response(invalid.id.as_ref(), Err(invalid.error));
-            Asked::Now { status, session: None, body }
+            PostAction::Respond { status, session: None, body }
         }
-        Ok(Message::Request { id, method, params }) => request(shared, &id, &method, params),
+        Ok(Message::Request { id, method, params }) => handle_request(shared, &id, &method, params),
         Ok(Message::Notification { method, params }) => {
             if method == "notifications/cancelled"
                 && let Some(id) = mcp::cancelled_id(&params)
@@ -79,67 +84,77 @@
             {
                 shared.inbox.send(crate::owner::Input::Core(Event::ClientGone { chain }));
             }
-            Asked::Now { status: 202, session: None, body: String::new() }
+            PostAction::Respond { status: 202, session: None, body: String::new() }
+        }
+        // The front sends no requests to clients, so a response from one is ignored.
+        Ok(Message::Response { .. }) => {
+            PostAction::Respond { status: 202, session: None, body: String::new() }
         }
-        // Nothing was asked of the client, so there is nothing to answer.
-        Ok(Message::Response { .. }) => Asked::Now { status: 202, session: None, body: String::new() },
     }
 }
 
-fn request(shared: &Shared, id: &Id, method: &str, params: serde_json::Map<String, Value>) -> Asked {
-    let good = |result| now(jsonrpc::response(Some(id), Ok(result)));
+/// Handles a JSON-RPC request.
+fn handle_request(
+    shared: &Shared,
+    id: &Id,
+    method: &str,
+    params: serde_json::Map<String, Value>,
+) -> PostAction {
+    let respond_result = |result| respond_ok(jsonrpc::response(Some(id), Ok(result)));
     match method {
         "initialize" => {
-            let Some(asked) = params.get("protocolVersion").and_then(Value::as_str) else {
-                return error(
+            let Some(requested_version) = params.get("protocolVersion").and_then(Value::as_str) else {
+                return respond_error(
                     Some(id),
                     RpcError::new(jsonrpc::INVALID_PARAMS, "expected params.protocolVersion"),
                 );
             };
-            let version = mcp::negotiate(asked);
+            let version = mcp::negotiate(requested_version);
             let result = mcp::initialize_result(version, "elderstage", env!("CARGO_PKG_VERSION"));
             let body = jsonrpc::response(Some(id), Ok(result));
-            Asked::Now { status: 200, session: Some(shared.sessions.open()), body }
-        }
-        "ping" => good(json!({})),
-        "tools/list" => good(mcp::tools_result(&shared.site.tools)),
-        "tools/call" => call(shared, id, params),
-        _ => {
-            error(Some(id), RpcError::new(jsonrpc::METHOD_NOT_FOUND, format!("method not served: {method}")))
+            PostAction::Respond { status: 200, session: Some(shared.sessions.open()), body }
         }
+        "ping" => respond_result(json!({})),
+        "tools/list" => respond_result(mcp::tools_result(&shared.catalog.tools)),
+        "tools/call" => parse_tool_call(shared, id, params),
+        _ => respond_error(
+            Some(id),
+            RpcError::new(jsonrpc::METHOD_NOT_FOUND, format!("method not served: {method}")),
+        ),
     }
 }
 
-fn call(shared: &Shared, id: &Id, params: serde_json::Map<String, Value>) -> Asked {
-    let wrong = |what: String| error(Some(id), RpcError::new(jsonrpc::INVALID_PARAMS, what));
+/// Reads the parameters of a `tools/call`.
+fn parse_tool_call(shared: &Shared, id: &Id, params: serde_json::Map<String, Value>) -> PostAction {
+    let invalid_params = |what: String| respond_error(Some(id), RpcError::new(jsonrpc::INVALID_PARAMS, what));
     let mut call = match mcp::call(params) {
         Ok(call) => call,
-        Err(invalid) => return error(Some(id), invalid),
+        Err(invalid) => return respond_error(Some(id), invalid),
     };
-    let Some(route) = shared.site.tools.iter().position(|tool| tool.name == call.name) else {
-        return wrong(format!("no tool is called {}", call.name));
+    let Some(route) = shared.catalog.tools.iter().position(|tool| tool.name == call.name) else {
+        return invalid_params(format!("no tool is called {}", call.name));
     };
     let Some(Value::String(prompt)) = call.arguments.remove("prompt") else {
-        return wrong("arguments.prompt must be a string".into());
+        return invalid_params("arguments.prompt must be a string".into());
     };
     let session = match call.arguments.remove("session") {
         None | Some(Value::Null) => None,
         Some(Value::String(session)) => Some(session),
-        Some(_) => return wrong("arguments.session must be a string".into()),
+        Some(_) => return invalid_params("arguments.session must be a string".into()),
     };
-    if let Some(other) = call.arguments.keys().next() {
-        return wrong(format!("no argument is called {other}"));
+    if let Some(unknown) = call.arguments.keys().next() {
+        return invalid_params(format!("no argument is called {unknown}"));
     }
-    Asked::Call { id: id.clone(), route, prompt, session, progress: call.progress }
+    PostAction::Call { id: id.clone(), route, prompt, session, progress_token: call.progress }
 }
 
-/// The response that ends a call; none for a client that has left or cancelled.
-pub(crate) fn last(id: &Id, last: Final, text: &str) -> Option<String> {
-    let (code, outcome, reason, retry_after) = match last {
+/// The response that ends a call. A client that has left or cancelled gets none.
+pub(crate) fn final_response(id: &Id, result: Final, text: &str) -> Option<String> {
+    let (code, outcome, reason, retry_after) = match result {
         Final::Gone => return None,
         Final::Served => return Some(jsonrpc::response(Some(id), Ok(mcp::text_result(text, false)))),
-        Final::Refused { reason, retry_after } => (REFUSED, "refused", reason, Some(retry_after)),
-        Final::Failed { reason } => (FAILED, "failed", reason, None),
+        Final::Refused { reason, retry_after } => (REFUSED_CODE, "refused", reason, Some(retry_after)),
+        Final::Failed { reason } => (FAILED_CODE, "failed", reason, None),
     };
     let mut data = json!({"outcome": outcome});
     if let Some(retry_after) = retry_after {
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -1,4 +1,8 @@
-//! The one owner of the core: events in from all coroutines, effects out to them.
+//! The owner of the core: the single thread that passes events to the core and carries out the effects.
+//!
+//! Events come from all coroutines and threads of the front through one queue. Effects become commands to the coroutine
+//! of a request, cancellations, or requests to engines that run in coroutines of their own. The owner itself waits
+//! for no I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,17 +20,21 @@
 
 use crate::Shared;
 use crate::links::ExchangeError;
-use crate::plan::{self, ClockMap};
+use crate::plan::{self, ClockMapping};
 use crate::slot::{CancelSlot, OperationKey};
 
-/// What a request's coroutine is told to do.
+/// A command from the owner to the coroutine of a request. Its `Debug` text is written to the trace log.
 #[derive(Debug)]
-pub(crate) enum Mail {
+pub(crate) enum Command {
+    /// Make an attempt at an engine.
     Send(SendMail),
+    /// Make one try of a tool call.
     CallTool { turn: u32, call: usize, tool: usize, attempt: u32, timeout: Time },
+    /// Write the final answer and end.
     Last(Final),
 }
 
+/// An attempt to make at an engine. The name of this type is part of the trace log.
 #[derive(Debug)]
 pub(crate) struct SendMail {
     pub leg: ReqId,
@@ -35,113 +43,117 @@
     pub server: ServerId,
     pub stage: Stage,
     pub timeout: Time,
+    /// Whether the request carries an idempotency key.
     pub keyed: bool,
+    /// Whether the request must not run twice.
     pub once: bool,
 }
 
-/// What coroutines and threads tell the owner.
+/// An event in the owner's queue.
 pub(crate) enum Input {
-    /// A request was taken from a client.
-    Open {
-        submit: Submit,
-        rid: String,
-        mail: Sender<Mail>,
-        slot: Arc<CancelSlot>,
-    },
+    /// A new request of a client.
+    NewRequest { submit: Submit, rid: String, commands: Sender<Command>, slot: Arc<CancelSlot> },
+    /// An event for the core.
     Core(Event),
-    /// A load report came with an answer of this server.
-    Report {
-        server: ServerId,
-        report: orca::Report,
-    },
+    /// A load report that arrived with an answer of this server.
+    LoadReport { server: ServerId, report: orca::Report },
+    /// A request for the front's status.
     Status(SyncSender<Status>),
-    End,
+    /// Ends the owner's thread.
+    Stop,
 }
 
-/// What a front has counted.
+/// Counters and current state of a front.
 #[derive(Clone, Debug)]
 pub struct Status {
     pub counters: Counters,
+    /// Requests that have not ended.
     pub held: usize,
     pub draining: bool,
 }
 
-/// A release that is not heard is said again, over another address where there is one.
-const RELEASE_TRIES: u64 = 3;
+/// How often a release is tried. One without an answer is sent again, over another address if the server has one.
+const MAX_RELEASE_TRIES: u64 = 3;
 
-struct Open {
+/// A request whose coroutine runs.
+struct OpenRequest {
     rid: String,
-    mail: Sender<Mail>,
+    commands: Sender<Command>,
     slot: Arc<CancelSlot>,
 }
 
+/// The state of the owner's thread.
 pub(crate) struct Owner {
     core: Core,
     shared: Arc<Shared>,
-    open: HashMap<ChainId, Open>,
+    open_requests: HashMap<ChainId, OpenRequest>,
+    /// Reused buffer for the effects of one event.
     effects: Vec<Effect>,
 }
 
 impl Owner {
     pub fn new(core: Core, shared: Arc<Shared>) -> Owner {
-        Owner { core, shared, open: HashMap::new(), effects: Vec::new() }
+        Owner { core, shared, open_requests: HashMap::new(), effects: Vec::new() }
     }
 
-    fn event(&mut self, now: Micros, event: Event) {
+    /// Passes an event to the core and carries out the effects.
+    fn handle_core_event(&mut self, now: Micros, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
         self.core.handle(now, event, &mut effects);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    fn carry_out(&mut self, mut effects: Vec<Effect>) {
+    fn apply_effects(&mut self, mut effects: Vec<Effect>) {
         for effect in effects.drain(..) {
-            self.effect(effect);
+            self.apply_effect(effect);
         }
         self.effects = effects;
     }
 
-    fn mail(&self, chain: ChainId, mail: Mail) {
-        if let Some(open) = self.open.get(&chain) {
-            tracing::trace!(target: "request", rid = %open.rid, ?mail, "told");
-            // A coroutine lives until its last mail; sending to one that has ended changes nothing.
-            let _ = open.mail.send(mail);
+    /// Sends a command to the coroutine of a request.
+    fn send_command(&self, chain: ChainId, command: Command) {
+        if let Some(request) = self.open_requests.get(&chain) {
+            tracing::trace!(target: "request", rid = %request.rid, mail = ?command, "command sent to the request");
+            // A coroutine runs until its last command. Sending to one that has ended has no effect.
+            let _ = request.commands.send(command);
         }
     }
 
-    fn effect(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Send { chain, leg, turn, attempt, server, stage, timeout, keyed, once } => {
-                let mail = SendMail { leg, turn, attempt, server, stage, timeout, keyed, once };
-                self.mail(chain, Mail::Send(mail));
+                let send = SendMail { leg, turn, attempt, server, stage, timeout, keyed, once };
+                self.send_command(chain, Command::Send(send));
             }
             Effect::CallTool { chain, turn, call, tool, attempt, timeout } => {
-                self.mail(chain, Mail::CallTool { turn, call, tool, attempt, timeout });
+                self.send_command(chain, Command::CallTool { turn, call, tool, attempt, timeout });
             }
             Effect::Cancel { chain, turn, attempt, .. } => {
-                if let Some(open) = self.open.get(&chain) {
-                    open.slot.cancel(OperationKey::Attempt { turn, attempt });
+                if let Some(request) = self.open_requests.get(&chain) {
+                    request.slot.cancel(OperationKey::Attempt { turn, attempt });
                 }
             }
             Effect::CancelTool { chain, turn, call } => {
-                if let Some(open) = self.open.get(&chain) {
-                    open.slot.cancel(OperationKey::Tool { turn, call });
+                if let Some(request) = self.open_requests.get(&chain) {
+                    request.slot.cancel(OperationKey::Tool { turn, call });
                 }
             }
             Effect::Release { chain, turn, attempt, server } => {
-                let rid = self.open.get(&chain).map(|open| format!("{}/{turn}/{attempt}", open.rid));
+                let rid =
+                    self.open_requests.get(&chain).map(|request| format!("{}/{turn}/{attempt}", request.rid));
                 if let Some(rid) = rid {
-                    release(&self.shared, server, rid);
+                    release_state(&self.shared, server, rid);
                 }
             }
-            Effect::Probe { server } => probe(&self.shared, server),
+            Effect::Probe { server } => probe_server(&self.shared, server),
             Effect::Answer { chain, last } => {
-                if let Some(open) = self.open.get(&chain) {
-                    tracing::info!(target: "request", rid = %open.rid, ?last, "ended");
+                if let Some(request) = self.open_requests.get(&chain) {
+                    tracing::info!(target: "request", rid = %request.rid, ?last, "request ended");
                 }
-                self.mail(chain, Mail::Last(last));
+                self.send_command(chain, Command::Last(last));
             }
             Effect::Forget { chain } => {
-                self.open.remove(&chain);
+                self.open_requests.remove(&chain);
             }
         }
     }
@@ -152,17 +164,17 @@
 
     fn handle(&mut self, now: Micros, input: Input) -> bool {
         match input {
-            Input::Open { submit, rid, mail, slot } => {
-                tracing::debug!(target: "request", %rid, route = submit.route, "taken");
-                self.open.insert(submit.chain, Open { rid, mail, slot });
-                self.event(now, Event::Submit(submit));
+            Input::NewRequest { submit, rid, commands, slot } => {
+                tracing::debug!(target: "request", %rid, route = submit.route, "request accepted");
+                self.open_requests.insert(submit.chain, OpenRequest { rid, commands, slot });
+                self.handle_core_event(now, Event::Submit(submit));
             }
-            Input::Core(event) => self.event(now, event),
-            Input::Report { server, report } => {
+            Input::Core(event) => self.handle_core_event(now, event),
+            Input::LoadReport { server, report } => {
                 if let Some(started) = report.named(orca::STARTED).filter(|started| *started > 0.0) {
-                    let at = ClockMap::read(self.shared.clock).front_time(started);
+                    let at = ClockMapping::read(self.shared.clock).front_time(started);
                     let long_ago = now.saturating_sub(self.shared.config.rules.cold_for);
-                    self.event(now, Event::Started { server, at, long_ago });
+                    self.handle_core_event(now, Event::Started { server, at, long_ago });
                 }
             }
             Input::Status(reply) => {
@@ -171,10 +183,10 @@
                     held: self.core.held(),
                     draining: self.core.draining(),
                 };
-                // Whoever asked may have stopped waiting.
+                // The caller may have stopped waiting.
                 let _ = reply.try_send(status);
             }
-            Input::End => return false,
+            Input::Stop => return false,
         }
         true
     }
@@ -186,37 +198,40 @@
     fn wake(&mut self, now: Micros) {
         let mut effects = std::mem::take(&mut self.effects);
         self.core.wake(now, &mut effects);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 }
 
-/// Tells a reader to let go of a state, within the time that the rule allows; harmless to say again.
-fn release(shared: &Arc<Shared>, server: ServerId, rid: String) {
+/// Tells a reader to release the KV state of a request, within the configured time. The request can be repeated
+/// without harm.
+fn release_state(shared: &Arc<Shared>, server: ServerId, rid: String) {
     let shared = shared.clone();
     go(move || {
         let body = serde_json::json!({"rid": rid}).to_string();
-        let time = Duration::from_micros(shared.config.rules.let_go / RELEASE_TRIES);
-        let headers = [("content-type", "application/json"), ("via", shared.site.via.as_str())];
-        for _ in 0..RELEASE_TRIES {
-            let done = shared.pool.exchange(&server, "POST", engine::ABORT, &headers, body.as_bytes(), time);
-            match done {
+        let timeout = Duration::from_micros(shared.config.rules.let_go / MAX_RELEASE_TRIES);
+        let headers = [("content-type", "application/json"), ("via", shared.catalog.via.as_str())];
+        for _ in 0..MAX_RELEASE_TRIES {
+            let result =
+                shared.pool.exchange(&server, "POST", engine::ABORT, &headers, body.as_bytes(), timeout);
+            match result {
                 Ok(_) => return,
                 Err(error) => {
-                    tracing::debug!(target: "request", %rid, server = %server.0, %error, "release not heard");
+                    tracing::debug!(target: "request", %rid, server = %server.0, %error, "release was not answered");
                 }
             }
         }
     });
 }
 
-fn probe(shared: &Arc<Shared>, server: ServerId) {
+/// Probes the health of a server and reports the result to the core.
+fn probe_server(shared: &Arc<Shared>, server: ServerId) {
     let shared = shared.clone();
     go(move || {
-        let begun = shared.clock.now();
-        let headers = [orca::ASK, ("via", shared.site.via.as_str())];
-        let time = Duration::from_micros(shared.config.rules.connect);
-        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH, &headers, b"", time);
-        let took = shared.clock.now() - begun;
+        let started_at = shared.clock.now();
+        let headers = [orca::ASK, ("via", shared.catalog.via.as_str())];
+        let timeout = Duration::from_micros(shared.config.rules.connect);
+        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH, &headers, b"", timeout);
+        let took = shared.clock.now() - started_at;
         let (evidence, report) = match answer {
             Ok(answer) if answer.head.status == 200 => {
                 (None, answer.head.headers.get(orca::HEADER).and_then(orca::parse))
@@ -225,17 +240,17 @@
             Err(ExchangeError::Net(NetError::TimedOut)) => (Some(Evidence::TimedOut), None),
             Err(_) => (Some(Evidence::NotConnected), None),
         };
-        let load = report.as_ref().map(plan::load);
+        let load = report.as_ref().map(plan::load_values);
         if let Some(report) = report {
-            shared.inbox.send(Input::Report { server: server.clone(), report });
+            shared.inbox.send(Input::LoadReport { server: server.clone(), report });
         }
         shared.inbox.send(Input::Core(Event::Probed { server, evidence, took, load }));
     });
 }
 
-/// The status as plain lines, one counter each.
-pub(crate) fn metrics(status: &Status, shared: &Shared) -> String {
-    let c = &status.counters;
+/// The text of `/metrics`: one line for each counter.
+pub(crate) fn render_metrics(status: &Status, shared: &Shared) -> String {
+    let counters = &status.counters;
     let mut lines = vec![
         format!("elderstage_requests_held {}", status.held),
         format!("elderstage_connections {}", shared.connections.load(Ordering::Relaxed)),
@@ -243,53 +258,53 @@
         format!("elderstage_events_waiting {}", shared.inbox.waiting()),
     ];
     for (name, value) in [
-        ("requests_taken", c.taken),
-        ("requests_turned_away", c.turned_away),
-        ("requests_served", c.served),
-        ("requests_refused", c.refused),
-        ("requests_failed", c.failed),
-        ("requests_left", c.gone),
-        ("legs", c.legs),
-        ("attempts", c.attempts),
-        ("releases", c.releases),
-        ("probes", c.probes),
-        ("tool_calls", c.tool_calls),
-        ("tool_retries", c.tool_retries),
-        ("tool_lost", c.tool_lost),
-        ("server_restarts_seen", c.restarts_seen),
+        ("requests_taken", counters.taken),
+        ("requests_turned_away", counters.turned_away),
+        ("requests_served", counters.served),
+        ("requests_refused", counters.refused),
+        ("requests_failed", counters.failed),
+        ("requests_left", counters.gone),
+        ("legs", counters.legs),
+        ("attempts", counters.attempts),
+        ("releases", counters.releases),
+        ("probes", counters.probes),
+        ("tool_calls", counters.tool_calls),
+        ("tool_retries", counters.tool_retries),
+        ("tool_lost", counters.tool_lost),
+        ("server_restarts_seen", counters.restarts_seen),
     ] {
         lines.push(format!("elderstage_{name}_total {value}"));
     }
-    let (a, (open, idle), failing, down) = shared.pool.counts();
+    let (connection_counters, (open, idle), failing, down) = shared.pool.counts();
     lines.push(format!("elderstage_engine_connections {open}"));
     lines.push(format!("elderstage_engine_connections_idle {idle}"));
     lines.push(format!("elderstage_addresses_failing {failing}"));
     for family in ["unix", "ipv6", "ipv4"] {
-        let is = u8::from(down.iter().any(|name| name == family));
-        lines.push(format!("elderstage_address_family_down{{family=\"{family}\"}} {is}"));
+        let value = u8::from(down.iter().any(|name| name == family));
+        lines.push(format!("elderstage_address_family_down{{family=\"{family}\"}} {value}"));
     }
     for (name, value) in [
-        ("waits_late", a.late),
-        ("waits_given_up", a.given_up),
-        ("dials", a.dials),
-        ("dials_failed", a.dials_failed),
-        ("dials_overtaken", a.overtaken),
-        ("dials_without_room", a.no_room),
-        ("connections_reused", a.reused),
-        ("connections_stale", a.stale),
-        ("proofs", a.proofs),
-        ("proofs_failed", a.proofs_failed),
-        ("address_trials", a.trials),
-        ("address_trials_failed", a.trials_failed),
-        ("address_families_down", a.families_down),
-        ("address_families_back", a.families_back),
+        ("waits_late", connection_counters.late),
+        ("waits_given_up", connection_counters.given_up),
+        ("dials", connection_counters.dials),
+        ("dials_failed", connection_counters.dials_failed),
+        ("dials_overtaken", connection_counters.overtaken),
+        ("dials_without_room", connection_counters.no_room),
+        ("connections_reused", connection_counters.reused),
+        ("connections_stale", connection_counters.stale),
+        ("proofs", connection_counters.proofs),
+        ("proofs_failed", connection_counters.proofs_failed),
+        ("address_trials", connection_counters.trials),
+        ("address_trials_failed", connection_counters.trials_failed),
+        ("address_families_down", connection_counters.families_down),
+        ("address_families_back", connection_counters.families_back),
     ] {
         lines.push(format!("elderstage_{name}_total {value}"));
     }
-    for (outcome, count) in &c.outcomes {
+    for (outcome, count) in &counters.outcomes {
         lines.push(format!("elderstage_attempts_ended_total{{outcome=\"{outcome}\"}} {count}"));
     }
-    for (reason, count) in &c.ended_for {
+    for (reason, count) in &counters.ended_for {
         lines.push(format!("elderstage_requests_ended_total{{reason=\"{reason:?}\"}} {count}"));
     }
     lines.push(String::new());
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -1,4 +1,6 @@
-//! The configuration, turned into what the core and the module take.
+//! Converts the configuration and the list of servers into the types of the core and of the routing module.
+//!
+//! It reads no files and checks nothing: the configuration was checked when it was parsed.
 
 use std::collections::HashMap;
 use std::sync::RwLock;
@@ -13,25 +15,26 @@
 use elderstage_core::{ClassPlan, Limits, Plan, RoutePlan, ToolPlan};
 use elderstage_protocol::{mcp, orca};
 
-/// Shortest time between two looks at what is held; the module's timers are no finer.
-const TICK: Time = 2_000;
+/// Shortest interval between two checks of the held requests; the resolution of the routing module's timers. In
+/// microseconds.
+const TICK_US: Time = 2_000;
 
-/// Order of the values in a load report, as the module is told it.
-const REPORT: [ReportField; 4] =
+/// Order of the values of a load report in the routing module's settings; [`load_values`] follows it.
+const REPORT_FIELDS: [ReportField; 4] =
     [ReportField::Busy, ReportField::Queue, ReportField::MemoryShare, ReportField::PendingThousands];
 
-/// A report as the module takes it.
-pub(crate) fn load(report: &orca::Report) -> Vec<f64> {
-    let named = |name| report.named(name).unwrap_or(0.0);
+/// The values of a load report in the order of [`REPORT_FIELDS`].
+pub(crate) fn load_values(report: &orca::Report) -> Vec<f64> {
+    let metric_or_zero = |name| report.named(name).unwrap_or(0.0);
     vec![
         report.application_utilization,
-        named(orca::WAITING),
-        named(orca::KV_USAGE),
-        named(orca::PENDING_TOKENS) / 1000.0,
+        metric_or_zero(orca::WAITING),
+        metric_or_zero(orca::KV_USAGE),
+        metric_or_zero(orca::PENDING_TOKENS) / 1000.0,
     ]
 }
 
-fn repeat(name: RepeatName) -> Repeat {
+fn repeat_policy(name: RepeatName) -> Repeat {
     match name {
         RepeatName::Safe => Repeat::Safe,
         RepeatName::Unsafe => Repeat::Unsafe,
@@ -46,12 +49,12 @@
     }
 }
 
-/// The configuration as the core and the module take it.
+/// Converts the configuration to the plan of the core, including the settings of the routing module.
 pub fn plan(config: &Config) -> Plan {
     let rules = &config.rules;
     let zone = config.zones.iter().position(|zone| *zone == config.front.zone).unwrap_or(0) as u32;
     let class = |class: &elderstage_config::ClassConfig| Class {
-        repeat: repeat(class.repeat),
+        repeat: repeat_policy(class.repeat),
         ttft_aim: class.first_token,
         ttft_aim_per_1000: class.first_token_per_1000 as f64,
         tpot_aim: class.token_gap as f64,
@@ -67,7 +70,7 @@
         me: config.front.number,
         zone,
         fronts: config.front.fronts,
-        tick: TICK,
+        tick: TICK_US,
         classes: config.classes.iter().map(class).collect(),
         tenants: Vec::new(),
         over_share_worth: 0.0,
@@ -78,7 +81,7 @@
         resume: false,
         let_go_by: rules.let_go,
         discovery: Discovery::Pushed,
-        report_fields: REPORT.to_vec(),
+        report_fields: REPORT_FIELDS.to_vec(),
         reports_in_answers: rules.reports_in_answers,
         may_cancel: true,
         may_probe: rules.probes,
@@ -96,7 +99,7 @@
         tip_after: rules.tip_after,
     };
     let classes = config.classes.iter().map(|class| ClassPlan {
-        repeat: repeat(class.repeat),
+        repeat: repeat_policy(class.repeat),
         give_up: class.give_up,
         give_up_per_1000: class.give_up_per_1000 as f64,
         total: class.total,
@@ -107,11 +110,11 @@
         timeout: tool.timeout,
         tries: tool.tries,
     });
-    let find = |name: &str| config.tools.iter().position(|tool| tool.name == name);
+    let tool_index = |name: &str| config.tools.iter().position(|tool| tool.name == name);
     let routes = config.routes.iter().map(|route| RoutePlan {
         name: route.name.clone(),
         class: config.classes.iter().position(|class| class.name == route.class).unwrap_or(0),
-        tools: route.tools.iter().filter_map(|name| find(name)).collect(),
+        tools: route.tools.iter().filter_map(|name| tool_index(name)).collect(),
         max_tokens: f64::from(route.max_tokens),
         most_legs: route.most_turns,
     });
@@ -128,54 +131,60 @@
     }
 }
 
-/// Bounds on connections.
-pub(crate) fn bounds(config: &Config) -> Bounds {
-    let c = &config.connections;
+/// The bounds on connections that the configuration sets.
+pub(crate) fn connection_bounds(config: &Config) -> Bounds {
+    let connections = &config.connections;
     Bounds {
-        dials_per_s: c.dials_per_s,
-        dials_at_once: c.dials_at_once,
-        per_server: c.per_server,
-        in_all: c.in_all,
-        idle_each: c.idle_each,
-        idle_for: c.idle,
-        age: c.age,
-        uses: c.uses,
+        dials_per_s: connections.dials_per_s,
+        dials_at_once: connections.dials_at_once,
+        per_server: connections.per_server,
+        in_all: connections.in_all,
+        idle_each: connections.idle_each,
+        idle_for: connections.idle,
+        age: connections.age,
+        uses: connections.uses,
         grace: config.rules.drain_grace,
     }
 }
 
-/// Names that the configuration and the list of servers give.
-pub(crate) struct Site {
-    /// As `tools/list` shows the routes.
+/// The routes as MCP tools, the name of this front, and how connections to each server are proven.
+pub(crate) struct Catalog {
+    /// The routes, as `tools/list` shows them.
     pub tools: Vec<mcp::Tool>,
-    /// What this front calls itself to engines (RFC 9110, 7.6.3).
+    /// Value of the `Via` header in requests to engines (RFC 9110, 7.6.3).
     pub via: String,
     proofs: RwLock<HashMap<ServerId, Proof>>,
 }
 
-impl Site {
-    pub fn new(config: &Config) -> Site {
-        let effect = |name: &String| config.tools.iter().any(|tool| tool.effect && tool.name == *name);
-        let tool = |route: &elderstage_config::RouteConfig| mcp::Tool {
+impl Catalog {
+    /// The catalog of a configuration; no server is listed yet.
+    pub fn new(config: &Config) -> Catalog {
+        let has_effect = |name: &String| config.tools.iter().any(|tool| tool.effect && tool.name == *name);
+        let route_tool = |route: &elderstage_config::RouteConfig| mcp::Tool {
             name: route.name.clone(),
             description: route.description.clone(),
-            read_only: !route.tools.iter().any(effect),
+            read_only: !route.tools.iter().any(has_effect),
         };
-        Site {
-            tools: config.routes.iter().map(tool).collect(),
+        Catalog {
+            tools: config.routes.iter().map(route_tool).collect(),
             via: format!("1.1 {} ({})", config.front.name, config.front.zone),
             proofs: RwLock::default(),
         }
     }
 
-    /// How a connection to this server is proven; without, where no list has named it.
-    pub fn proof(&self, server: &ServerId) -> Proof {
+    /// How connections to this server are proven. Servers that are not listed need no proof.
+    pub fn proof_for(&self, server: &ServerId) -> Proof {
         let proofs = self.proofs.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         proofs.get(server).copied().unwrap_or(Proof::None)
     }
 
-    /// Takes a list of servers, and gives the entries for the module.
-    pub fn list(&self, config: &Config, servers: &[ServerConfig], clock: ClockMap) -> Vec<Entry> {
+    /// Replaces the list of servers and returns the entries for the routing module.
+    pub fn update_servers(
+        &self,
+        config: &Config,
+        servers: &[ServerConfig],
+        clock_mapping: ClockMapping,
+    ) -> Vec<Entry> {
         let mut proofs = self.proofs.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         proofs.clear();
         for server in servers {
@@ -187,11 +196,11 @@
             };
             proofs.insert(ServerId(server.name.as_str().into()), proof);
         }
-        entries(config, servers, |unix| clock.front_time(unix))
+        entries(config, servers, |unix| clock_mapping.front_time(unix))
     }
 }
 
-/// A list of servers as the module takes it. `front_time` maps Unix times to the front's clock.
+/// Converts a list of servers to the entries of the routing module. `front_time` maps Unix times to the front's clock.
 pub fn entries(config: &Config, servers: &[ServerConfig], front_time: impl Fn(f64) -> Time) -> Vec<Entry> {
     let entry = |server: &ServerConfig| Entry {
         server: ServerId(server.name.as_str().into()),
@@ -209,24 +218,26 @@
     servers.iter().map(entry).collect()
 }
 
-/// Unix time and the front's clock at one moment.
+/// The Unix time and the front's clock at the same moment; converts Unix times to the front's clock.
 #[derive(Clone, Copy)]
-pub(crate) struct ClockMap {
-    pub unix: f64,
-    pub now: Micros,
+pub(crate) struct ClockMapping {
+    pub unix_s: f64,
+    pub front_now: Micros,
 }
 
-impl ClockMap {
-    pub fn read(clock: elderstage_net::owner::Clock) -> ClockMap {
+impl ClockMapping {
+    /// Reads both clocks.
+    pub fn read(clock: elderstage_net::owner::Clock) -> ClockMapping {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        ClockMap { unix: unix.as_secs_f64(), now: clock.now() }
+        ClockMapping { unix_s: unix.as_secs_f64(), front_now: clock.now() }
     }
 
-    /// A Unix time in seconds on the front's clock; 0, for long ago, where it is unknown or before the clock.
-    pub fn front_time(self, unix: f64) -> Time {
-        if unix <= 0.0 {
+    /// Converts a Unix time in seconds to the front's clock. Returns 0 (long ago) if the time is unknown or lies before
+    /// the clock's start.
+    pub fn front_time(self, unix_s: f64) -> Time {
+        if unix_s <= 0.0 {
             return 0;
         }
-        (self.now as f64 + (unix - self.unix) * 1e6).max(0.0) as Time
+        (self.front_now as f64 + (unix_s - self.unix_s) * 1e6).max(0.0) as Time
     }
 }
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -13,14 +13,14 @@
 use elderstage_core::Event;
 
 use crate::owner::Input;
-use crate::plan::ClockMap;
+use crate::plan::ClockMapping;
 use crate::{Shared, StartError};
 
 /// How often the file is looked at: news takes this long at most, a twentieth of a usual drain grace.
 const LOOK: Duration = Duration::from_millis(100);
 
 fn hand_over(shared: &Shared, servers: &[ServerConfig]) {
-    let entries = shared.site.list(&shared.config, servers, ClockMap::read(shared.clock));
+    let entries = shared.catalog.update_servers(&shared.config, servers, ClockMapping::read(shared.clock));
     let listed = |server: &ServerConfig| {
         let leaves = server.state != StateName::Running;
         (ServerId(server.name.as_str().into()), server.places.clone(), leaves)
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -134,7 +134,7 @@
         let mut headers = headers(&session);
         headers.push(("x-request-id", call.rid.as_str()));
         headers.push(("idempotency-key", call.key.as_str()));
-        headers.push(("via", shared.site.via.as_str()));
+        headers.push(("via", shared.catalog.via.as_str()));
         if send(conn, "POST", &self.to, &headers, body.as_bytes()).is_err() {
             return Said::End(ToolEnd::Unknown);
         }
