--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -1,7 +1,7 @@
 //! Connections of clients: reads HTTP requests from the socket in order, and runs a coroutine for each tool call.
 //!
-//! Two coroutines share the connection during a call: one reads the socket and notices that the client has left, the
-//! other carries out the owner's commands and writes the response. Neither decides anything about the request.
+//! Two coroutines share the connection during a call: one reads the socket and notices that the client has left,
+//! the other carries out the owner's commands and writes the response. Neither decides anything about the request.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -131,8 +131,8 @@
         if !self.shared.inbox.send(Input::Status(reply)) {
             return None;
         }
-        // The owner answers as soon as it reaches the request in its queue. Polling keeps the coroutine from blocking
-        // its worker thread meanwhile.
+        // The owner answers as soon as it reaches the request in its queue. Polling keeps the coroutine from
+        // blocking its worker thread meanwhile.
         for _ in 0..200 {
             if let Ok(status) = status_receiver.try_recv() {
                 return Some(owner::render_metrics(&status, self.shared));
@@ -225,7 +225,7 @@
         let chain = ChainId(self.shared.next_chain.fetch_add(1, Ordering::Relaxed));
         let session_id = head.headers.get(codec::SESSION_HEADER).map(str::to_owned);
         if let Some(session_id) = &session_id
-            && !self.shared.sessions.begin(session_id, id.clone(), chain)
+            && !self.shared.sessions.begin_call(session_id, id.clone(), chain)
         {
             let error = elderstage_protocol::jsonrpc::RpcError::new(
                 elderstage_protocol::jsonrpc::INVALID_REQUEST,
@@ -315,7 +315,7 @@
 impl Drop for ActiveCallGuard {
     fn drop(&mut self) {
         if let Some(session) = &self.session {
-            self.shared.sessions.end(session, &self.id);
+            self.shared.sessions.end_call(session, &self.id);
         }
         self.shared.active.fetch_sub(1, Ordering::SeqCst);
     }
@@ -520,10 +520,10 @@
         let arguments = serde_json::from_str(&tool_call.function.arguments).ok().filter(Value::is_object);
         let tool_try = tools::ToolCall {
             rid: format!("{}/{turn}/t{call}.{attempt}", self.rid),
-            key: format!("{}/{turn}/t{call}", self.rid),
+            idempotency_key: format!("{}/{turn}/t{call}", self.rid),
             arguments: arguments.unwrap_or_else(|| serde_json::json!({})),
             slot,
-            slot_key: OperationKey::Tool { turn, call },
+            operation: OperationKey::Tool { turn, call },
             timeout: Duration::from_micros(timeout),
         };
         let (end, text) = client.call(self.shared, &tool_try);
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -1,8 +1,8 @@
 //! One attempt at an engine: connects or reuses a connection, sends the request, reads the response and reports the
 //! evidence.
 //!
-//! Whether the attempt is repeated is the core's decision. A connection is reused only after a response that was read
-//! to its end.
+//! Whether the attempt is repeated is the core's decision. A connection is reused only after a response that was
+//! read to its end.
 
 use std::time::{Duration, Instant};
 
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -1,13 +1,13 @@
 //! The pool of connections to engines and tool servers.
 //!
 //! This module opens, proves, reuses and closes connections. The decisions (which address to dial, when to prove a
-//! connection, which idle one to reuse) are made by `Addresses` of the core. To prove a connection is to check, before
-//! a request is sent on it, that the server behind it responds.
+//! connection, which idle one to reuse) are made by `Addresses` of the core. To prove a connection is to check,
+//! before a request is sent on it, that the server behind it responds.
 //!
-//! Each dial and each proof runs in its own coroutine, since the coroutine of a request waits for several of them at
-//! once. They report their results to `Addresses`, which is protected by a mutex. The mutex is held for a few
-//! instructions and never during I/O. `Addresses` is not part of the owner's state, because the order of addresses is
-//! needed where the connection is made: a round trip to the owner would double the path of each attempt.
+//! Each dial and each proof runs in its own coroutine, since the coroutine of a request waits for several of them
+//! at once. They report their results to `Addresses`, which is protected by a mutex. The mutex is held for a few
+//! instructions and never during I/O. `Addresses` is not part of the owner's state, because the order of addresses
+//! is needed where the connection is made: a round trip to the owner would double the path of each attempt.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
@@ -134,8 +134,8 @@
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `f` on the address state. Connections that the core wants closed are dropped after the lock is released,
-    /// since dropping one takes the lock again.
+    /// Runs `f` on the address state. Connections that the core wants closed are dropped after the lock is
+    /// released, since dropping one takes the lock again.
     fn with_addresses<T>(&self, f: impl FnOnce(&mut Addresses<PooledConn>, Time) -> T) -> T {
         let now = self.clock.now();
         let mut addresses = self.addresses();
@@ -244,8 +244,8 @@
     ) -> Result<Answer, ExchangeError> {
         let deadline = Instant::now() + timeout;
         let time = timeout.as_micros() as Time;
-        // An address that is not proven at present is proven by a health request. Every server that `exchange` is used
-        // with serves that path.
+        // An address that is not proven at present is proven by a health request. Every server that `exchange` is
+        // used with serves that path.
         let ask = Ask { once: false, proof: Proof::Health, connect: self.connect_timeout_us, time };
         let request = ConnectRequest { server, ask, path, headers, body_bytes: body.len(), slot: None };
         let ConnectOutcome::Connected(mut pooled, _) = self.connect(&request) else {
@@ -280,7 +280,8 @@
             std::thread::sleep(MAINTENANCE_INTERVAL);
             let due = self.with_addresses(|addresses, now| addresses.tend(now, self.connect_timeout_us));
             for wait_id in due.give_up {
-                // Removed before the shutdown: the waiting coroutine recognizes by this that the pool ended its wait.
+                // Removed before the shutdown: the waiting coroutine recognizes by this that the pool ended its
+                // wait.
                 if let Some(socket) = self.waiting().remove(&wait_id) {
                     socket.shut();
                 }
--- a/crates/front/src/mcp.rs
+++ b/crates/front/src/mcp.rs
@@ -49,15 +49,15 @@
         return Some((400, "protocol version not served"));
     }
     if let Some(session) = head.headers.get(mcp::SESSION_HEADER)
-        && !shared.sessions.known(session)
+        && !shared.sessions.contains(session)
     {
         return Some((404, "no such session"));
     }
     None
 }
 
-/// Whether an `Origin` is the local machine. This protects a front that runs on the machine of a browser from pages of
-/// other sites (DNS rebinding).
+/// Whether an `Origin` is the local machine. This protects a front that runs on the machine of a browser from pages
+/// of other sites (DNS rebinding).
 fn is_local_origin(origin: &str) -> bool {
     let host = origin.split_once("://").map_or(origin, |(_, host)| host);
     let name = match host.strip_prefix('[') {
@@ -80,7 +80,7 @@
         Ok(Message::Notification { method, params }) => {
             if method == "notifications/cancelled"
                 && let Some(id) = mcp::cancelled_id(&params)
-                && let Some(chain) = session.and_then(|session| shared.sessions.find(session, &id))
+                && let Some(chain) = session.and_then(|session| shared.sessions.find_call(session, &id))
             {
                 shared.inbox.send(crate::owner::Input::Core(Event::ClientGone { chain }));
             }
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -1,8 +1,8 @@
 //! The owner of the core: the single thread that passes events to the core and carries out the effects.
 //!
-//! Events come from all coroutines and threads of the front through one queue. Effects become commands to the coroutine
-//! of a request, cancellations, or requests to engines that run in coroutines of their own. The owner itself waits
-//! for no I/O.
+//! Events come from all coroutines and threads of the front through one queue. Effects become commands to the
+//! coroutine of a request, cancellations, or requests to engines that run in coroutines of their own. The owner
+//! itself waits for no I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -200,7 +200,8 @@
     }
 }
 
-/// Converts a list of servers to the entries of the routing module. `front_time` maps Unix times to the front's clock.
+/// Converts a list of servers to the entries of the routing module. `front_time` maps Unix times to the front's
+/// clock.
 pub fn entries(config: &Config, servers: &[ServerConfig], front_time: impl Fn(f64) -> Time) -> Vec<Entry> {
     let entry = |server: &ServerConfig| Entry {
         server: ServerId(server.name.as_str().into()),
@@ -232,8 +233,8 @@
         ClockMapping { unix_s: unix.as_secs_f64(), front_now: clock.now() }
     }
 
-    /// Converts a Unix time in seconds to the front's clock. Returns 0 (long ago) if the time is unknown or lies before
-    /// the clock's start.
+    /// Converts a Unix time in seconds to the front's clock. Returns 0 (long ago) if the time is unknown or lies
+    /// before the clock's start.
     pub fn front_time(self, unix_s: f64) -> Time {
         if unix_s <= 0.0 {
             return 0;
--- a/crates/front/src/sessions/tests.rs
+++ b/crates/front/src/sessions/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn an_id_is_in_use_until_its_call_has_ended() {
+fn a_call_id_stays_in_use_until_its_call_ends() {
     let sessions = Sessions::new(1);
-    let (one, two) = (sessions.open(), sessions.open());
-    assert_ne!(one, two);
+    let (first, second) = (sessions.open(), sessions.open());
+    assert_ne!(first, second);
     let id = Id::Number(7);
-    assert!(sessions.begin(&one, id.clone(), ChainId(1)));
-    assert!(!sessions.begin(&one, id.clone(), ChainId(2)));
-    assert!(sessions.begin(&two, id.clone(), ChainId(3)), "ids are each session's own");
-    assert_eq!(sessions.find(&one, &id), Some(ChainId(1)));
-    sessions.end(&one, &id);
-    assert_eq!(sessions.find(&one, &id), None);
-    assert_eq!(sessions.close(&two), Some(vec![ChainId(3)]));
-    assert!(!sessions.known(&two) && sessions.known(&one));
+    assert!(sessions.begin_call(&first, id.clone(), ChainId(1)));
+    assert!(!sessions.begin_call(&first, id.clone(), ChainId(2)));
+    assert!(sessions.begin_call(&second, id.clone(), ChainId(3)), "another session may use the same id");
+    assert_eq!(sessions.find_call(&first, &id), Some(ChainId(1)));
+    sessions.end_call(&first, &id);
+    assert_eq!(sessions.find_call(&first, &id), None);
+    assert_eq!(sessions.close(&second), Some(vec![ChainId(3)]));
+    assert!(!sessions.contains(&second) && sessions.contains(&first));
 }
--- a/crates/front/src/slot.rs
+++ b/crates/front/src/slot.rs
@@ -1,7 +1,7 @@
 //! The cancellation slot of a request: holds what is needed to cancel the operation that its coroutine runs now.
 //!
-//! The coroutine registers each operation and its socket here; the owner cancels it from its own thread. A request has
-//! at most one operation at a time. A cancellation that comes before its operation begins is kept until then.
+//! The coroutine registers each operation and its socket here; the owner cancels it from its own thread. A request
+//! has at most one operation at a time. A cancellation that comes before its operation begins is kept until then.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -1,4 +1,7 @@
 //! Calls to tool servers: the front as an MCP client over Streamable HTTP.
+//!
+//! A client makes one try of a call and reports whether the tool has run, has not run or may have run. Whether
+//! there is another try is the core's decision.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -17,17 +20,18 @@
 use crate::links::{ConnectOutcome, ConnectRequest};
 use crate::slot::{CancelSlot, OperationKey};
 
-/// One tool, and the session with its server.
+/// The client of one tool, with the MCP session at its server.
 pub(crate) struct ToolClient {
     pub name: String,
-    /// Its server among the engines': no engine's name has a space.
+    /// Id of its server in the connection pool. It contains a space, so that it never equals the name of an engine.
     pub server: ServerId,
-    to: Endpoint,
-    connect: u64,
+    endpoint: Endpoint,
+    connect_timeout_us: u64,
     session: Mutex<Option<Session>>,
-    next: AtomicI64,
+    next_id: AtomicI64,
 }
 
+/// An MCP session at a tool server.
 #[derive(Clone, Default)]
 struct Session {
     id: Option<String>,
@@ -37,139 +41,144 @@
 /// One try of a call.
 pub(crate) struct ToolCall<'a> {
     pub rid: String,
-    /// The same for all tries of one call.
-    pub key: String,
+    /// Idempotency key, the same for all tries of one call.
+    pub idempotency_key: String,
     pub arguments: Value,
     pub slot: &'a CancelSlot,
-    pub slot_key: OperationKey,
+    pub operation: OperationKey,
     pub timeout: Duration,
 }
 
-enum Said {
+/// Result of one try.
+enum CallOutcome {
     Text(mcp::ToolText),
     End(ToolEnd),
 }
 
 impl ToolClient {
-    /// The address of its server.
-    pub fn place(&self) -> Place {
-        self.to.place.clone()
+    /// The address of the tool server.
+    pub fn address(&self) -> Place {
+        self.endpoint.place.clone()
     }
 
+    /// The client of a configured tool; no session is open yet.
     pub fn new(tool: &ToolConfig, config: &Config) -> ToolClient {
         ToolClient {
             name: tool.name.clone(),
             server: ServerId(format!("tool {}", tool.name).into()),
-            to: Endpoint::new(tool.addr, tool.path.clone()),
-            connect: config.rules.connect,
+            endpoint: Endpoint::new(tool.addr, tool.path.clone()),
+            connect_timeout_us: config.rules.connect,
             session: Mutex::default(),
-            next: AtomicI64::new(1),
+            next_id: AtomicI64::new(1),
         }
     }
 
-    fn id(&self) -> Id {
-        Id::Number(self.next.fetch_add(1, Ordering::Relaxed))
+    fn allocate_id(&self) -> Id {
+        Id::Number(self.next_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn known(&self) -> Option<Session> {
+    fn current_session(&self) -> Option<Session> {
         self.session.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn know(&self, session: Option<Session>) {
+    fn set_session(&self, session: Option<Session>) {
         *self.session.lock().unwrap_or_else(PoisonError::into_inner) = session;
     }
 
-    /// Makes one try. The text is there when the end is a result.
+    /// Makes one try, unless it was cancelled before. The text is present if the tool gave a result.
     pub fn call(&self, shared: &Shared, call: &ToolCall<'_>) -> (ToolEnd, Option<String>) {
-        if !call.slot.begin(call.slot_key) {
-            call.slot.end(call.slot_key);
+        if !call.slot.begin(call.operation) {
+            call.slot.end(call.operation);
             return (ToolEnd::NotRun, None);
         }
-        let end = Instant::now() + call.timeout;
-        let said = self.once(shared, call, end);
-        call.slot.end(call.slot_key);
-        match said {
-            Said::Text(result) => {
+        let deadline = Instant::now() + call.timeout;
+        let outcome = self.send_call(shared, call, deadline);
+        call.slot.end(call.operation);
+        match outcome {
+            CallOutcome::Text(result) => {
                 let text = if result.is_error { format!("error: {}", result.text) } else { result.text };
                 (ToolEnd::Result { bytes: text.len() }, Some(text))
             }
-            Said::End(end) => (end, None),
+            CallOutcome::End(end) => (end, None),
         }
     }
 
-    fn once(&self, shared: &Shared, call: &ToolCall<'_>, end: Instant) -> Said {
-        let left = || end.saturating_duration_since(Instant::now());
-        let time = left().as_micros() as u64;
-        let ask = Ask { once: false, proof: Proof::None, connect: self.connect, time };
+    /// Gets a connection and a session, sends the call and reads the answer.
+    fn send_call(&self, shared: &Shared, call: &ToolCall<'_>, deadline: Instant) -> CallOutcome {
+        let time_left = || deadline.saturating_duration_since(Instant::now());
+        let time = time_left().as_micros() as u64;
+        let ask = Ask { once: false, proof: Proof::None, connect: self.connect_timeout_us, time };
         let connect_request = ConnectRequest {
             server: &self.server,
             ask,
-            path: &self.to.path,
+            path: &self.endpoint.path,
             headers: &[],
             body_bytes: 0,
-            slot: Some((call.slot, call.slot_key)),
+            slot: Some((call.slot, call.operation)),
         };
         let ConnectOutcome::Connected(mut pooled, _) = shared.pool.connect(&connect_request) else {
-            return Said::End(ToolEnd::NotRun);
+            return CallOutcome::End(ToolEnd::NotRun);
         };
-        if !call.slot.set_connected(call.slot_key, pooled.conn.socket()) {
-            return Said::End(ToolEnd::NotRun);
+        if !call.slot.set_connected(call.operation, pooled.conn.socket()) {
+            return CallOutcome::End(ToolEnd::NotRun);
         }
         let conn = &mut pooled.conn;
-        conn.set_deadline(Some(end));
-        conn.set_write_timeout(Some(left()));
-        let session = match self.known() {
+        conn.set_deadline(Some(deadline));
+        conn.set_write_timeout(Some(time_left()));
+        let session = match self.current_session() {
             Some(session) => session,
             None => match self.initialize(conn) {
                 Some(session) => {
-                    self.know(Some(session.clone()));
+                    self.set_session(Some(session.clone()));
                     session
                 }
-                // Nothing was called yet.
-                None => return Said::End(ToolEnd::NotRun),
+                // The call was not sent.
+                None => return CallOutcome::End(ToolEnd::NotRun),
             },
         };
-        let id = self.id();
-        let body = mcp::call_request(&id, &self.name, &call.arguments, &call.key);
-        let mut headers = headers(&session);
+        let id = self.allocate_id();
+        let body = mcp::call_request(&id, &self.name, &call.arguments, &call.idempotency_key);
+        let mut headers = session_headers(&session);
         headers.push(("x-request-id", call.rid.as_str()));
-        headers.push(("idempotency-key", call.key.as_str()));
+        headers.push(("idempotency-key", call.idempotency_key.as_str()));
         headers.push(("via", shared.catalog.via.as_str()));
-        if send(conn, "POST", &self.to, &headers, body.as_bytes()).is_err() {
-            return Said::End(ToolEnd::Unknown);
+        if send(conn, "POST", &self.endpoint, &headers, body.as_bytes()).is_err() {
+            return CallOutcome::End(ToolEnd::Unknown);
         }
-        let (said, again) = answer(conn, &id);
-        if matches!(said, Said::End(ToolEnd::NotRun)) {
-            // The next try opens a session anew; whether there is one is the core's to say.
-            self.know(None);
+        let (outcome, is_reusable) = read_call_answer(conn, &id);
+        if matches!(outcome, CallOutcome::End(ToolEnd::NotRun)) {
+            // The next try, if the core decides on one, opens a new session.
+            self.set_session(None);
         }
-        if again {
+        if is_reusable {
             shared.pool.put_back(*pooled);
         }
-        said
+        outcome
     }
 
+    /// Opens a session: `initialize`, then `notifications/initialized`.
     fn initialize(&self, conn: &mut Conn) -> Option<Session> {
-        let id = self.id();
+        let id = self.allocate_id();
         let body = mcp::initialize_request(&id, "elderstage", env!("CARGO_PKG_VERSION"));
-        send(conn, "POST", &self.to, &headers(&Session::default()), body.as_bytes()).ok()?;
+        send(conn, "POST", &self.endpoint, &session_headers(&Session::default()), body.as_bytes()).ok()?;
         let answer = receive(conn).ok().filter(|answer| answer.head.status == 200)?;
         let Ok(Message::Response { result: Ok(result), .. }) =
-            jsonrpc::parse(&message(&answer.head, &answer.body)?)
+            jsonrpc::parse(&extract_message(&answer.head, &answer.body)?)
         else {
             return None;
         };
         let version = result.get("protocolVersion").and_then(Value::as_str)?.to_owned();
         let session =
             Session { id: answer.head.headers.get(mcp::SESSION_HEADER).map(str::to_owned), version };
-        let told = jsonrpc::notification("notifications/initialized", serde_json::json!({}));
-        send(conn, "POST", &self.to, &headers(&session), told.as_bytes()).ok()?;
+        let notification = jsonrpc::notification("notifications/initialized", serde_json::json!({}));
+        send(conn, "POST", &self.endpoint, &session_headers(&session), notification.as_bytes()).ok()?;
         receive(conn).ok()?;
         Some(session)
     }
 }
 
-fn headers(session: &Session) -> Vec<(&str, &str)> {
+/// Headers of every request in a session.
+fn session_headers(session: &Session) -> Vec<(&str, &str)> {
     let mut headers =
         vec![("content-type", "application/json"), ("accept", "application/json, text/event-stream")];
     if let Some(id) = &session.id {
@@ -181,35 +190,37 @@
     headers
 }
 
-/// The JSON-RPC message of an answer's body, whichever of the two forms it has.
-fn message(head: &http::Response, body: &[u8]) -> Option<Vec<u8>> {
+/// Extracts the JSON-RPC message from the body of an answer, which is JSON or an event stream.
+fn extract_message(head: &http::Response, body: &[u8]) -> Option<Vec<u8>> {
     if !head.headers.get("content-type")?.starts_with("text/event-stream") {
         return Some(body.to_vec());
     }
     let (mut parser, mut events) = (sse::Parser::default(), Vec::new());
     parser.push(body, &mut events).ok()?;
-    // Notifications may come before the response, which is the last message.
+    // Notifications may precede the response, which is the last message.
     events.pop().map(|event| event.data.into_bytes())
 }
 
-/// Reads the answer to a call; also whether the connection can be used again.
-fn answer(conn: &mut Conn, id: &Id) -> (Said, bool) {
+/// Reads the answer to a call from the socket. The flag tells whether the connection can be reused.
+fn read_call_answer(conn: &mut Conn, id: &Id) -> (CallOutcome, bool) {
     let answer = match receive(conn) {
         Ok(answer) => answer,
         Err(NetError::TimedOut | NetError::Closed | NetError::Io(_) | NetError::Http(_)) => {
-            return (Said::End(ToolEnd::Unknown), false);
+            return (CallOutcome::End(ToolEnd::Unknown), false);
         }
     };
-    let again = answer.head.keep_alive;
+    let is_reusable = answer.head.keep_alive;
     if let Some(end) = tool_status(answer.head.status) {
-        return (Said::End(end), again);
+        return (CallOutcome::End(end), is_reusable);
     }
-    let said = match message(&answer.head, &answer.body).map(|bytes| jsonrpc::parse(&bytes)) {
-        Some(Ok(Message::Response { id: of, result })) if of == *id => match result {
-            Ok(result) => mcp::tool_text(&result).map_or(Said::End(ToolEnd::Unknown), Said::Text),
-            Err(error) => Said::End(rpc_error(error.code)),
+    let outcome = match extract_message(&answer.head, &answer.body).map(|bytes| jsonrpc::parse(&bytes)) {
+        Some(Ok(Message::Response { id: answered_id, result })) if answered_id == *id => match result {
+            Ok(result) => {
+                mcp::tool_text(&result).map_or(CallOutcome::End(ToolEnd::Unknown), CallOutcome::Text)
+            }
+            Err(error) => CallOutcome::End(rpc_error(error.code)),
         },
-        _ => Said::End(ToolEnd::Unknown),
+        _ => CallOutcome::End(ToolEnd::Unknown),
     };
-    (said, again)
+    (outcome, is_reusable)
 }
