--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -85,7 +85,7 @@
         ("content-type", "application/json"),
         ("x-request-id", attempt.rid.as_str()),
         ("via", shared.catalog.via.as_str()),
-        orca::ASK,
+        orca::REPORT_REQUEST_HEADER,
     ];
     if let Some(key) = &attempt.idempotency_key {
         headers.push(("idempotency-key", key.as_str()));
@@ -179,7 +179,7 @@
     if head.status != 200 {
         return AttemptOutcome::from_evidence(Evidence::Status {
             status: head.status,
-            code: engine::error_code(&body),
+            code: engine::parse_error_code(&body),
         });
     }
     match engine::read_answer(&body) {
@@ -195,8 +195,8 @@
 /// What was received of a stream so far.
 #[derive(Default)]
 struct StreamState {
-    text_reader: engine::TextReader,
-    calls: engine::Calls,
+    text_parser: engine::TextChunkParser,
+    calls: engine::ToolCallAssembler,
     has_output: bool,
     is_done: bool,
     is_garbled: bool,
@@ -207,18 +207,19 @@
 impl StreamState {
     /// Processes the data of one event and appends its text to `text`.
     fn push_event(&mut self, data: &str, text: &mut String, max_call_bytes: usize) {
-        if self.is_done || self.is_garbled || self.text_reader.read(data, text) {
+        if self.is_done || self.is_garbled || self.text_parser.parse(data, text) {
             return;
         }
         if data == engine::DONE {
             self.is_done = true;
             return;
         }
-        match engine::chunk(data) {
+        match engine::parse_chunk(data) {
             Ok(chunk) if chunk.error.is_none() => {
                 text.push_str(&chunk.text);
-                for piece in chunk.calls {
-                    self.is_garbled |= !self.calls.push(piece) || self.calls.bytes() > max_call_bytes;
+                for piece in chunk.tool_calls {
+                    self.is_garbled |=
+                        !self.calls.push(piece) || self.calls.argument_bytes() > max_call_bytes;
                 }
                 self.finish = chunk.finish.or(self.finish);
                 self.usage = chunk.usage.or(self.usage);
@@ -249,9 +250,9 @@
         }
         // Text that arrived in one socket read is passed on as one piece.
         text.clear();
-        let parsed =
-            parser.each(&bytes, |event| stream_state.push_event(event.data, &mut text, max_call_bytes));
-        if !stream_state.has_output && (!text.is_empty() || stream_state.calls.begun()) {
+        let parsed = parser
+            .for_each_event(&bytes, |event| stream_state.push_event(event.data, &mut text, max_call_bytes));
+        if !stream_state.has_output && (!text.is_empty() || stream_state.calls.has_calls()) {
             stream_state.has_output = true;
             // The deadline for the first token no longer applies. From here on, a stream without data for the stall
             // time counts as broken.
@@ -268,7 +269,7 @@
         if stream_state.is_done {
             // The end of the body must follow; without it the connection cannot be reused.
             let body_end = conn.body_piece(&mut body, &mut bytes);
-            let calls = stream_state.calls.take();
+            let calls = stream_state.calls.into_tool_calls();
             let is_consistent = match stream_state.finish {
                 None => false,
                 Some(Finish::ToolCalls) => !calls.is_empty(),
--- a/crates/front/src/mcp.rs
+++ b/crates/front/src/mcp.rs
@@ -145,7 +145,7 @@
     if let Some(unknown) = call.arguments.keys().next() {
         return invalid_params(format!("no argument is called {unknown}"));
     }
-    PostAction::Call { id: id.clone(), route, prompt, session, progress_token: call.progress }
+    PostAction::Call { id: id.clone(), route, prompt, session, progress_token: call.progress_token }
 }
 
 /// The response that ends a call. A client that has left or cancelled gets none.
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -228,7 +228,7 @@
     let shared = shared.clone();
     go(move || {
         let started_at = shared.clock.now();
-        let headers = [orca::ASK, ("via", shared.catalog.via.as_str())];
+        let headers = [orca::REPORT_REQUEST_HEADER, ("via", shared.catalog.via.as_str())];
         let timeout = Duration::from_micros(shared.config.rules.connect);
         let answer = shared.pool.exchange(&server, "GET", engine::HEALTH, &headers, b"", timeout);
         let took = shared.clock.now() - started_at;
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -51,7 +51,7 @@
 
 /// Result of one try.
 enum CallOutcome {
-    Text(mcp::ToolText),
+    Text(mcp::ToolOutput),
     End(ToolEnd),
 }
 
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,18 +1,21 @@
-//! The engines' API: OpenAI-style chat completions, streamed, with the `kv_transfer_params` by which a
-//! reader's state is handed to a writer.
+//! The API of the engines: streamed OpenAI-style chat completions, with the `kv_transfer_params` by which the KV
+//! state of a reader is transferred to a writer.
+//!
+//! Both sides are here: the requests that a front writes and the responses that it parses, and the reverse for an
+//! engine. The read stage is the prefill of a prompt, the write stage its decode.
 
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::borrow::Cow;
 
-/// Where completions are asked for.
+/// Path of chat completions.
 pub const COMPLETIONS: &str = "/v1/chat/completions";
-/// Where a reader is told to let go of a state: `{"rid": "..."}`.
+/// Path where a reader is told to release a KV state: `{"rid": "..."}`.
 pub const ABORT: &str = "/abort_request";
-/// Where a probe goes; the answer carries a load report.
+/// Path of health probes. The response carries a load report.
 pub const HEALTH: &str = "/health";
-/// Error code of a writer that found no state to fetch; it proves that nothing ran (status 424).
+/// Error code of a writer that found no KV state to fetch (status 424). It proves that the request did not run.
 pub const NO_STATE: &str = "kv_state_missing";
 /// Data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
@@ -30,6 +33,7 @@
 }
 
 impl Message {
+    /// A message that is only text.
     pub fn text(role: &str, content: impl Into<String>) -> Message {
         Message {
             role: role.into(),
@@ -39,6 +43,7 @@
         }
     }
 
+    /// The result of the tool call with this id.
     pub fn tool(id: &str, content: impl Into<String>) -> Message {
         Message { tool_call_id: Some(id.into()), ..Message::text("tool", content) }
     }
@@ -57,25 +62,26 @@
     "function".into()
 }
 
+/// The function that a tool call names, with its arguments.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Function {
     pub name: String,
-    /// JSON text, as the model wrote it.
+    /// JSON text as the model wrote it, which may be invalid.
     pub arguments: String,
 }
 
-/// How a request stands between reader and writer.
+/// The part of a request that an engine is to run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// Read only: one token, and the state is kept for a writer.
+    /// Prefill only: the engine generates one token and keeps the KV state for a writer.
     Read,
-    /// Fetch the state that these parameters of the reader's answer name, and write.
+    /// Decode: the engine fetches the KV state that these parameters from the reader's response describe.
     Write(Value),
-    /// Read and write at one engine.
+    /// Prefill and decode at the same engine.
     Whole,
 }
 
-/// A request to an engine.
+/// A request to an engine, as the front writes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     pub model: String,
@@ -85,19 +91,19 @@
     pub stage: Stage,
 }
 
-/// The body of a request to an engine.
+/// Writes the body of a request to an engine.
 pub fn body(ask: &Ask) -> Vec<u8> {
     let tools = ask.tools.iter();
     let tools: Vec<Value> =
         tools.map(|name| json!({"type": "function", "function": {"name": name}})).collect();
-    let reads = ask.stage == Stage::Read;
+    let is_read_stage = ask.stage == Stage::Read;
     let mut object = json!({
         "model": ask.model,
         "messages": ask.messages,
-        "max_tokens": if reads { 1 } else { ask.max_tokens },
-        "stream": !reads,
+        "max_tokens": if is_read_stage { 1 } else { ask.max_tokens },
+        "stream": !is_read_stage,
     });
-    if !reads {
+    if !is_read_stage {
         object["stream_options"] = json!({"include_usage": true});
     }
     if !tools.is_empty() {
@@ -116,7 +122,7 @@
     serde_json::to_vec(&object).unwrap_or_default()
 }
 
-/// A request as an engine reads it.
+/// A request to an engine, as the engine parses it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Asked {
     pub model: String,
@@ -126,22 +132,24 @@
     #[serde(default)]
     pub stream: bool,
     #[serde(default)]
-    pub tools: Vec<AskedTool>,
+    pub tools: Vec<OfferedTool>,
     #[serde(default)]
     pub kv_transfer_params: Option<KvParams>,
 }
 
+/// A tool that a request offers to the model.
 #[derive(Clone, Debug, Deserialize)]
-pub struct AskedTool {
-    pub function: AskedFunction,
+pub struct OfferedTool {
+    pub function: OfferedFunction,
 }
 
+/// The function of a tool that a request offers.
 #[derive(Clone, Debug, Deserialize)]
-pub struct AskedFunction {
+pub struct OfferedFunction {
     pub name: String,
 }
 
-/// The parameters by which a state is handed over.
+/// The parameters that describe a KV state and its transfer from reader to writer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KvParams {
     #[serde(default)]
@@ -160,12 +168,12 @@
     pub remote_request_id: Option<String>,
 }
 
-/// Tokens counted by an engine.
+/// Token counts of one turn, from the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     pub prompt: u64,
     pub completion: u64,
-    /// Prompt tokens found kept.
+    /// Prompt tokens found in the engine's prefix cache.
     pub cached: u64,
 }
 
@@ -198,25 +206,26 @@
     Stop,
     Length,
     ToolCalls,
-    /// The engine's own end for another reason, such as a content filter.
+    /// Any other reason, such as a content filter.
     Other,
 }
 
-/// What one event of a stream says.
+/// The parsed content of one event of a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Chunk {
     pub text: String,
-    /// Pieces of tool calls, by their place in the turn.
-    pub calls: Vec<CallPiece>,
+    /// Pieces of tool calls.
+    pub tool_calls: Vec<ToolCallPiece>,
     pub finish: Option<Finish>,
     pub usage: Option<Usage>,
-    /// An error told inside the stream.
+    /// An error reported inside the stream.
     pub error: Option<String>,
 }
 
-/// A piece of a tool call: the first one has the id and the name, arguments come in parts.
+/// A piece of a tool call. The first piece has the id and the name; the arguments are spread over all pieces.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallPiece {
+pub struct ToolCallPiece {
+    /// Position of the tool call in its turn.
     pub index: usize,
     pub id: Option<String>,
     pub name: Option<String>,
@@ -267,10 +276,10 @@
     arguments: Option<String>,
 }
 
-/// The usual event of a stream, which has text and nothing else.
+/// An event that has text and nothing else, as most events of a stream are.
 #[derive(Deserialize)]
 struct TextChunk<'a> {
-    // A tuple of one reads an array of one without a place of its own for it.
+    // A tuple of length 1 deserializes from an array of length 1 without allocating a `Vec`.
     #[serde(borrow)]
     choices: (TextChoice<'a>,),
     #[serde(default)]
@@ -295,23 +304,24 @@
     tool_calls: Option<IgnoredAny>,
 }
 
-/// Reads the usual events of one stream: text and nothing else.
+/// Parses the events of one stream that have text and nothing else.
 ///
-/// Events of a stream differ in their text alone, so the frame around it is learned from one that was parsed. An
-/// event with the same frame, whose text holds nothing that JSON escapes, means the same with that text: it needs no
-/// parsing of its own.
+/// Such events of a stream differ only in their text, so the JSON before and after the text is learned from an
+/// event that was parsed. An event with the same prefix and suffix, whose text contains nothing that JSON escapes,
+/// has the same meaning apart from its text and is not parsed again.
 #[derive(Clone, Debug, Default)]
-pub struct TextReader {
-    before: String,
-    after: String,
-}
-
-impl TextReader {
-    /// Adds the text of a usual event to `out`; `false` for any other, which [`chunk`] reads.
-    pub fn read(&mut self, data: &str, out: &mut String) -> bool {
-        if !self.before.is_empty()
-            && let Some(rest) = data.strip_prefix(self.before.as_str())
-            && let Some(text) = rest.strip_suffix(self.after.as_str())
+pub struct TextChunkParser {
+    prefix: String,
+    suffix: String,
+}
+
+impl TextChunkParser {
+    /// Appends the text of an event to `out`. Returns `false` if the event has more than text, in which case
+    /// [`parse_chunk`] must parse it.
+    pub fn parse(&mut self, data: &str, out: &mut String) -> bool {
+        if !self.prefix.is_empty()
+            && let Some(rest) = data.strip_prefix(self.prefix.as_str())
+            && let Some(text) = rest.strip_suffix(self.suffix.as_str())
             && !text.bytes().any(|b| b < b' ' || b == b'"' || b == b'\\')
         {
             out.push_str(text);
@@ -324,11 +334,11 @@
                 error: None,
             }) => {
                 out.push_str(&content);
-                // Text that was not copied lies in the data itself.
+                // Borrowed text is a slice of `data`, so what surrounds it can be located.
                 if let Cow::Borrowed(text) = content {
-                    let at = text.as_ptr() as usize - data.as_ptr() as usize;
-                    data[..at].clone_into(&mut self.before);
-                    data[at + text.len()..].clone_into(&mut self.after);
+                    let text_start = text.as_ptr() as usize - data.as_ptr() as usize;
+                    data[..text_start].clone_into(&mut self.prefix);
+                    data[text_start + text.len()..].clone_into(&mut self.suffix);
                 }
                 true
             }
@@ -337,8 +347,8 @@
     }
 }
 
-/// Reads the data of one event of a stream.
-pub fn chunk(data: &str) -> Result<Chunk, serde_json::Error> {
+/// Parses the data of one event of a stream.
+pub fn parse_chunk(data: &str) -> Result<Chunk, serde_json::Error> {
     let raw: RawChunk<'_> = serde_json::from_str(data)?;
     let mut chunk = Chunk { usage: raw.usage.map(Usage::from), ..Chunk::default() };
     if let Some(error) = raw.error {
@@ -350,7 +360,7 @@
             chunk.text.push_str(delta.content.as_deref().unwrap_or_default());
             for call in delta.tool_calls {
                 let function = call.function.unwrap_or(RawFunction { name: None, arguments: None });
-                chunk.calls.push(CallPiece {
+                chunk.tool_calls.push(ToolCallPiece {
                     index: call.index,
                     id: call.id,
                     name: function.name,
@@ -369,39 +379,39 @@
     Ok(chunk)
 }
 
-/// What a reader answers: its usage, and the parameters for the writer.
+/// Parses the response of a reader: its token counts, and the transfer parameters for the writer.
 pub fn read_answer(body: &[u8]) -> Option<(Usage, Value)> {
     #[derive(Deserialize)]
-    struct Raw {
+    struct RawReaderResponse {
         usage: RawUsage,
         kv_transfer_params: Value,
     }
-    let raw: Raw = serde_json::from_slice(body).ok()?;
+    let raw: RawReaderResponse = serde_json::from_slice(body).ok()?;
     raw.kv_transfer_params.is_object().then(|| (raw.usage.into(), raw.kv_transfer_params))
 }
 
-/// The code of an error body, as `{"error": {"code": ...}}`.
-pub fn error_code(body: &[u8]) -> Option<String> {
+/// Parses the code of an error body: `{"error": {"code": ...}}`.
+pub fn parse_error_code(body: &[u8]) -> Option<String> {
     let value: Value = serde_json::from_slice(body).ok()?;
     Some(value.get("error")?.get("code")?.as_str()?.to_owned())
 }
 
-/// An error body.
+/// Writes an error body.
 pub fn error_body(code: &str, message: &str) -> Vec<u8> {
     json!({"error": {"code": code, "message": message, "type": "server_error"}}).to_string().into_bytes()
 }
 
-/// Puts the pieces of a turn's tool calls together.
+/// Assembles the tool calls of a turn from their pieces.
 #[derive(Clone, Debug, Default)]
-pub struct Calls(Vec<ToolCall>);
+pub struct ToolCallAssembler(Vec<ToolCall>);
 
-/// Tool calls that one turn may make.
-const MOST_CALLS: usize = 16;
+/// Most tool calls that one turn may make.
+const MAX_TOOL_CALLS_PER_TURN: usize = 16;
 
-impl Calls {
-    /// Takes a piece; false when it does not fit what came before.
-    pub fn push(&mut self, piece: CallPiece) -> bool {
-        if piece.index >= MOST_CALLS || piece.index > self.0.len() {
+impl ToolCallAssembler {
+    /// Adds a piece. Returns `false` if it does not fit the pieces before it.
+    pub fn push(&mut self, piece: ToolCallPiece) -> bool {
+        if piece.index >= MAX_TOOL_CALLS_PER_TURN || piece.index > self.0.len() {
             return false;
         }
         if piece.index == self.0.len() {
@@ -414,20 +424,23 @@
         true
     }
 
-    pub fn take(self) -> Vec<ToolCall> {
+    /// Returns the assembled calls.
+    pub fn into_tool_calls(self) -> Vec<ToolCall> {
         self.0
     }
 
-    pub fn begun(&self) -> bool {
+    /// Whether any call has begun.
+    pub fn has_calls(&self) -> bool {
         !self.0.is_empty()
     }
 
-    pub fn bytes(&self) -> usize {
+    /// Total length of the arguments so far.
+    pub fn argument_bytes(&self) -> usize {
         self.0.iter().map(|call| call.function.arguments.len()).sum()
     }
 }
 
-/// Writes the data of one event of a stream, as an engine does.
+/// Writes the data of a stream event that has text, as an engine does.
 pub fn text_chunk(model: &str, text: &str) -> String {
     #[derive(Serialize)]
     struct Out<'a> {
@@ -448,14 +461,14 @@
     serde_json::to_string(&Out { object: "chat.completion.chunk", model, choices }).unwrap_or_default()
 }
 
-/// Writes the data of an event that makes a tool call.
+/// Writes the data of a stream event that has a whole tool call.
 pub fn call_chunk(model: &str, call: &ToolCall) -> String {
     let call = json!({"index": 0, "id": call.id, "type": "function", "function": call.function});
     let choice = json!({"index": 0, "delta": {"tool_calls": [call]}});
     json!({"object": "chat.completion.chunk", "model": model, "choices": [choice]}).to_string()
 }
 
-/// Writes the data of the events that end a turn: why, and what was counted.
+/// Writes the data of the stream event that ends a turn, with the reason and the token counts.
 pub fn end_chunk(model: &str, finish: Finish, usage: Usage) -> String {
     let reason = match finish {
         Finish::Stop => "stop",
@@ -467,26 +480,26 @@
         "object": "chat.completion.chunk",
         "model": model,
         "choices": [{"index": 0, "delta": {}, "finish_reason": reason}],
-        "usage": usage_value(usage),
+        "usage": usage_json(usage),
     })
     .to_string()
 }
 
-/// Writes a reader's answer.
+/// Writes the body of a reader's response.
 pub fn read_body(model: &str, usage: Usage, params: &KvParams) -> Vec<u8> {
     let message = json!({"role": "assistant", "content": ""});
     json!({
         "object": "chat.completion",
         "model": model,
         "choices": [{"index": 0, "message": message, "finish_reason": "length"}],
-        "usage": usage_value(usage),
+        "usage": usage_json(usage),
         "kv_transfer_params": params,
     })
     .to_string()
     .into_bytes()
 }
 
-fn usage_value(usage: Usage) -> Value {
+fn usage_json(usage: Usage) -> Value {
     json!({
         "prompt_tokens": usage.prompt,
         "completion_tokens": usage.completion,
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,17 +1,17 @@
-//! HTTP/1.1 messages (RFC 9112): heads parsed by `httparse`, bodies by length, chunks or close.
+//! HTTP/1.1 messages (RFC 9112): heads parsed by `httparse`, bodies framed by length, chunks or connection close.
 //!
-//! A peer can make us hold at most [`Limits::head`] bytes of head and [`Limits::body`] bytes of a body
-//! that is gathered whole. A message whose length can be read in two ways is refused (RFC 9112, 6.3),
-//! since a proxy in front of us may have read it in the other.
+//! This module reads no sockets: its callers pass the bytes in. A peer can make us buffer at most [`Limits::head`]
+//! bytes of a head and [`Limits::body`] bytes of a body that is collected whole. A message whose length is
+//! ambiguous is refused (RFC 9112, 6.3), since a proxy in front of us may have interpreted it differently.
 
 use thiserror::Error;
 
-/// Header fields that one head may hold; more is an error.
-const MOST_HEADERS: usize = 64;
-/// Longest line that tells a chunk's size, extensions included; in bytes.
-const CHUNK_LINE: usize = 256;
+/// Most header fields in one head.
+const MAX_HEADERS: usize = 64;
+/// Longest chunk-size line, including extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Bounds on what one message may make us hold, in bytes.
+/// Limits on the parts of one message that are buffered, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub head: usize,
@@ -19,13 +19,13 @@
 }
 
 impl Default for Limits {
-    /// 16 KiB of head, as common proxies allow; 1 MiB of body, some 250,000 tokens of text.
+    /// 16 KiB of head, as common proxies allow; 1 MiB of body, about 250,000 tokens of text.
     fn default() -> Limits {
         Limits { head: 16 << 10, body: 1 << 20 }
     }
 }
 
-/// What is wrong with a message.
+/// The reason why a message is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
     #[error("malformed head: {0}")]
@@ -47,7 +47,7 @@
 }
 
 impl HttpError {
-    /// The status that tells a client of it (RFC 9110, 15.5).
+    /// The status of the response to a client that sent such a message (RFC 9110, 15.5).
     pub fn status(&self) -> u16 {
         match self {
             HttpError::HeadTooLarge(_) => 431,
@@ -59,34 +59,38 @@
     }
 }
 
-/// Header fields in the order they came; names compare without case.
+/// Header fields in the order received. Names are compared without regard to case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, String)>);
 
 impl Headers {
+    /// The first value of a field.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
+    /// All values of a field.
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// Whether a comma-separated field names this token.
+    /// Whether a comma-separated field contains this token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).flat_map(|v| v.split(',')).any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// A known number of bytes.
     Length(u64),
     Chunked,
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     pub method: String,
@@ -96,7 +100,7 @@
     pub keep_alive: bool,
 }
 
-/// A response's head.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
@@ -105,15 +109,15 @@
     pub keep_alive: bool,
 }
 
-fn headers(parsed: &[httparse::Header<'_>]) -> Result<Headers, HttpError> {
+fn convert_headers(parsed: &[httparse::Header<'_>]) -> Result<Headers, HttpError> {
     let text = |value: &[u8]| {
         String::from_utf8(value.to_vec()).map_err(|_| HttpError::Head("a value is not UTF-8".into()))
     };
     parsed.iter().map(|h| Ok((h.name.to_owned(), text(h.value)?))).collect::<Result<_, _>>().map(Headers)
 }
 
-/// `None`: neither a length nor chunks are told.
-fn framing(headers: &Headers) -> Result<Option<Framing>, HttpError> {
+/// The framing that the headers state, or `None` if they state neither a length nor chunks.
+fn parse_framing(headers: &Headers) -> Result<Option<Framing>, HttpError> {
     let mut lengths = headers.all("content-length").flat_map(|v| v.split(','));
     let length = match lengths.next() {
         None => None,
@@ -139,7 +143,7 @@
     }
 }
 
-fn keep_alive(version: Option<u8>, headers: &Headers) -> Result<bool, HttpError> {
+fn parse_keep_alive(version: Option<u8>, headers: &Headers) -> Result<bool, HttpError> {
     match version {
         Some(1) => Ok(!headers.has_token("connection", "close")),
         Some(0) => Ok(headers.has_token("connection", "keep-alive")),
@@ -147,25 +151,25 @@
     }
 }
 
-fn head_error(error: httparse::Error) -> HttpError {
+fn convert_parse_error(error: httparse::Error) -> HttpError {
     match error {
         httparse::Error::Version => HttpError::Version,
         other => HttpError::Head(other.to_string()),
     }
 }
 
-/// A request's head and its length in bytes, or `None` while it is not whole.
+/// Parses the head of a request. Returns it with its length in bytes, or `None` while it is incomplete.
 pub fn parse_request(bytes: &[u8], limits: Limits) -> Result<Option<(Request, usize)>, HttpError> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut fields);
-    match parsed.parse(bytes).map_err(head_error)? {
+    match parsed.parse(bytes).map_err(convert_parse_error)? {
         httparse::Status::Partial if bytes.len() >= limits.head => Err(HttpError::HeadTooLarge(limits.head)),
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(n) if n > limits.head => Err(HttpError::HeadTooLarge(limits.head)),
         httparse::Status::Complete(n) => {
-            let headers = headers(parsed.headers)?;
-            let framing = framing(&headers)?.unwrap_or(Framing::Length(0));
-            let keep_alive = keep_alive(parsed.version, &headers)?;
+            let headers = convert_headers(parsed.headers)?;
+            let framing = parse_framing(&headers)?.unwrap_or(Framing::Length(0));
+            let keep_alive = parse_keep_alive(parsed.version, &headers)?;
             let method = parsed.method.unwrap_or_default().to_owned();
             let target = parsed.path.unwrap_or_default().to_owned();
             Ok(Some((Request { method, target, headers, framing, keep_alive }, n)))
@@ -173,79 +177,92 @@
     }
 }
 
-/// A response's head and its length in bytes, or `None` while it is not whole.
+/// Parses the head of a response. Returns it with its length in bytes, or `None` while it is incomplete.
 pub fn parse_response(bytes: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut fields);
-    match parsed.parse(bytes).map_err(head_error)? {
+    match parsed.parse(bytes).map_err(convert_parse_error)? {
         httparse::Status::Partial if bytes.len() >= limits.head => Err(HttpError::HeadTooLarge(limits.head)),
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(n) if n > limits.head => Err(HttpError::HeadTooLarge(limits.head)),
         httparse::Status::Complete(n) => {
-            let headers = headers(parsed.headers)?;
+            let headers = convert_headers(parsed.headers)?;
             let status = parsed.code.unwrap_or_default();
-            let told = framing(&headers)?;
-            let bare = status < 200 || status == 204 || status == 304;
-            let framing = if bare { Framing::Length(0) } else { told.unwrap_or(Framing::UntilClose) };
-            let keep_alive = keep_alive(parsed.version, &headers)? && framing != Framing::UntilClose;
+            let stated = parse_framing(&headers)?;
+            let has_no_body = status < 200 || status == 204 || status == 304;
+            let framing =
+                if has_no_body { Framing::Length(0) } else { stated.unwrap_or(Framing::UntilClose) };
+            let keep_alive = parse_keep_alive(parsed.version, &headers)? && framing != Framing::UntilClose;
             Ok(Some((Response { status, headers, framing, keep_alive }, n)))
         }
     }
 }
 
+/// What a chunked body has next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     Size,
+    /// The remaining bytes of the chunk's data.
     Data(u64),
+    /// The line end after the chunk's data.
     DataEnd,
     Trailer,
     Done,
 }
 
-/// Takes a body's bytes as they come, in any split, and gives its content.
+/// Incremental decoder of a body: takes its bytes in any split and returns the content.
 #[derive(Clone, Debug)]
 pub struct Body {
     framing: Framing,
-    left: u64,
-    chunk: Chunk,
+    remaining: u64,
+    chunk_state: ChunkState,
     line: Vec<u8>,
-    /// Largest chunk that is taken.
-    most_chunk: u64,
-    /// Content given so far of a chunk whose end has not come.
-    unsure: usize,
+    /// Largest accepted chunk, in bytes.
+    max_chunk_bytes: u64,
+    /// Decoded bytes of a chunk whose end has not been seen.
+    unconfirmed: usize,
 }
 
 impl Body {
+    /// A decoder for a body with this framing.
     pub fn new(framing: Framing) -> Body {
-        let left = if let Framing::Length(n) = framing { n } else { 0 };
-        Body { framing, left, chunk: Chunk::Size, line: Vec::new(), most_chunk: u64::MAX, unsure: 0 }
+        let remaining = if let Framing::Length(n) = framing { n } else { 0 };
+        Body {
+            framing,
+            remaining,
+            chunk_state: ChunkState::Size,
+            line: Vec::new(),
+            max_chunk_bytes: u64::MAX,
+            unconfirmed: 0,
+        }
     }
 
-    /// A chunk that claims more bytes than this is malformed.
-    pub fn with_most_chunk(self, most_chunk: u64) -> Body {
-        Body { most_chunk, ..self }
+    /// Treats a chunk that announces more bytes than this as malformed.
+    pub fn with_most_chunk(self, max_chunk_bytes: u64) -> Body {
+        Body { max_chunk_bytes, ..self }
     }
 
-    /// How many of the bytes given last are of a chunk whose end has not come where its size says: they may still
-    /// turn out to be no chunk's.
+    /// How many of the last decoded bytes belong to a chunk whose end has not been seen. If the chunk does not end
+    /// where its size says, these bytes were not valid chunk data.
     pub fn unsure(&self) -> usize {
-        self.unsure
+        self.unconfirmed
     }
 
+    /// The framing of this body.
     pub fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// Whether the body has ended. One that runs until the peer closes ends only there.
+    /// Whether the body has ended. Always `false` for a body that ends with the connection.
     pub fn done(&self) -> bool {
         match self.framing {
-            Framing::Length(_) => self.left == 0,
-            Framing::Chunked => self.chunk == Chunk::Done,
+            Framing::Length(_) => self.remaining == 0,
+            Framing::Chunked => self.chunk_state == ChunkState::Done,
             Framing::UntilClose => false,
         }
     }
 
-    /// Takes bytes, adds their content to `out`, and tells how many belonged to this body.
+    /// Decodes bytes, appends their content to `out` and returns how many of them belonged to this body.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         match self.framing {
             Framing::UntilClose => {
@@ -253,88 +270,89 @@
                 Ok(bytes.len())
             }
             Framing::Length(_) => {
-                let n = bytes.len().min(usize::try_from(self.left).unwrap_or(usize::MAX));
+                let n = bytes.len().min(usize::try_from(self.remaining).unwrap_or(usize::MAX));
                 out.extend_from_slice(&bytes[..n]);
-                self.left -= n as u64;
+                self.remaining -= n as u64;
                 Ok(n)
             }
-            Framing::Chunked => self.chunks(bytes, out),
+            Framing::Chunked => self.push_chunked(bytes, out),
         }
     }
 
-    fn chunks(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
+    fn push_chunked(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = 0;
-        while at < bytes.len() && self.chunk != Chunk::Done {
-            if let Chunk::Data(left) = self.chunk {
+        while at < bytes.len() && self.chunk_state != ChunkState::Done {
+            if let ChunkState::Data(left) = self.chunk_state {
                 let n = (bytes.len() - at).min(usize::try_from(left).unwrap_or(usize::MAX));
                 out.extend_from_slice(&bytes[at..at + n]);
-                self.unsure += n;
+                self.unconfirmed += n;
                 at += n;
                 let left = left - n as u64;
-                self.chunk = if left == 0 { Chunk::DataEnd } else { Chunk::Data(left) };
+                self.chunk_state = if left == 0 { ChunkState::DataEnd } else { ChunkState::Data(left) };
                 continue;
             }
-            // Short lines are looked through byte by byte; a search that is made for long ones costs more.
-            let end = bytes[at..].iter().take(CHUNK_LINE + 1).position(|b| *b == b'\n');
+            // A plain byte loop is faster here than a search optimized for long inputs, since the lines are short.
+            let end = bytes[at..].iter().take(MAX_CHUNK_LINE_BYTES + 1).position(|b| *b == b'\n');
             if let Some(end) = end
                 && self.line.is_empty()
-                && end <= CHUNK_LINE
+                && end <= MAX_CHUNK_LINE_BYTES
             {
-                self.take_line(&bytes[at..at + end])?;
+                self.process_line(&bytes[at..at + end])?;
                 at += end + 1;
                 continue;
             }
-            let upto = end.map_or(bytes.len(), |end| at + end);
-            self.line.extend_from_slice(&bytes[at..upto]);
-            if self.line.len() > CHUNK_LINE {
+            let line_end = end.map_or(bytes.len(), |end| at + end);
+            self.line.extend_from_slice(&bytes[at..line_end]);
+            if self.line.len() > MAX_CHUNK_LINE_BYTES {
                 return Err(HttpError::Chunk);
             }
-            at = end.map_or(upto, |_| upto + 1);
+            at = end.map_or(line_end, |_| line_end + 1);
             if end.is_some() {
-                self.line_ended()?;
+                self.process_buffered_line()?;
             }
         }
         Ok(at)
     }
 
-    /// One whole line outside a chunk's data has come. Lines end in CR LF; a bare LF is refused.
-    fn line_ended(&mut self) -> Result<(), HttpError> {
-        let mut held = std::mem::take(&mut self.line);
-        let done = self.take_line(&held);
-        // The buffer is kept: streams of tokens have two such lines for each.
-        held.clear();
-        self.line = held;
-        done
+    /// Processes the buffered line, which is complete.
+    fn process_buffered_line(&mut self) -> Result<(), HttpError> {
+        let mut line = std::mem::take(&mut self.line);
+        let result = self.process_line(&line);
+        // The buffer is reused, because a token stream has two such lines for each token.
+        line.clear();
+        self.line = line;
+        result
     }
 
-    fn take_line(&mut self, line: &[u8]) -> Result<(), HttpError> {
+    /// Processes one line outside the data of a chunk. Lines end in CR LF; a bare LF is refused.
+    fn process_line(&mut self, line: &[u8]) -> Result<(), HttpError> {
         let Some(line) = line.strip_suffix(b"\r") else { return Err(HttpError::Chunk) };
-        self.chunk = match self.chunk {
-            Chunk::Size => {
+        self.chunk_state = match self.chunk_state {
+            ChunkState::Size => {
                 let digits = line.iter().position(|b| *b == b';').map_or(line, |end| &line[..end]);
                 let digits = std::str::from_utf8(digits).map_err(|_| HttpError::Chunk)?.trim_end();
                 if digits.is_empty() || digits.len() > 15 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
                     return Err(HttpError::Chunk);
                 }
                 match u64::from_str_radix(digits, 16).map_err(|_| HttpError::Chunk)? {
-                    0 => Chunk::Trailer,
-                    n if n > self.most_chunk => return Err(HttpError::Chunk),
-                    n => Chunk::Data(n),
+                    0 => ChunkState::Trailer,
+                    n if n > self.max_chunk_bytes => return Err(HttpError::Chunk),
+                    n => ChunkState::Data(n),
                 }
             }
-            Chunk::DataEnd if line.is_empty() => {
-                self.unsure = 0;
-                Chunk::Size
+            ChunkState::DataEnd if line.is_empty() => {
+                self.unconfirmed = 0;
+                ChunkState::Size
             }
-            Chunk::DataEnd => return Err(HttpError::Chunk),
-            Chunk::Trailer if line.is_empty() => Chunk::Done,
+            ChunkState::DataEnd => return Err(HttpError::Chunk),
+            ChunkState::Trailer if line.is_empty() => ChunkState::Done,
             other => other,
         };
         Ok(())
     }
 }
 
-/// Writes one chunk of a chunked body. Empty data writes nothing, since it would end the body.
+/// Writes one chunk of a chunked body. Writes nothing for empty data, since an empty chunk would end the body.
 pub fn write_chunk(data: &[u8], out: &mut Vec<u8>) {
     if data.is_empty() {
         return;
@@ -347,7 +365,8 @@
 /// The end of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         202 => "Accepted",
@@ -370,7 +389,7 @@
     }
 }
 
-/// A response with its whole body.
+/// Writes a response with its whole body.
 pub fn write_response(
     status: u16,
     headers: &[(&str, &str)],
@@ -378,8 +397,8 @@
     keep_alive: bool,
     out: &mut Vec<u8>,
 ) {
-    out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
-    fields(headers, out);
+    out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
+    write_headers(headers, out);
     if status != 204 {
         out.extend_from_slice(format!("content-length: {}\r\n", body.len()).as_bytes());
     }
@@ -387,14 +406,14 @@
     out.extend_from_slice(body);
 }
 
-/// The head of a response whose body follows in chunks.
+/// Writes the head of a response whose body follows in chunks.
 pub fn write_stream_head(status: u16, headers: &[(&str, &str)], out: &mut Vec<u8>) {
-    out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
-    fields(headers, out);
+    out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
+    write_headers(headers, out);
     out.extend_from_slice(b"transfer-encoding: chunked\r\n\r\n");
 }
 
-/// A request with its whole body.
+/// Writes a request with its whole body.
 pub fn write_request(
     method: &str,
     target: &str,
@@ -404,7 +423,7 @@
     out: &mut Vec<u8>,
 ) {
     out.extend_from_slice(format!("{method} {target} HTTP/1.1\r\nhost: {host}\r\n").as_bytes());
-    fields(headers, out);
+    write_headers(headers, out);
     if !body.is_empty() || method == "POST" {
         out.extend_from_slice(format!("content-length: {}\r\n", body.len()).as_bytes());
     }
@@ -412,8 +431,8 @@
     out.extend_from_slice(body);
 }
 
-/// A request's head alone, with the length of its body; the body goes when the peer has said to go on (RFC 9110,
-/// 10.1.1).
+/// Writes the head of a request with `Expect: 100-continue`. The body follows after the peer's 100 response (RFC
+/// 9110, 10.1.1).
 pub fn write_waiting_head(
     method: &str,
     target: &str,
@@ -423,15 +442,16 @@
     out: &mut Vec<u8>,
 ) {
     out.extend_from_slice(format!("{method} {target} HTTP/1.1\r\nhost: {host}\r\n").as_bytes());
-    fields(headers, out);
+    write_headers(headers, out);
     out.extend_from_slice(format!("content-length: {body}\r\nexpect: 100-continue\r\n\r\n").as_bytes());
 }
 
-fn fields(headers: &[(&str, &str)], out: &mut Vec<u8>) {
+/// Writes header fields.
+fn write_headers(headers: &[(&str, &str)], out: &mut Vec<u8>) {
     for (name, value) in headers {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
-        // A value from outside must not end its line.
+        // Control characters are dropped, so that a value from outside cannot end its line.
         out.extend(value.bytes().filter(|b| *b >= b' ' && *b != 127));
         out.extend_from_slice(b"\r\n");
     }
--- a/crates/protocol/src/jsonrpc.rs
+++ b/crates/protocol/src/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC 2.0 messages (jsonrpc.org/specification). Batches are refused, as MCP has it since 2025-06-18.
+//! JSON-RPC 2.0 messages (jsonrpc.org/specification). Batches are refused, as MCP requires since 2025-06-18.
 
 use serde_json::{Map, Value, json};
 
@@ -9,7 +9,7 @@
 pub const INVALID_PARAMS: i64 = -32602;
 pub const INTERNAL_ERROR: i64 = -32603;
 
-/// The id of a request: a string or a whole number (null is not allowed by MCP).
+/// The id of a request: a string or an integer (MCP does not allow null).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Id {
     Number(i64),
@@ -17,6 +17,7 @@
 }
 
 impl Id {
+    /// Reads an id from JSON. Returns `None` for any other type of value.
     pub fn from_value(value: &Value) -> Option<Id> {
         match value {
             Value::String(text) => Some(Id::Text(text.clone())),
@@ -25,6 +26,7 @@
         }
     }
 
+    /// The id as JSON.
     pub fn to_value(&self) -> Value {
         match self {
             Id::Number(number) => json!(number),
@@ -33,7 +35,7 @@
     }
 }
 
-/// An error object.
+/// The error object of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RpcError {
     pub code: i64,
@@ -42,12 +44,13 @@
 }
 
 impl RpcError {
+    /// An error without data.
     pub fn new(code: i64, message: impl Into<String>) -> RpcError {
         RpcError { code, message: message.into(), data: None }
     }
 }
 
-/// One message.
+/// A JSON-RPC message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     Request { id: Id, method: String, params: Map<String, Value> },
@@ -55,24 +58,24 @@
     Response { id: Id, result: Result<Value, RpcError> },
 }
 
-/// A message that cannot be taken: the error to answer with, and under which id where one was readable.
+/// An invalid message: the error to respond with, and the id of the message if it has a valid one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Invalid {
+pub struct InvalidMessage {
     pub id: Option<Id>,
     pub error: RpcError,
 }
 
-fn invalid(id: Option<Id>, code: i64, message: impl Into<String>) -> Invalid {
-    Invalid { id, error: RpcError::new(code, message) }
+fn invalid(id: Option<Id>, code: i64, message: impl Into<String>) -> InvalidMessage {
+    InvalidMessage { id, error: RpcError::new(code, message) }
 }
 
-/// Reads one message.
-pub fn parse(bytes: &[u8]) -> Result<Message, Invalid> {
+/// Parses one message.
+pub fn parse(bytes: &[u8]) -> Result<Message, InvalidMessage> {
     let value: Value = serde_json::from_slice(bytes)
         .map_err(|error| invalid(None, PARSE_ERROR, format!("not JSON: {error}")))?;
     let Value::Object(mut object) = value else {
-        let what = if value.is_array() { "batches are not served" } else { "a message is a JSON object" };
-        return Err(invalid(None, INVALID_REQUEST, what));
+        let reason = if value.is_array() { "batches are not served" } else { "a message is a JSON object" };
+        return Err(invalid(None, INVALID_REQUEST, reason));
     };
     let id = match object.get("id") {
         None => None,
@@ -114,7 +117,7 @@
     Ok(Message::Response { id, result })
 }
 
-/// A response as JSON text. Without an id the id is null, as section 5 has it for unreadable requests.
+/// Writes a response. Without an id it has the id null, as section 5 requires for unreadable requests.
 pub fn response(id: Option<&Id>, result: Result<Value, RpcError>) -> String {
     let id = id.map_or(Value::Null, Id::to_value);
     match result {
@@ -129,10 +132,12 @@
     }
 }
 
+/// Writes a request.
 pub fn request(id: &Id, method: &str, params: Value) -> String {
     json!({"jsonrpc": "2.0", "id": id.to_value(), "method": method, "params": params}).to_string()
 }
 
+/// Writes a notification.
 pub fn notification(method: &str, params: Value) -> String {
     json!({"jsonrpc": "2.0", "method": method, "params": params}).to_string()
 }
--- a/crates/protocol/src/mcp.rs
+++ b/crates/protocol/src/mcp.rs
@@ -1,27 +1,29 @@
 //! The Model Context Protocol over Streamable HTTP: revisions 2025-06-18 and 2025-11-25.
 //!
-//! Both sides stand here: what a front serves to clients, and what it says to tool servers.
+//! Both sides are here: the messages that a front exchanges with clients, and those it exchanges with tool servers.
 
 use serde_json::{Map, Value, json};
 
 use crate::jsonrpc::{self, Id, RpcError};
 
-/// Revisions served, the newest first.
+/// Supported revisions, newest first.
 pub const VERSIONS: [&str; 2] = ["2025-11-25", "2025-06-18"];
-/// The revision that a request without a version header is held to speak (2025-06-18, basic/transports).
+/// The revision assumed for a request without a version header (2025-06-18, basic/transports).
 pub const ASSUMED_VERSION: &str = "2025-03-26";
+/// Header with the id of the session.
 pub const SESSION_HEADER: &str = "mcp-session-id";
+/// Header with the protocol revision.
 pub const VERSION_HEADER: &str = "mcp-protocol-version";
 
-/// The revision to answer `initialize` with: the client's if it is served, else our newest.
-pub fn negotiate(asked: &str) -> &'static str {
-    VERSIONS.into_iter().find(|version| *version == asked).unwrap_or(VERSIONS[0])
+/// The revision in the response to `initialize`: the client's if it is supported, else the newest.
+pub fn negotiate(requested: &str) -> &'static str {
+    VERSIONS.into_iter().find(|version| *version == requested).unwrap_or(VERSIONS[0])
 }
 
-/// A key that ties a call's progress to it: a string or a whole number.
+/// Identifies the call that a progress notification belongs to: a string or an integer.
 pub type ProgressToken = Id;
 
-/// One tool as `tools/list` shows it.
+/// A tool, as `tools/list` shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tool {
     pub name: String,
@@ -30,36 +32,37 @@
     pub read_only: bool,
 }
 
-/// A `tools/call` of a client.
+/// The parameters of a `tools/call` from a client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct ToolCallParams {
     pub name: String,
     pub arguments: Map<String, Value>,
-    pub progress: Option<ProgressToken>,
+    pub progress_token: Option<ProgressToken>,
 }
 
-/// Reads the parameters of `tools/call`.
-pub fn call(mut params: Map<String, Value>) -> Result<Call, RpcError> {
-    let wrong = |what: &str| RpcError::new(jsonrpc::INVALID_PARAMS, what);
+/// Parses the parameters of `tools/call`.
+pub fn call(mut params: Map<String, Value>) -> Result<ToolCallParams, RpcError> {
+    let invalid_params = |what: &str| RpcError::new(jsonrpc::INVALID_PARAMS, what);
     let Some(Value::String(name)) = params.remove("name") else {
-        return Err(wrong("params.name must be a string"));
+        return Err(invalid_params("params.name must be a string"));
     };
     let arguments = match params.remove("arguments") {
         None | Some(Value::Null) => Map::new(),
         Some(Value::Object(arguments)) => arguments,
-        Some(_) => return Err(wrong("params.arguments must be an object")),
+        Some(_) => return Err(invalid_params("params.arguments must be an object")),
     };
     let token = params.get("_meta").and_then(|meta| meta.get("progressToken"));
-    let progress = match token {
+    let progress_token = match token {
         None => None,
-        Some(value) => {
-            Some(Id::from_value(value).ok_or_else(|| wrong("progressToken must be a string or number"))?)
-        }
+        Some(value) => Some(
+            Id::from_value(value)
+                .ok_or_else(|| invalid_params("progressToken must be a string or number"))?,
+        ),
     };
-    Ok(Call { name, arguments, progress })
+    Ok(ToolCallParams { name, arguments, progress_token })
 }
 
-/// The result of `initialize`.
+/// Writes the result of `initialize`.
 pub fn initialize_result(version: &str, name: &str, release: &str) -> Value {
     json!({
         "protocolVersion": version,
@@ -68,9 +71,9 @@
     })
 }
 
-/// The result of `tools/list`, for tools that take a prompt and optionally a session.
+/// Writes the result of `tools/list`, for tools that take a prompt and an optional session.
 pub fn tools_result(tools: &[Tool]) -> Value {
-    let one = |tool: &Tool| {
+    let describe = |tool: &Tool| {
         json!({
             "name": tool.name,
             "description": tool.description,
@@ -85,10 +88,10 @@
             "annotations": {"readOnlyHint": tool.read_only},
         })
     };
-    json!({"tools": tools.iter().map(one).collect::<Vec<_>>()})
+    json!({"tools": tools.iter().map(describe).collect::<Vec<_>>()})
 }
 
-/// A progress notification that carries a piece of the answer's text.
+/// Writes a progress notification that carries a piece of the answer's text.
 pub fn progress(token: &ProgressToken, progress: u64, text: &str) -> String {
     jsonrpc::notification(
         "notifications/progress",
@@ -96,24 +99,26 @@
     )
 }
 
-/// The result of a call: one block of text.
+/// Writes the result of a call as one block of text.
 pub fn text_result(text: &str, is_error: bool) -> Value {
     json!({"content": [{"type": "text", "text": text}], "isError": is_error})
 }
 
-/// The id that a `notifications/cancelled` names.
+/// The id of the request that a `notifications/cancelled` cancels.
 pub fn cancelled_id(params: &Map<String, Value>) -> Option<Id> {
     params.get("requestId").and_then(Id::from_value)
 }
 
 // ---- As a client of tool servers ----
 
-/// A `tools/call` to a tool server. `key` names the call for the server's own guard against repeats.
-pub fn call_request(id: &Id, tool: &str, arguments: &Value, key: &str) -> String {
-    let params = json!({"name": tool, "arguments": arguments, "_meta": {"idempotencyKey": key}});
+/// Writes a `tools/call` to a tool server. `idempotency_key` identifies the call, so that the server can ignore
+/// repeats.
+pub fn call_request(id: &Id, tool: &str, arguments: &Value, idempotency_key: &str) -> String {
+    let params = json!({"name": tool, "arguments": arguments, "_meta": {"idempotencyKey": idempotency_key}});
     jsonrpc::request(id, "tools/call", params)
 }
 
+/// Writes an `initialize` request.
 pub fn initialize_request(id: &Id, name: &str, release: &str) -> String {
     let params = json!({
         "protocolVersion": VERSIONS[0],
@@ -123,15 +128,16 @@
     jsonrpc::request(id, "initialize", params)
 }
 
-/// What a tool's result says: its text, and whether the tool calls it an error.
+/// The result of a tool call: its text, and whether the tool marked it as an error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToolText {
+pub struct ToolOutput {
     pub text: String,
     pub is_error: bool,
 }
 
-/// Reads a tool's result. Blocks other than text are named by their type, so that the model sees that they were.
-pub fn tool_text(result: &Value) -> Option<ToolText> {
+/// Parses the result of a tool call. A block other than text is replaced by its type in brackets, so that the model
+/// sees that it was there.
+pub fn tool_text(result: &Value) -> Option<ToolOutput> {
     let blocks = result.get("content")?.as_array()?;
     let mut text = String::new();
     for block in blocks {
@@ -143,5 +149,5 @@
             (other, _) => text.push_str(&format!("[{other}]")),
         }
     }
-    Some(ToolText { text, is_error: result.get("isError").and_then(Value::as_bool).unwrap_or(false) })
+    Some(ToolOutput { text, is_error: result.get("isError").and_then(Value::as_bool).unwrap_or(false) })
 }
--- a/crates/protocol/src/place.rs
+++ b/crates/protocol/src/place.rs
@@ -1,7 +1,8 @@
-//! Addresses of servers as they are written: `127.0.0.1:8000`, `[::1]:8000`, `[fe80::1%2]:8000`, `unix:/run/e.sock`.
+//! Addresses of servers in text form: `127.0.0.1:8000`, `[::1]:8000`, `[fe80::1%2]:8000`, `unix:/run/e.sock`.
 //!
-//! IPv6 stands in brackets (RFC 3986, 3.2.2), with a zone by its number where the address is of one link only
-//! (RFC 4007, 11). Names are not looked up: a router that waits for a name server has one more way to fail.
+//! IPv6 addresses are written in brackets (RFC 3986, 3.2.2). Link-local ones have a zone, which is the number of an
+//! interface (RFC 4007, 11). Host names are not resolved: a router that depends on a name server has one more way
+//! to fail.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, SocketAddrV6};
@@ -10,10 +11,10 @@
 
 use thiserror::Error;
 
-/// Longest path of a Unix socket: `sun_path` has 108 bytes on Linux, the last a zero (unix(7)).
-pub const LONGEST_PATH: usize = 107;
+/// Longest path of a Unix socket: `sun_path` has 108 bytes on Linux, including the final zero byte (unix(7)).
+pub const MAX_UNIX_PATH_BYTES: usize = 107;
 
-/// How a server is reached.
+/// The address family by which a server is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Family {
     Unix,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Where a server listens.
+/// The address that a server listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Place {
     Tcp(SocketAddr),
@@ -39,7 +40,8 @@
 }
 
 impl Place {
-    /// An IPv4 address that is written as IPv6 (`::ffff:0:0/96`, RFC 4291, 2.5.5.2) travels by IPv4.
+    /// The address family. An IPv4-mapped IPv6 address (`::ffff:0:0/96`, RFC 4291, 2.5.5.2) counts as IPv4, since
+    /// that is how its packets are sent.
     pub fn family(&self) -> Family {
         match self {
             Place::Unix(_) => Family::Unix,
@@ -49,11 +51,12 @@
         }
     }
 
-    /// Value of the Host header in requests to it (RFC 9110, 7.2); a Unix socket has no host of its own.
+    /// Value of the `Host` header in requests to this address (RFC 9110, 7.2): `localhost` for a Unix socket, which
+    /// has no host.
     pub fn host(&self) -> String {
         match self {
             Place::Tcp(SocketAddr::V6(addr)) => {
-                // A zone means nothing to the other side (RFC 6874, 3).
+                // The zone is left out, since it has a meaning only on this machine (RFC 6874, 3).
                 SocketAddr::from((*addr.ip(), addr.port())).to_string()
             }
             Place::Tcp(addr) => addr.to_string(),
@@ -77,77 +80,85 @@
     }
 }
 
-/// What is wrong with an address, by its part.
+/// The reason why an address is invalid, by the part that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlaceError {
     #[error("expected an address such as 127.0.0.1:8000, [::1]:8000 or unix:/run/engine.sock")]
-    Form,
-    #[error("address: \"{0}\" is no IPv4 address; names are not looked up")]
-    V4(String),
-    #[error("address: \"{0}\" is no IPv6 address")]
-    V6(String),
+    Malformed,
+    #[error("address: \"{0}\" is not an IPv4 address; host names are not resolved")]
+    InvalidIpv4(String),
+    #[error("address: \"{0}\" is not an IPv6 address")]
+    InvalidIpv6(String),
     #[error("address: IPv6 stands in brackets, as in [::1]:8000")]
-    Brackets,
+    MissingBrackets,
     #[error("address: {0} cannot be connected to")]
-    Unusable(IpAddr),
+    NotConnectable(IpAddr),
     #[error("port: expected a number from 1 to 65535 after the last colon")]
-    Port,
+    InvalidPort,
     #[error("zone: expected an interface's number, as in [fe80::1%2]:8000")]
-    Zone,
-    #[error("zone: only addresses of one link (fe80::/10) take one")]
-    ZoneNotWanted,
-    #[error("zone: an address of one link (fe80::/10) needs one, as in [fe80::1%2]:8000")]
-    ZoneMissing,
+    InvalidZone,
+    #[error("zone: only link-local addresses (fe80::/10) have one")]
+    UnexpectedZone,
+    #[error("zone: a link-local address (fe80::/10) needs one, as in [fe80::1%2]:8000")]
+    MissingZone,
     #[error("path: expected an absolute path after unix:")]
-    Relative,
-    #[error("path: {0} bytes are too long for a Unix socket, which has room for {LONGEST_PATH}")]
-    TooLong(usize),
-    #[error("path: a zero byte cannot stand in it")]
-    Zero,
+    RelativePath,
+    #[error("path: {0} bytes are too long for a Unix socket, whose path has at most {MAX_UNIX_PATH_BYTES}")]
+    PathTooLong(usize),
+    #[error("path: must not contain a zero byte")]
+    ZeroByteInPath,
 }
 
-fn port(text: &str) -> Result<u16, PlaceError> {
-    let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    text.parse().ok().filter(|port| digits && *port > 0).ok_or(PlaceError::Port)
+/// Parses a port number from 1 to 65535.
+fn parse_port(text: &str) -> Result<u16, PlaceError> {
+    let is_number = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
+    text.parse().ok().filter(|port| is_number && *port > 0).ok_or(PlaceError::InvalidPort)
 }
 
-fn usable(ip: IpAddr) -> Result<IpAddr, PlaceError> {
-    let broadcast = ip == IpAddr::V4(Ipv4Addr::BROADCAST);
-    if ip.is_unspecified() || ip.is_multicast() || broadcast { Err(PlaceError::Unusable(ip)) } else { Ok(ip) }
+/// Rejects addresses that cannot be connected to.
+fn check_connectable(ip: IpAddr) -> Result<IpAddr, PlaceError> {
+    let is_broadcast = ip == IpAddr::V4(Ipv4Addr::BROADCAST);
+    if ip.is_unspecified() || ip.is_multicast() || is_broadcast {
+        Err(PlaceError::NotConnectable(ip))
+    } else {
+        Ok(ip)
+    }
 }
 
-fn unix(path: &str) -> Result<Place, PlaceError> {
+/// Parses the path of a Unix socket.
+fn parse_unix_path(path: &str) -> Result<Place, PlaceError> {
     if !path.starts_with('/') || path.ends_with('/') {
-        return Err(PlaceError::Relative);
+        return Err(PlaceError::RelativePath);
     }
     if path.contains('\0') {
-        return Err(PlaceError::Zero);
+        return Err(PlaceError::ZeroByteInPath);
     }
-    if path.len() > LONGEST_PATH {
-        return Err(PlaceError::TooLong(path.len()));
+    if path.len() > MAX_UNIX_PATH_BYTES {
+        return Err(PlaceError::PathTooLong(path.len()));
     }
     Ok(Place::Unix(path.into()))
 }
 
-fn v6(rest: &str) -> Result<Place, PlaceError> {
-    let (inner, after) = rest.split_once(']').ok_or(PlaceError::Brackets)?;
-    let port = port(after.strip_prefix(':').ok_or(PlaceError::Port)?)?;
+/// Parses the part of an IPv6 address after the opening bracket.
+fn parse_ipv6(rest: &str) -> Result<Place, PlaceError> {
+    let (inner, after) = rest.split_once(']').ok_or(PlaceError::MissingBrackets)?;
+    let port = parse_port(after.strip_prefix(':').ok_or(PlaceError::InvalidPort)?)?;
     let (ip, zone) = match inner.split_once('%') {
         None => (inner, None),
         Some((ip, zone)) => (ip, Some(zone)),
     };
-    let ip: Ipv6Addr = ip.parse().map_err(|_| PlaceError::V6(ip.into()))?;
-    usable(ip.into())?;
-    let scope = match zone {
-        None if ip.is_unicast_link_local() => return Err(PlaceError::ZoneMissing),
+    let ip: Ipv6Addr = ip.parse().map_err(|_| PlaceError::InvalidIpv6(ip.into()))?;
+    check_connectable(ip.into())?;
+    let scope_id = match zone {
+        None if ip.is_unicast_link_local() => return Err(PlaceError::MissingZone),
         None => 0,
-        Some(_) if !ip.is_unicast_link_local() => return Err(PlaceError::ZoneNotWanted),
+        Some(_) if !ip.is_unicast_link_local() => return Err(PlaceError::UnexpectedZone),
         Some(zone) if zone.bytes().all(|b| b.is_ascii_digit()) => {
-            zone.parse().ok().filter(|number| *number > 0).ok_or(PlaceError::Zone)?
+            zone.parse().ok().filter(|number| *number > 0).ok_or(PlaceError::InvalidZone)?
         }
-        Some(_) => return Err(PlaceError::Zone),
+        Some(_) => return Err(PlaceError::InvalidZone),
     };
-    Ok(Place::Tcp(SocketAddrV6::new(ip, port, 0, scope).into()))
+    Ok(Place::Tcp(SocketAddrV6::new(ip, port, 0, scope_id).into()))
 }
 
 impl FromStr for Place {
@@ -155,18 +166,18 @@
 
     fn from_str(text: &str) -> Result<Place, PlaceError> {
         if let Some(path) = text.strip_prefix("unix:") {
-            return unix(path);
+            return parse_unix_path(path);
         }
         if let Some(rest) = text.strip_prefix('[') {
-            return v6(rest);
+            return parse_ipv6(rest);
         }
-        let (host, after) = text.rsplit_once(':').ok_or(PlaceError::Form)?;
+        let (host, after) = text.rsplit_once(':').ok_or(PlaceError::Malformed)?;
         if host.contains(':') {
-            return Err(PlaceError::Brackets);
+            return Err(PlaceError::MissingBrackets);
         }
-        let ip: Ipv4Addr = host.parse().map_err(|_| PlaceError::V4(host.into()))?;
-        usable(ip.into())?;
-        Ok(Place::Tcp((ip, port(after)?).into()))
+        let ip: Ipv4Addr = host.parse().map_err(|_| PlaceError::InvalidIpv4(host.into()))?;
+        check_connectable(ip.into())?;
+        Ok(Place::Tcp((ip, parse_port(after)?).into()))
     }
 }
 
--- a/crates/protocol/src/place/tests.rs
+++ b/crates/protocol/src/place/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_written_is_read_back_with_its_family() {
+fn addresses_parse_and_print_with_their_family_and_host() {
     for (text, family, host) in [
         ("127.0.0.1:80", Family::V4, "127.0.0.1:80"),
         ("[::1]:9", Family::V6, "[::1]:9"),
@@ -16,38 +16,38 @@
 }
 
 #[test]
-fn mistakes_name_the_part() {
+fn invalid_addresses_report_the_wrong_part() {
     use PlaceError::*;
-    let long = format!("unix:/{}", "x".repeat(LONGEST_PATH));
+    let long = format!("unix:/{}", "x".repeat(MAX_UNIX_PATH_BYTES));
     for (text, error) in [
-        ("", Form),
-        ("localhost", Form),
-        ("localhost:80", V4("localhost".into())),
-        ("1.2.3:80", V4("1.2.3".into())),
-        ("1.2.3.4:", Port),
-        ("1.2.3.4:0", Port),
-        ("1.2.3.4:+80", Port),
-        ("1.2.3.4:65536", Port),
-        ("0.0.0.0:80", Unusable(Ipv4Addr::UNSPECIFIED.into())),
-        ("224.0.0.1:80", Unusable(Ipv4Addr::new(224, 0, 0, 1).into())),
-        ("255.255.255.255:80", Unusable(Ipv4Addr::BROADCAST.into())),
-        ("::1:80", Brackets),
-        ("[::1:80", Brackets),
-        ("[::1]", Port),
-        ("[::1]80", Port),
-        ("[::1]:x", Port),
-        ("[1.2.3.4]:80", V6("1.2.3.4".into())),
-        ("[::]:80", Unusable(Ipv6Addr::UNSPECIFIED.into())),
-        ("[fe80::1]:80", ZoneMissing),
-        ("[fe80::1%eth0]:80", Zone),
-        ("[fe80::1%]:80", Zone),
-        ("[fe80::1%0]:80", Zone),
-        ("[::1%1]:80", ZoneNotWanted),
-        ("unix:", Relative),
-        ("unix:run/x", Relative),
-        ("unix:/run/", Relative),
-        ("unix:/a\0b", Zero),
-        (long.as_str(), TooLong(LONGEST_PATH + 1)),
+        ("", Malformed),
+        ("localhost", Malformed),
+        ("localhost:80", InvalidIpv4("localhost".into())),
+        ("1.2.3:80", InvalidIpv4("1.2.3".into())),
+        ("1.2.3.4:", InvalidPort),
+        ("1.2.3.4:0", InvalidPort),
+        ("1.2.3.4:+80", InvalidPort),
+        ("1.2.3.4:65536", InvalidPort),
+        ("0.0.0.0:80", NotConnectable(Ipv4Addr::UNSPECIFIED.into())),
+        ("224.0.0.1:80", NotConnectable(Ipv4Addr::new(224, 0, 0, 1).into())),
+        ("255.255.255.255:80", NotConnectable(Ipv4Addr::BROADCAST.into())),
+        ("::1:80", MissingBrackets),
+        ("[::1:80", MissingBrackets),
+        ("[::1]", InvalidPort),
+        ("[::1]80", InvalidPort),
+        ("[::1]:x", InvalidPort),
+        ("[1.2.3.4]:80", InvalidIpv6("1.2.3.4".into())),
+        ("[::]:80", NotConnectable(Ipv6Addr::UNSPECIFIED.into())),
+        ("[fe80::1]:80", MissingZone),
+        ("[fe80::1%eth0]:80", InvalidZone),
+        ("[fe80::1%]:80", InvalidZone),
+        ("[fe80::1%0]:80", InvalidZone),
+        ("[::1%1]:80", UnexpectedZone),
+        ("unix:", RelativePath),
+        ("unix:run/x", RelativePath),
+        ("unix:/run/", RelativePath),
+        ("unix:/a\0b", ZeroByteInPath),
+        (long.as_str(), PathTooLong(MAX_UNIX_PATH_BYTES + 1)),
     ] {
         assert_eq!(text.parse::<Place>(), Err(error), "{text}");
     }
