--- a/crates/front/tests/addresses.rs
+++ b/crates/front/tests/addresses.rs
@@ -1,226 +1,234 @@
-//! Engines with several addresses, and what goes wrong with some of them: through real sockets, judged by the rules.
+//! Engines with several addresses, some of which are faulty. The tests use real sockets, and the rules of the
+//! rehearsal check the recorded traffic.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{End, World};
+use common::{CallEnd, TestCluster};
 use elderstage_protocol::place::Family;
 use elderstage_rehearsal::fleet::Site;
 use elderstage_standin::host::DoorFault;
 use elderstage_standin::traffic::{Record, Seen};
 
-const WAYS: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
+const ALL_FAMILIES: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
 
-fn ways(ways: &'static [Family]) -> impl Fn(&mut Site) {
-    move |site| site.engines.iter_mut().for_each(|engine| engine.ways = ways.to_vec())
+fn set_families(families: &'static [Family]) -> impl Fn(&mut Site) {
+    move |site| site.engines.iter_mut().for_each(|engine| engine.ways = families.to_vec())
 }
 
 const ORDER: &str = "[words 3] [call place_order]";
 
-/// Receipts of attempts at writers, by request.
-fn receipts(records: &[Record]) -> BTreeMap<String, u32> {
-    let mut seen = BTreeMap::new();
+/// How often each turn was received by a writer.
+fn count_receipts(records: &[Record]) -> BTreeMap<String, u32> {
+    let mut received = BTreeMap::new();
     for record in records {
         if let Seen::Received { rid, task, .. } = &record.what
             && task != "read"
         {
             let turn = rid.rsplit_once('/').map_or(rid.as_str(), |(turn, _)| turn);
-            *seen.entry(turn.to_owned()).or_default() += 1;
+            *received.entry(turn.to_owned()).or_default() += 1;
         }
     }
-    seen
+    received
 }
 
-fn orders(world: &World, number: usize) {
+fn serve_orders(cluster: &TestCluster, number: usize) {
     for _ in 0..number {
-        world.call("order", ORDER).served();
-        world.call("ask", "what is this [words 2]").served();
+        cluster.call("order", ORDER).expect_served();
+        cluster.call("ask", "what is this [words 2]").expect_served();
     }
 }
 
-/// While one address works nothing is lost, whatever is wrong with the others; no attempt arrives twice.
-fn survives(preferred: Family, fault: DoorFault) {
-    let world = World::start(ways(&WAYS), "", "");
-    world.fault(None, preferred, fault);
-    orders(&world, 4);
-    // The fault comes over connections that are in use and in the pool, and goes again.
-    world.fault(None, preferred, DoorFault::None);
-    world.until_metric("elderstage_addresses_failing", |failing| failing == 0);
-    orders(&world, 2);
-    world.fault(None, preferred, fault);
-    orders(&world, 2);
-    let records = world.finish();
-    let seen = receipts(&records);
-    assert!(seen.len() >= 16 && seen.values().all(|times| *times == 1), "{fault:?}: {seen:?}");
+/// While one address works, every call is served whatever the fault of the others, and no turn reaches a writer
+/// twice.
+fn assert_served_despite(preferred: Family, fault: DoorFault) {
+    let cluster = TestCluster::start(set_families(&ALL_FAMILIES), "", "");
+    cluster.set_fault(None, preferred, fault);
+    serve_orders(&cluster, 4);
+    // The fault is cleared and set again, so that it also hits connections that are in use or idle in the pool.
+    cluster.set_fault(None, preferred, DoorFault::None);
+    cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing == 0);
+    serve_orders(&cluster, 2);
+    cluster.set_fault(None, preferred, fault);
+    serve_orders(&cluster, 2);
+    let records = cluster.finish_and_check();
+    let received = count_receipts(&records);
+    assert!(received.len() >= 16 && received.values().all(|times| *times == 1), "{fault:?}: {received:?}");
 }
 
 #[test]
-fn addresses_that_refuse_or_are_missing() {
-    survives(Family::Unix, DoorFault::Missing);
-    survives(Family::Unix, DoorFault::Refuses);
-    survives(Family::V6, DoorFault::Refuses);
+fn calls_survive_addresses_that_refuse_or_are_missing() {
+    assert_served_despite(Family::Unix, DoorFault::Missing);
+    assert_served_despite(Family::Unix, DoorFault::Refuses);
+    assert_served_despite(Family::V6, DoorFault::Refuses);
 }
 
 #[test]
-fn addresses_that_drop_connects_silently() {
-    survives(Family::Unix, DoorFault::Silent);
+fn calls_survive_addresses_that_drop_connects_silently() {
+    assert_served_despite(Family::Unix, DoorFault::Silent);
 }
 
 #[test]
-fn addresses_that_take_connections_and_say_nothing() {
-    survives(Family::Unix, DoorFault::Stalls);
+fn calls_survive_addresses_that_accept_and_never_answer() {
+    assert_served_despite(Family::Unix, DoorFault::Stalls);
 }
 
 #[test]
-fn addresses_that_close_connections_at_once_or_on_a_request() {
-    survives(Family::Unix, DoorFault::Closes);
-    survives(Family::Unix, DoorFault::ClosesOnRequest);
+fn calls_survive_addresses_that_close_connections_at_once_or_on_a_request() {
+    assert_served_despite(Family::Unix, DoorFault::Closes);
+    assert_served_despite(Family::Unix, DoorFault::ClosesOnRequest);
 }
 
 #[test]
-fn addresses_that_are_slow_or_do_not_know_the_expectation() {
-    survives(Family::Unix, DoorFault::Slow);
-    survives(Family::Unix, DoorFault::Unexpected);
+fn calls_survive_addresses_that_are_slow_or_do_not_support_100_continue() {
+    assert_served_despite(Family::Unix, DoorFault::Slow);
+    assert_served_despite(Family::Unix, DoorFault::Unexpected);
 }
 
-/// IPv6 first, and it takes connections without a word: orders go by IPv4 and arrive once; nothing fails.
+/// IPv6 is preferred, and its addresses accept connections but never answer: orders go over IPv4, arrive once and
+/// succeed.
 #[test]
-fn ipv6_that_accepts_and_stalls() {
-    let world = World::start(ways(&[Family::V6, Family::V4]), "", "");
-    orders(&world, 1);
-    world.fault(None, Family::V6, DoorFault::Stalls);
-    orders(&world, 5);
-    assert!(world.metric("elderstage_proofs_failed_total") > 0);
-    let seen = receipts(&world.finish());
-    assert!(seen.values().all(|times| *times == 1), "{seen:?}");
+fn orders_avoid_an_ipv6_address_that_accepts_and_stalls() {
+    let cluster = TestCluster::start(set_families(&[Family::V6, Family::V4]), "", "");
+    serve_orders(&cluster, 1);
+    cluster.set_fault(None, Family::V6, DoorFault::Stalls);
+    serve_orders(&cluster, 5);
+    assert!(cluster.metric("elderstage_proofs_failed_total") > 0);
+    let received = count_receipts(&cluster.finish_and_check());
+    assert!(received.values().all(|times| *times == 1), "{received:?}");
 }
 
-/// The word to go on was given and the body went: whatever ran there, it is not sent again.
+/// The engine answered 100 and got the body, so the order may have run and must not be sent again.
 #[test]
-fn an_order_whose_body_went_is_failed_and_never_sent_again() {
+fn an_order_whose_body_was_sent_fails_and_is_not_repeated() {
     for fault in [DoorFault::StallsAfterContinue, DoorFault::StallsAfterHead, DoorFault::StallsInBody] {
-        let short = |site: &mut Site| {
-            ways(&[Family::V6, Family::V4])(site);
+        let short_give_up = |site: &mut Site| {
+            set_families(&[Family::V6, Family::V4])(site);
             site.rest = site.rest.replace("give-up 12s", "give-up 3s");
         };
-        let world = World::start(short, "stall 1s", "");
+        let cluster = TestCluster::start(short_give_up, "stall 1s", "");
         for writer in ["w1", "w2", "m1"] {
-            world.fault(Some(writer), Family::V6, fault);
+            cluster.set_fault(Some(writer), Family::V6, fault);
         }
-        let end = world.call("order", ORDER).end();
-        assert!(matches!(end, End::Failed(_)), "{fault:?}: {end:?}");
-        assert!(receipts(&world.finish()).values().all(|times| *times == 1), "{fault:?}");
+        let end = cluster.call("order", ORDER).wait_for_end();
+        assert!(matches!(end, CallEnd::Failed(_)), "{fault:?}: {end:?}");
+        assert!(count_receipts(&cluster.finish_and_check()).values().all(|times| *times == 1), "{fault:?}");
     }
 }
 
 #[test]
-fn all_addresses_dead_is_a_refusal_with_advice() {
-    let world = World::start(ways(&WAYS), "", "");
-    for way in WAYS {
-        world.fault(None, way, DoorFault::Refuses);
+fn calls_are_refused_with_retry_after_when_all_addresses_fail() {
+    let cluster = TestCluster::start(set_families(&ALL_FAMILIES), "", "");
+    for family in ALL_FAMILIES {
+        cluster.set_fault(None, family, DoorFault::Refuses);
     }
     for route in ["ask", "order"] {
-        let end = world.call(route, "anyone there").end();
-        assert!(matches!(end, End::Refused { retry_after_ms: Some(_), .. }), "{end:?}");
+        let end = cluster.call(route, "anyone there").wait_for_end();
+        assert!(matches!(end, CallEnd::Refused { retry_after_ms: Some(_), .. }), "{end:?}");
     }
-    world.fault(None, Family::V4, DoorFault::None);
-    world.until_metric("elderstage_addresses_failing", |failing| failing <= 10);
-    let records = world.finish();
-    assert_eq!(receipts(&records).len(), 0);
+    cluster.set_fault(None, Family::V4, DoorFault::None);
+    cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing <= 10);
+    let records = cluster.finish_and_check();
+    assert_eq!(count_receipts(&records).len(), 0);
 }
 
-/// A network that is gone for all servers is found once, and its return as well.
+/// An address family that fails on all servers is reported as down, and as up again when it recovers.
 #[test]
-fn a_dead_family_is_told_and_comes_back() {
-    let world = World::start(ways(&[Family::V6, Family::V4]), "", "");
-    world.fault(None, Family::V6, DoorFault::Refuses);
+fn a_dead_address_family_is_reported_and_recovers() {
+    let cluster = TestCluster::start(set_families(&[Family::V6, Family::V4]), "", "");
+    cluster.set_fault(None, Family::V6, DoorFault::Refuses);
     let down = "elderstage_address_family_down{family=\"ipv6\"}";
     for _ in 0..40 {
-        if world.metric(down) == 1 {
+        if cluster.metric(down) == 1 {
             break;
         }
-        orders(&world, 1);
+        serve_orders(&cluster, 1);
     }
-    world.until_metric(down, |down| down == 1);
-    let failed = world.metric("elderstage_dials_failed_total");
-    orders(&world, 5);
-    assert_eq!(world.metric("elderstage_dials_failed_total"), failed, "no request tries it any more");
-    world.fault(None, Family::V6, DoorFault::None);
-    world.until_metric(down, |down| down == 0);
-    world.until_metric("elderstage_addresses_failing", |failing| failing == 0);
-    assert!(world.metric("elderstage_address_trials_total") > 0);
-    orders(&world, 2);
-    world.finish();
-}
-
-/// What has left the list has no connection of ours after the grace, nor one that comes free later.
+    cluster.wait_until_metric(down, |down| down == 1);
+    let failed_dials = cluster.metric("elderstage_dials_failed_total");
+    serve_orders(&cluster, 5);
+    assert_eq!(
+        cluster.metric("elderstage_dials_failed_total"),
+        failed_dials,
+        "requests must not dial a family that is down"
+    );
+    cluster.set_fault(None, Family::V6, DoorFault::None);
+    cluster.wait_until_metric(down, |down| down == 0);
+    cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing == 0);
+    assert!(cluster.metric("elderstage_address_trials_total") > 0);
+    serve_orders(&cluster, 2);
+    cluster.finish_and_check();
+}
+
+/// After the drain grace, the front closes its connections to servers that left the list, also those that become
+/// free later.
 #[test]
-fn the_connections_of_a_server_that_is_gone_are_closed() {
-    let world = World::start(ways(&WAYS), "", "drain-grace 300ms");
-    orders(&world, 3);
-    let open = || ["w1", "w2"].map(|name| world.host(name).connections());
+fn connections_to_a_removed_server_are_closed() {
+    let cluster = TestCluster::start(set_families(&ALL_FAMILIES), "", "drain-grace 300ms");
+    serve_orders(&cluster, 3);
+    let open = || ["w1", "w2"].map(|name| cluster.host(name).connections());
     assert!(open().iter().sum::<usize>() > 0);
-    let list = world.fleet.servers(
-        &world
+    let list = cluster.fleet.servers(
+        &cluster
             .fleet
             .listed
             .iter()
             .map(|(name, state)| (name.clone(), if name.starts_with('w') { "gone" } else { *state }))
             .collect(),
     );
-    std::fs::write(world.dir.join("servers.conf"), list).unwrap();
-    let end = std::time::Instant::now() + common::LONG;
+    std::fs::write(cluster.dir.join("servers.conf"), list).unwrap();
+    let deadline = std::time::Instant::now() + common::MAX_WAIT;
     while open() != [0, 0] {
-        assert!(std::time::Instant::now() < end, "{:?}", open());
+        assert!(std::time::Instant::now() < deadline, "{:?}", open());
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    orders(&world, 1);
-    world.finish();
+    serve_orders(&cluster, 1);
+    cluster.finish_and_check();
 }
 
-/// The list changes while attempts are under way, and one engine stands behind two names.
+/// The order of addresses changes during attempts, and one engine is listed under two names.
 #[test]
-fn addresses_change_during_attempts_and_one_engine_has_two_names() {
-    let world = World::start(ways(&[Family::V6, Family::V4]), "", "");
-    let both = world.fleet.servers(&world.fleet.listed);
-    let reversed: String = both
+fn addresses_may_change_during_attempts_and_one_engine_may_have_two_names() {
+    let cluster = TestCluster::start(set_families(&[Family::V6, Family::V4]), "", "");
+    let original = cluster.fleet.servers(&cluster.fleet.listed);
+    let reversed: String = original
         .lines()
         .map(|line| match line.trim().strip_prefix("address ").and_then(|list| list.split_once(' ')) {
             Some((first, second)) => format!("address {second} {first}\n"),
             None => format!("{line}\n"),
         })
         .collect();
-    let twin = both.replacen("server w1 {", "server w1-twin {", 1);
+    let twin = original.replacen("server w1 {", "server w1-twin {", 1);
     let twin = twin[twin.find("server w1-twin").unwrap()..].split_inclusive("}\n").next().unwrap().to_owned();
     let mut calls = Vec::new();
     for round in 0..12 {
-        let list = if round % 2 == 0 { format!("{reversed}{twin}") } else { both.clone() };
-        std::fs::write(world.dir.join("servers.part"), list).unwrap();
-        std::fs::rename(world.dir.join("servers.part"), world.dir.join("servers.conf")).unwrap();
+        let list = if round % 2 == 0 { format!("{reversed}{twin}") } else { original.clone() };
+        std::fs::write(cluster.dir.join("servers.part"), list).unwrap();
+        std::fs::rename(cluster.dir.join("servers.part"), cluster.dir.join("servers.conf")).unwrap();
         for _ in 0..4 {
-            calls.push(world.call("order", ORDER));
+            calls.push(cluster.call("order", ORDER));
         }
         std::thread::sleep(std::time::Duration::from_millis(60));
     }
     for mut call in calls {
-        let end = call.end();
-        // An order on a server that was taken off the list is served too: it drains.
-        assert!(matches!(end, End::Served(_) | End::Refused { .. }), "{end:?}");
+        let end = call.wait_for_end();
+        // An order on a server that was removed from the list is served too, since the server drains.
+        assert!(matches!(end, CallEnd::Served(_) | CallEnd::Refused { .. }), "{end:?}");
     }
-    let seen = receipts(&world.finish());
-    assert!(seen.values().all(|times| *times == 1), "{seen:?}");
+    let received = count_receipts(&cluster.finish_and_check());
+    assert!(received.values().all(|times| *times == 1), "{received:?}");
 }
 
-/// A budget that is used up is no dead server: requests wait for their dials and are served.
+/// An exhausted dial budget must not count as a dead server: requests wait for their dials and are served.
 #[test]
-fn a_small_budget_of_dials_slows_and_loses_nothing() {
+fn a_small_dial_budget_delays_calls_and_loses_none() {
     let extra = "connections {\n dials-per-second 40\n dials-at-once 2\n per-server 64\n in-all 64\n}\n";
     let edit = |text: String, _: &elderstage_rehearsal::fleet::Fleet| text + extra;
-    let world = World::with_config(ways(&WAYS), "", "", edit);
-    let mut calls: Vec<_> = (0..8).map(|_| world.call("ask", "many at once [words 4]")).collect();
-    let ends: Vec<End> = calls.iter_mut().map(|call| call.end()).collect();
-    assert!(ends.iter().all(|end| !matches!(end, End::Failed(_))), "{ends:?}");
-    assert!(ends.iter().any(|end| matches!(end, End::Served(_))), "{ends:?}");
-    world.finish();
+    let cluster = TestCluster::with_config(set_families(&ALL_FAMILIES), "", "", edit);
+    let mut calls: Vec<_> = (0..8).map(|_| cluster.call("ask", "many at once [words 4]")).collect();
+    let ends: Vec<CallEnd> = calls.iter_mut().map(|call| call.wait_for_end()).collect();
+    assert!(ends.iter().all(|end| !matches!(end, CallEnd::Failed(_))), "{ends:?}");
+    assert!(ends.iter().any(|end| matches!(end, CallEnd::Served(_))), "{ends:?}");
+    cluster.finish_and_check();
 }
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -1,19 +1,20 @@
-//! Malformed input from clients, engines and tool servers: each gets the clear error of its protocol, and nothing
-//! panics, hangs or leaks an attempt.
+//! Malformed input from clients, engines and tool servers. Each gets the error that its protocol defines, and
+//! nothing panics, hangs or leaks an attempt.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Call, End, LONG, World, call_body};
+use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
 use elderstage_net::{NetError, open};
 use elderstage_protocol::mcp;
 use elderstage_rehearsal::fleet::ANY_PORT;
 use elderstage_standin::peer::{Peer, Script};
 
-fn raw(world: &World, bytes: &[u8]) -> (u16, String) {
-    let mut conn = open(world.addr, LONG).unwrap();
-    conn.set_read_timeout(Some(LONG));
+/// Sends raw bytes and returns the status and the body of the response.
+fn send_raw(cluster: &TestCluster, bytes: &[u8]) -> (u16, String) {
+    let mut conn = open(cluster.addr, MAX_WAIT).unwrap();
+    conn.set_read_timeout(Some(MAX_WAIT));
     conn.write(bytes).unwrap();
     let head = conn.response().unwrap();
     let body = conn.body(head.framing).unwrap();
@@ -21,9 +22,9 @@
 }
 
 #[test]
-fn malformed_http_is_answered_with_its_status() {
-    let world = World::start(|_| {}, "head 2048\nbody 4096", "");
-    let long = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(5000));
+fn malformed_http_gets_the_matching_status() {
+    let cluster = TestCluster::start(|_| {}, "head 2048\nbody 4096", "");
+    let long_head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(5000));
     for (bytes, status) in [
         ("nonsense\r\n\r\n", 400),
         ("GET /mcp HTTP/3.0\r\n\r\n", 505),
@@ -32,7 +33,7 @@
         ("POST /mcp HTTP/1.1\r\ncontent-length: 99999\r\n\r\n", 413),
         ("POST /mcp HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\nxyz\r\n", 400),
         ("POST /mcp HTTP/1.1\r\ntransfer-encoding: gzip\r\n\r\n", 501),
-        (long.as_str(), 431),
+        (long_head.as_str(), 431),
         ("PUT /mcp HTTP/1.1\r\n\r\n", 405),
         ("GET /nowhere HTTP/1.1\r\n\r\n", 404),
         ("GET /mcp HTTP/1.1\r\naccept: text/html\r\n\r\n", 406),
@@ -42,26 +43,26 @@
         ("DELETE /mcp HTTP/1.1\r\n\r\n", 400),
         ("POST /mcp HTTP/1.1\r\ncontent-type: text/xml\r\ncontent-length: 0\r\n\r\n", 415),
     ] {
-        assert_eq!(raw(&world, bytes.as_bytes()).0, status, "{bytes:?}");
+        assert_eq!(send_raw(&cluster, bytes.as_bytes()).0, status, "{bytes:?}");
     }
-    // A body that never comes to its end, and a head that stops: closed in time, and nothing is held for them.
-    let mut half = open(world.addr, LONG).unwrap();
-    half.write(b"POST /mcp HTTP/1.1\r\ncontent-length: 50\r\n\r\n{").unwrap();
-    drop(half);
-    world.call("ask", "Still there? [words 3]").served();
-    world.finish();
+    // A client that leaves in the middle of a body must not affect other clients, and nothing stays held for it.
+    let mut incomplete = open(cluster.addr, MAX_WAIT).unwrap();
+    incomplete.write(b"POST /mcp HTTP/1.1\r\ncontent-length: 50\r\n\r\n{").unwrap();
+    drop(incomplete);
+    cluster.call("ask", "Still there? [words 3]").expect_served();
+    cluster.finish_and_check();
 }
 
 #[test]
-fn malformed_json_rpc_is_answered_with_its_code() {
-    let world = World::plain();
+fn malformed_json_rpc_gets_the_matching_code() {
+    let cluster = TestCluster::start_default();
     let deep = format!("{}{}", "[".repeat(5_000), "]".repeat(5_000));
     let nested = format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\",\"params\":{{\"a\":{}1{}}}}}",
         "[".repeat(120),
         "]".repeat(120)
     );
-    for (body, wanted) in [
+    for (body, expected) in [
         ("{", "-32700"),
         ("\u{feff}{}", "-32700"),
         (deep.as_str(), "-32700"),
@@ -87,26 +88,26 @@
             "no argument is called z",
         ),
     ] {
-        let (_, said) = world.post(body);
-        assert!(said.contains(wanted), "{body:.80}: {said}");
+        let (_, response) = cluster.post(body);
+        assert!(response.contains(expected), "{body:.80}: {response}");
     }
-    assert_eq!(world.post("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/anything\"}").0, 202);
-    assert_eq!(world.post("{\"jsonrpc\":\"2.0\",\"id\":4,\"result\":{}}").0, 202);
-    let (status, _) = world.post_with(
+    assert_eq!(cluster.post("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/anything\"}").0, 202);
+    assert_eq!(cluster.post("{\"jsonrpc\":\"2.0\",\"id\":4,\"result\":{}}").0, 202);
+    let (status, _) = cluster.post_with(
         &[("content-type", "application/json"), ("accept", "application/json")],
         &call_body("ask", "x", 1, false),
     );
-    assert_eq!(status, 406, "a call is answered by a stream");
-    assert_eq!(world.status().counters.taken, 0);
-    world.finish();
+    assert_eq!(status, 406, "the response to a call is a stream, which this client does not accept");
+    assert_eq!(cluster.status().counters.taken, 0);
+    cluster.finish_and_check();
 }
 
-/// A world whose only engine is a scripted peer.
-fn with_peer(script: Script) -> (World, Peer) {
+/// Starts a cluster whose only engine is a scripted peer.
+fn start_with_engine_peer(script: Script) -> (TestCluster, Peer) {
     elderstage_net::init(2);
     let peer = Peer::start(ANY_PORT, script).unwrap();
     let addr = peer.addr();
-    let world = World::with_config(
+    let cluster = TestCluster::with_config(
         |_| {},
         "stall 400ms",
         "probes no",
@@ -117,7 +118,7 @@
                 .replace("give-up 12s", "give-up 3s")
         },
     );
-    (world, peer)
+    (cluster, peer)
 }
 
 fn stream(events: &str) -> Vec<u8> {
@@ -130,42 +131,42 @@
 const STOP: &str = "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n";
 
 #[test]
-fn malformed_answers_of_engines_fail_an_order_and_leave_nothing() {
+fn malformed_engine_responses_fail_an_order_and_leave_no_request() {
     let done = "data: [DONE]\n\n";
     let call = "data: {\"choices\":[{\"index\":0,\"delta\":{\"tool_calls\":[{\"index\":3,\"id\":\"c\",\"function\":{\"name\":\"x\",\"arguments\":\"\"}}]}}]}\n\n";
     let scripts: Vec<(&str, Vec<u8>, bool)> = vec![
-        ("no HTTP", b"SSH-2.0-engine\r\n\r\n".to_vec(), true),
+        ("not HTTP", b"SSH-2.0-engine\r\n\r\n".to_vec(), true),
         ("closed at once", Vec::new(), true),
         ("not a stream", b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}".to_vec(), true),
-        ("no JSON", stream("data: {\"choices\"\n\n"), true),
+        ("not JSON", stream("data: {\"choices\"\n\n"), true),
         ("not UTF-8", [stream("data: "), b"\xff\xfe\n\n".to_vec()].concat(), true),
         (
             "an error in the stream",
             stream(&format!("{HELLO}data: {{\"error\":{{\"message\":\"x\"}}}}\n\n")),
             true,
         ),
-        ("ends without its end", stream(HELLO), true),
-        ("no finish", stream(&format!("{HELLO}{done}")), true),
-        ("a call with a place left out", stream(&format!("{HELLO}{call}{STOP}{done}")), true),
-        ("stands still after text", stream(HELLO), false),
+        ("ends before the [DONE] event", stream(HELLO), true),
+        ("no finish reason", stream(&format!("{HELLO}{done}")), true),
+        ("a tool call that skips an index", stream(&format!("{HELLO}{call}{STOP}{done}")), true),
+        ("stalls after text", stream(HELLO), false),
         ("500", b"HTTP/1.1 500 X\r\ncontent-length: 0\r\n\r\n".to_vec(), true),
     ];
     for (what, bytes, close) in scripts {
-        // A front of its own for each: a failure suspends the only engine for a while.
-        let (world, _peer) = with_peer(Script { bytes, close });
-        let end = world.call("order", "x").end();
-        assert!(matches!(end, End::Failed(_)), "{what}: {end:?}");
-        assert_eq!(world.status().held, 0, "{what}");
-        world.finish();
+        // Each case has its own front, because a failure suspends the only engine for a while.
+        let (cluster, _peer) = start_with_engine_peer(Script { bytes, close });
+        let end = cluster.call("order", "x").wait_for_end();
+        assert!(matches!(end, CallEnd::Failed(_)), "{what}: {end:?}");
+        assert_eq!(cluster.status().held, 0, "{what}");
+        cluster.finish_and_check();
     }
-    let good = stream(&format!("{HELLO}{STOP}data: [DONE]\n\n"));
-    let (world, _peer) = with_peer(Script { bytes: good, close: true });
-    assert_eq!(world.call("order", "x").served(), "hello ");
-    world.finish();
+    let valid = stream(&format!("{HELLO}{STOP}data: [DONE]\n\n"));
+    let (cluster, _peer) = start_with_engine_peer(Script { bytes: valid, close: true });
+    assert_eq!(cluster.call("order", "x").expect_served(), "hello ");
+    cluster.finish_and_check();
 }
 
 #[test]
-fn malformed_answers_of_tool_servers_fail_an_order() {
+fn malformed_tool_server_responses_give_the_model_an_error() {
     let http = |body: &str| {
         format!(
             "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
@@ -181,46 +182,48 @@
         elderstage_net::init(2);
         let peer = Peer::start(ANY_PORT, Script { bytes: bytes.into_bytes(), close: true }).unwrap();
         let addr = peer.addr();
-        let world = World::with_config(
+        let cluster = TestCluster::with_config(
             |_| {},
             "",
             "",
             |text, fleet| text.replace(&fleet.tools.addr().to_string(), &addr.to_string()),
         );
-        // All of these happen before the call itself: it has not run, and the model is told so.
-        let text = world.call("order", "x [words 3][call place_order]").served();
+        // All of these faults occur before the call is sent: the tool has not run, and the model gets that result.
+        let text = cluster.call("order", "x [words 3][call place_order]").expect_served();
         assert!(text.contains("error: the tool gave no result"), "{what}: {text}");
-        world.finish();
+        cluster.finish_and_check();
     }
 }
 
 #[test]
-fn an_answer_that_outgrows_its_bound_is_ended() {
-    let world = World::start(
+fn an_answer_over_the_length_limit_fails() {
+    let cluster = TestCluster::start(
         |site| site.kinds.iter_mut().for_each(|kind| (kind.spec.step, kind.spec.step_per_answer) = (150, 1)),
         "answer 1024",
         "",
     );
-    let end = world.call("order", "Much. [words 400]").end();
-    assert!(matches!(&end, End::Failed(why) if why.contains("longer")), "{end:?}");
-    world.finish();
+    let end = cluster.call("order", "Much. [words 400]").wait_for_end();
+    assert!(matches!(&end, CallEnd::Failed(why) if why.contains("longer")), "{end:?}");
+    cluster.finish_and_check();
 }
 
 #[test]
-fn sessions_end_with_their_calls_and_pings_keep_a_stream() {
-    let world = World::plain();
-    let session = world.initialize();
-    let conn = open(world.addr, LONG).unwrap();
-    let mut call = Call::on(conn, world.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
-    call.first();
-    let (status, _) =
-        raw(&world, format!("DELETE /mcp HTTP/1.1\r\n{}: {session}\r\n\r\n", mcp::SESSION_HEADER).as_bytes());
+fn closing_a_session_ends_its_calls_and_a_get_stream_stays_open() {
+    let cluster = TestCluster::start_default();
+    let session = cluster.open_session();
+    let conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut call = Call::send(conn, cluster.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
+    call.wait_for_text();
+    let (status, _) = send_raw(
+        &cluster,
+        format!("DELETE /mcp HTTP/1.1\r\n{}: {session}\r\n\r\n", mcp::SESSION_HEADER).as_bytes(),
+    );
     assert_eq!(status, 204);
-    assert_eq!(call.end(), End::Nothing);
-    let mut stream = open(world.addr, LONG).unwrap();
+    assert_eq!(call.wait_for_end(), CallEnd::NoResponse);
+    let mut stream = open(cluster.addr, MAX_WAIT).unwrap();
     stream.write(b"GET /mcp HTTP/1.1\r\naccept: text/event-stream\r\n\r\n").unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(300)));
     assert_eq!(stream.response().unwrap().status, 200);
-    assert!(matches!(stream.fill(), Err(NetError::TimedOut)), "it stays open");
-    world.finish();
+    assert!(matches!(stream.fill(), Err(NetError::TimedOut)), "the stream must stay open");
+    cluster.finish_and_check();
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front in this process with a fleet of stand-ins, and a client that speaks raw HTTP.
+//! A front in this process with a fleet of stand-in servers, and a client that sends raw HTTP.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -19,10 +19,11 @@
 use elderstage_standin::traffic::{Log, Record, Writer};
 use serde_json::{Value, json};
 
-/// Longest wait for anything in a test: far beyond what it takes, so that a busy machine changes no verdict.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Longest wait in a test. It is far longer than any wait takes, so that a busy machine does not make a test fail.
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-pub struct World {
+/// A running front with its fleet of stand-in servers.
+pub struct TestCluster {
     pub fleet: Fleet,
     pub front: Option<Front>,
     pub addr: SocketAddr,
@@ -31,7 +32,8 @@
     writer: Option<Writer>,
 }
 
-pub fn folder() -> PathBuf {
+/// Creates an empty directory for one test.
+pub fn create_temp_dir() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("elderstage-test-{}-{number}", std::process::id()));
@@ -39,25 +41,27 @@
     dir
 }
 
-impl World {
-    /// A front with the demo's fleet. `front` are further directives of its section, `rules` a section's.
-    pub fn start(change: impl Fn(&mut Site), front: &str, rules: &str) -> World {
-        World::with_config(change, front, rules, |text, _| text)
+impl TestCluster {
+    /// Starts a front with the demo's fleet. `front` has further directives of the section `front`, `rules` those
+    /// of the section `rules`.
+    pub fn start(change: impl Fn(&mut Site), front: &str, rules: &str) -> TestCluster {
+        TestCluster::with_config(change, front, rules, |text, _| text)
     }
 
+    /// Like [`TestCluster::start`], with a last edit of the configuration.
     pub fn with_config(
         change: impl Fn(&mut Site),
         front: &str,
         rules: &str,
         edit: impl Fn(String, &Fleet) -> String,
-    ) -> World {
+    ) -> TestCluster {
         elderstage_net::init(2);
         let mut site = demo();
         change(&mut site);
         site.rest.push_str(&format!("rules {{\n{rules}\n}}\n"));
         let (log, writer) = Log::start(None, None).unwrap();
         let fleet = Fleet::start(site, &log).unwrap();
-        let dir = folder();
+        let dir = create_temp_dir();
         std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed)).unwrap();
         let section = format!("listen 127.0.0.1:0\nzone a\n{front}");
         let text = edit(fleet.config(&section, "servers.conf"), &fleet);
@@ -66,11 +70,12 @@
         let figures = figures(&config);
         let front = Front::start(config, &dir, 1).unwrap();
         let addr = front.addr();
-        World { fleet, front: Some(front), addr, dir, figures, writer: Some(writer) }
+        TestCluster { fleet, front: Some(front), addr, dir, figures, writer: Some(writer) }
     }
 
-    pub fn plain() -> World {
-        World::start(|_| {}, "", "")
+    /// Starts a front with the demo's fleet as it is.
+    pub fn start_default() -> TestCluster {
+        TestCluster::start(|_| {}, "", "")
     }
 
     pub fn host(&self, name: &str) -> &elderstage_standin::host::Host {
@@ -85,19 +90,19 @@
         self.front.as_ref().unwrap().status().unwrap()
     }
 
-    /// Waits until the front's status is as wanted.
-    pub fn until(&self, what: &str, wanted: impl Fn(&Status) -> bool) {
-        let end = Instant::now() + LONG;
-        while !wanted(&self.status()) {
-            assert!(Instant::now() < end, "never came: {what}; {:?}", self.status());
+    /// Waits until the front's status meets the condition.
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Status) -> bool) {
+        let deadline = Instant::now() + MAX_WAIT;
+        while !condition(&self.status()) {
+            assert!(Instant::now() < deadline, "timed out waiting for: {what}; {:?}", self.status());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Ends all, and gives what was seen. No rule may be broken.
-    pub fn finish(mut self) -> Vec<Record> {
-        self.until("no request left", |status| status.held == 0);
-        // States that were let go of at the last moment reach their readers.
+    /// Stops everything and returns the traffic records. Fails if a rule of the rehearsal is broken.
+    pub fn finish_and_check(mut self) -> Vec<Record> {
+        self.wait_until("no request left", |status| status.held == 0);
+        // Gives the last releases of KV states the time to reach their readers.
         std::thread::sleep(Duration::from_millis(400));
         self.front.take().unwrap().finish(&AtomicBool::new(false));
         self.fleet.stop();
@@ -109,52 +114,55 @@
         records
     }
 
+    /// Sends a call on a connection of its own.
     pub fn call(&self, tool: &str, prompt: &str) -> Call {
-        let conn = open(self.addr, LONG).unwrap();
-        Call::on(conn, self.addr, tool, prompt, 1, None, true)
+        let conn = open(self.addr, MAX_WAIT).unwrap();
+        Call::send(conn, self.addr, tool, prompt, 1, None, true)
     }
 
-    /// One of the front's plain counters.
+    /// The value of one metric of the front.
     pub fn metric(&self, name: &str) -> u64 {
         let to = Endpoint::new(self.addr, "/metrics");
-        let answer = elderstage_net::exchange("GET", &to, &[], b"", LONG).unwrap();
+        let answer = elderstage_net::exchange("GET", &to, &[], b"", MAX_WAIT).unwrap();
         let text = String::from_utf8(answer.body).unwrap();
         let line = text.lines().find(|line| line.split(' ').next() == Some(name));
         line.and_then(|line| line.split(' ').nth(1)?.parse().ok()).unwrap_or_else(|| panic!("{name}: {text}"))
     }
 
-    /// Waits until a counter is as wanted.
-    pub fn until_metric(&self, name: &str, wanted: impl Fn(u64) -> bool) {
-        let end = Instant::now() + LONG;
-        while !wanted(self.metric(name)) {
-            assert!(Instant::now() < end, "{name} stays {}", self.metric(name));
+    /// Waits until a metric meets the condition.
+    pub fn wait_until_metric(&self, name: &str, condition: impl Fn(u64) -> bool) {
+        let deadline = Instant::now() + MAX_WAIT;
+        while !condition(self.metric(name)) {
+            assert!(Instant::now() < deadline, "timed out: {name} stays at {}", self.metric(name));
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    pub fn fault(&self, engine: Option<&str>, way: Family, fault: DoorFault) {
-        self.fleet.fault(engine, way, fault).unwrap();
+    /// Sets the fault of one engine's addresses of a family, or of all engines'.
+    pub fn set_fault(&self, engine: Option<&str>, family: Family, fault: DoorFault) {
+        self.fleet.fault(engine, family, fault).unwrap();
     }
 
-    pub fn initialize(&self) -> String {
+    /// Opens an MCP session and returns its id.
+    pub fn open_session(&self) -> String {
         elderstage_rehearsal::clients::Clients::initialize(self.addr).unwrap().unwrap()
     }
 
-    /// A POST of one message, answered whole.
+    /// Posts one message and reads the whole response.
     pub fn post(&self, body: &str) -> (u16, String) {
         self.post_with(&[("content-type", "application/json")], body)
     }
 
     pub fn post_with(&self, headers: &[(&str, &str)], body: &str) -> (u16, String) {
         let to = Endpoint::new(self.addr, "/mcp");
-        let answer = elderstage_net::exchange("POST", &to, headers, body.as_bytes(), LONG).unwrap();
+        let answer = elderstage_net::exchange("POST", &to, headers, body.as_bytes(), MAX_WAIT).unwrap();
         (answer.head.status, String::from_utf8(answer.body).unwrap())
     }
 }
 
 /// How a call ended.
 #[derive(Debug, PartialEq)]
-pub enum End {
+pub enum CallEnd {
     Served(String),
     Refused {
         retry_after_ms: Option<u64>,
@@ -162,17 +170,17 @@
     },
     Failed(String),
     /// The stream ended without a response.
-    Nothing,
+    NoResponse,
 }
 
-/// A call that is out.
+/// A running call.
 pub struct Call {
     pub conn: Conn,
     body: Option<Body>,
     parser: sse::Parser,
     events: Vec<sse::Event>,
     pub id: i64,
-    /// Text that came in pieces.
+    /// Text received in progress notifications.
     pub text: String,
 }
 
@@ -185,7 +193,8 @@
 }
 
 impl Call {
-    pub fn on(
+    /// Sends a call on this connection.
+    pub fn send(
         mut conn: Conn,
         addr: SocketAddr,
         tool: &str,
@@ -194,7 +203,7 @@
         session: Option<&str>,
         progress: bool,
     ) -> Call {
-        conn.set_read_timeout(Some(LONG));
+        conn.set_read_timeout(Some(MAX_WAIT));
         let mut headers =
             vec![("content-type", "application/json"), ("accept", "application/json, text/event-stream")];
         if let Some(session) = session {
@@ -202,17 +211,17 @@
         }
         let to = Endpoint::new(addr, "/mcp");
         send(&mut conn, "POST", &to, &headers, call_body(tool, prompt, id, progress).as_bytes()).unwrap();
-        Call::expect(conn, id)
+        Call::receive(conn, id)
     }
 
-    /// Reads the answer to a call that was sent on this connection.
-    pub fn expect(conn: Conn, id: i64) -> Call {
+    /// Prepares to read the answer to a call that was already sent on this connection.
+    pub fn receive(conn: Conn, id: i64) -> Call {
         let (parser, events) = (sse::Parser::default(), Vec::new());
         Call { conn, body: None, parser, events, id, text: String::new() }
     }
 
-    /// The next message; `None` when the stream has ended.
-    pub fn message(&mut self) -> Result<Option<Message>, NetError> {
+    /// Reads the next message. Returns `None` when the stream has ended.
+    pub fn next_message(&mut self) -> Result<Option<Message>, NetError> {
         loop {
             if !self.events.is_empty() {
                 let event = self.events.remove(0);
@@ -236,57 +245,59 @@
     }
 
     /// Waits for the first piece of text.
-    pub fn first(&mut self) {
-        match self.message() {
-            Ok(Some(Message::Notification { params, .. })) => self.take(&params),
+    pub fn wait_for_text(&mut self) {
+        match self.next_message() {
+            Ok(Some(Message::Notification { params, .. })) => self.record_progress(&params),
             other => panic!("expected text, got {other:?}"),
         }
     }
 
-    fn take(&mut self, params: &serde_json::Map<String, Value>) {
+    fn record_progress(&mut self, params: &serde_json::Map<String, Value>) {
         assert_eq!(params["progressToken"], json!(self.id));
         self.text.push_str(params["message"].as_str().unwrap());
     }
 
-    /// Follows the call to its end.
-    pub fn end(&mut self) -> End {
+    /// Reads the answer to its end.
+    pub fn wait_for_end(&mut self) -> CallEnd {
         loop {
-            match self.message().unwrap() {
-                None => return End::Nothing,
-                Some(Message::Notification { params, .. }) => self.take(&params),
+            match self.next_message().unwrap() {
+                None => return CallEnd::NoResponse,
+                Some(Message::Notification { params, .. }) => self.record_progress(&params),
                 Some(Message::Response { id, result }) => {
                     assert_eq!(id, Id::Number(self.id));
-                    let end = end(result);
-                    assert_eq!(self.message().unwrap(), None, "something after the response");
+                    let end = classify_result(result);
+                    assert_eq!(self.next_message().unwrap(), None, "message after the response");
                     return end;
                 }
-                Some(other) => panic!("unasked: {other:?}"),
+                Some(other) => panic!("unexpected message: {other:?}"),
             }
         }
     }
 
-    pub fn served(&mut self) -> String {
-        match self.end() {
-            End::Served(text) => text,
+    /// Reads the answer to its end and returns the text of a successful result.
+    pub fn expect_served(&mut self) -> String {
+        match self.wait_for_end() {
+            CallEnd::Served(text) => text,
             other => panic!("expected served, got {other:?}"),
         }
     }
 
-    pub fn leave(self) {
+    /// Closes the connection without waiting for the answer.
+    pub fn disconnect(self) {
         self.conn.socket().shut();
     }
 }
 
-fn end(result: Result<Value, jsonrpc::RpcError>) -> End {
+fn classify_result(result: Result<Value, jsonrpc::RpcError>) -> CallEnd {
     match result {
-        Ok(result) => End::Served(mcp::tool_text(&result).unwrap().text),
+        Ok(result) => CallEnd::Served(mcp::tool_text(&result).unwrap().text),
         Err(error) => {
             let data = error.data.unwrap_or_default();
             match data["outcome"].as_str() {
                 Some("refused") => {
-                    End::Refused { retry_after_ms: data["retryAfterMs"].as_u64(), message: error.message }
+                    CallEnd::Refused { retry_after_ms: data["retryAfterMs"].as_u64(), message: error.message }
                 }
-                Some("failed") => End::Failed(error.message),
+                Some("failed") => CallEnd::Failed(error.message),
                 other => panic!("outcome {other:?}: {}", error.message),
             }
         }
--- a/crates/front/tests/rmcp.rs
+++ b/crates/front/tests/rmcp.rs
@@ -1,10 +1,10 @@
-//! The front against an MCP client that no one here wrote.
+//! Interoperability of the front with a third-party MCP client (`rmcp`).
 
 mod common;
 
 use std::sync::{Arc, Mutex};
 
-use common::World;
+use common::TestCluster;
 use rmcp::model::{CallToolRequestParams, ProgressNotificationParam};
 use rmcp::service::{NotificationContext, RoleClient};
 use rmcp::transport::StreamableHttpClientTransport;
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn a_foreign_client_lists_and_calls_the_tools() {
-    let world = World::plain();
+fn a_third_party_client_lists_and_calls_the_tools() {
+    let cluster = TestCluster::start_default();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let client = Client::default();
-        let text = client.0.clone();
-        let transport = StreamableHttpClientTransport::from_uri(format!("http://{}/mcp", world.addr));
+        let progress_text = client.0.clone();
+        let transport = StreamableHttpClientTransport::from_uri(format!("http://{}/mcp", cluster.addr));
         let service = client.serve(transport).await.unwrap();
         let tools = service.list_all_tools().await.unwrap();
         let names: Vec<&str> = tools.iter().map(|tool| &*tool.name).collect();
@@ -35,13 +35,17 @@
         params.arguments =
             serde_json::json!({"prompt": "One bowl. [words 9][call place_order]"}).as_object().cloned();
         let result = service.call_tool(params).await.unwrap();
-        let whole = serde_json::to_value(&result).unwrap()["content"][0]["text"].as_str().unwrap().to_owned();
-        assert!(whole.contains("order 1 placed"), "{whole}");
+        let answer =
+            serde_json::to_value(&result).unwrap()["content"][0]["text"].as_str().unwrap().to_owned();
+        assert!(answer.contains("order 1 placed"), "{answer}");
         assert_eq!(result.is_error, Some(false));
-        // Progress is handed over by tasks of the client's own; they have run when the client has closed.
+        // The client handles progress notifications in its own tasks, which have run once the client is closed.
         service.cancel().await.unwrap();
-        let text = text.lock().unwrap().clone();
-        assert!(whole.starts_with(&text) && !text.is_empty(), "{text:?} of {whole:?}");
+        let progress_text = progress_text.lock().unwrap().clone();
+        assert!(
+            answer.starts_with(&progress_text) && !progress_text.is_empty(),
+            "{progress_text:?} of {answer:?}"
+        );
     });
-    world.finish();
+    cluster.finish_and_check();
 }
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -1,11 +1,11 @@
-//! A front over real sockets: what clients, engines and tool servers do at bad moments.
+//! A front over real sockets: faults of clients, engines and tool servers at every stage of a request.
 
 mod common;
 
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use common::{Call, End, LONG, World, call_body};
+use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
 use elderstage_net::{Conn, open};
 use elderstage_protocol::{http, mcp};
 use elderstage_standin::host::{Control, Faults};
@@ -15,141 +15,154 @@
 
 const ORDER: &str = "One bowl. [words 12][call place_order]";
 
-fn count(records: &[Record], is: impl Fn(&Seen) -> bool) -> usize {
-    records.iter().filter(|record| is(&record.what)).count()
+fn count_records(records: &[Record], is_match: impl Fn(&Seen) -> bool) -> usize {
+    records.iter().filter(|record| is_match(&record.what)).count()
 }
 
-fn ran(records: &[Record]) -> usize {
-    count(records, |seen| matches!(seen, Seen::ToolRan { effect: true, .. }))
+fn count_tool_runs(records: &[Record]) -> usize {
+    count_records(records, |seen| matches!(seen, Seen::ToolRan { effect: true, .. }))
 }
 
 #[test]
-fn an_order_streams_pauses_for_its_tool_and_ends_in_one_response() {
-    let world = World::plain();
-    let mut call = world.call("order", ORDER);
-    let text = call.served();
-    assert_eq!(call.text, text, "the pieces make up the whole");
+fn an_order_streams_calls_its_tool_and_ends_in_one_response() {
+    let cluster = TestCluster::start_default();
+    let mut call = cluster.call("order", ORDER);
+    let text = call.expect_served();
+    assert_eq!(call.text, text, "the progress texts must make up the answer");
     assert!(text.contains("order 1 placed"), "{text}");
-    let silent =
-        Call::on(open(world.addr, LONG).unwrap(), world.addr, "ask", "Hello. [words 5]", 7, None, false);
-    let mut silent = silent;
-    assert!(!silent.served().is_empty());
-    assert_eq!(silent.text, "", "no progress without a token");
-    let records = world.finish();
-    assert_eq!(ran(&records), 1);
-    assert!(count(&records, |seen| matches!(seen, Seen::StateTaken { .. })) >= 2, "states are handed over");
+    let no_progress = Call::send(
+        open(cluster.addr, MAX_WAIT).unwrap(),
+        cluster.addr,
+        "ask",
+        "Hello. [words 5]",
+        7,
+        None,
+        false,
+    );
+    let mut no_progress = no_progress;
+    assert!(!no_progress.expect_served().is_empty());
+    assert_eq!(no_progress.text, "", "no progress without a token");
+    let records = cluster.finish_and_check();
+    assert_eq!(count_tool_runs(&records), 1);
+    assert!(
+        count_records(&records, |seen| matches!(seen, Seen::StateTaken { .. })) >= 2,
+        "writers must fetch the KV states"
+    );
 }
 
 #[test]
-fn a_client_that_leaves_ends_everything_wherever_its_request_is() {
-    let hang = |world: &World, names: &[&str]| {
-        names.iter().for_each(|name| world.control(name, Control::Ail(Some(Ail::Hang))));
+fn a_disconnected_client_ends_its_request_at_every_stage() {
+    let hang = |cluster: &TestCluster, names: &[&str]| {
+        names.iter().for_each(|name| cluster.control(name, Control::Ail(Some(Ail::Hang))));
     };
-    // During the read, and in the hand-over to a writer.
-    for (hung, seen) in [(["r1", "r2", "m1"], "read"), (["w1", "w2", "m1"], "hand-over")] {
-        let world = World::plain();
-        hang(&world, &hung);
-        let call = world.call("order", ORDER);
-        let wanted = if seen == "read" { 1 } else { 2 };
-        world.until(seen, |status| status.counters.attempts >= wanted);
-        call.leave();
-        world.until("client gone", |status| status.counters.gone == 1 && status.held == 0);
-        let records = world.finish();
+    // During prefill, and during the transfer to a writer.
+    for (hung, stage) in [(["r1", "r2", "m1"], "read"), (["w1", "w2", "m1"], "hand-over")] {
+        let cluster = TestCluster::start_default();
+        hang(&cluster, &hung);
+        let call = cluster.call("order", ORDER);
+        let min_attempts = if stage == "read" { 1 } else { 2 };
+        cluster.wait_until(stage, |status| status.counters.attempts >= min_attempts);
+        call.disconnect();
+        cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+        let records = cluster.finish_and_check();
         let left = |seen: &Seen| matches!(seen, Seen::StateHeld { .. });
         let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
-        assert!(count(&records, left) <= count(&records, freed), "{seen}: a state was left pinned");
+        assert!(
+            count_records(&records, left) <= count_records(&records, freed),
+            "{stage}: a KV state was not released"
+        );
     }
-    // While it is held: no server takes anything.
-    let world = World::plain();
-    let list = world.fleet.listed.keys().map(|name| (name.clone(), "draining")).collect();
-    std::fs::write(world.dir.join("servers.conf"), world.fleet.servers(&list)).unwrap();
+    // While the request is held because no server accepts it.
+    let cluster = TestCluster::start_default();
+    let list = cluster.fleet.listed.keys().map(|name| (name.clone(), "draining")).collect();
+    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.servers(&list)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
-    let call = world.call("order", ORDER);
-    world.until("taken", |status| status.held == 1);
-    call.leave();
-    world.until("client gone", |status| status.counters.gone == 1 && status.held == 0);
-    assert_eq!(world.status().counters.attempts, 0);
-    world.finish();
+    let call = cluster.call("order", ORDER);
+    cluster.wait_until("request held", |status| status.held == 1);
+    call.disconnect();
+    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    assert_eq!(cluster.status().counters.attempts, 0);
+    cluster.finish_and_check();
     // In the middle of the stream.
-    let world = World::plain();
-    let mut call = world.call("ask", "Tell me all. [words 400]");
-    call.first();
-    call.leave();
-    world.until("client gone", |status| status.counters.gone == 1 && status.held == 0);
-    world.finish();
+    let cluster = TestCluster::start_default();
+    let mut call = cluster.call("ask", "Tell me all. [words 400]");
+    call.wait_for_text();
+    call.disconnect();
+    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.finish_and_check();
     // During the tool call.
-    let world = World::plain();
-    world.fleet.tools.fault(ToolFault::Slow(Duration::from_millis(600)));
-    let mut call = world.call("order", ORDER);
-    call.first();
-    // The owner has counted the call before it is made: the tool server itself must have begun it.
-    world.until("tool call", |_| world.fleet.tools.orders() == 1);
-    call.leave();
-    world.until("client gone", |status| status.counters.gone == 1 && status.held == 0);
-    assert_eq!(ran(&world.finish()), 1);
+    let cluster = TestCluster::start_default();
+    cluster.fleet.tools.fault(ToolFault::Slow(Duration::from_millis(600)));
+    let mut call = cluster.call("order", ORDER);
+    call.wait_for_text();
+    // The owner counts the call before it is made, so the test waits until the tool server has begun it.
+    cluster.wait_until("tool call", |_| cluster.fleet.tools.orders() == 1);
+    call.disconnect();
+    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    assert_eq!(count_tool_runs(&cluster.finish_and_check()), 1);
 }
 
 #[test]
-fn a_tool_that_may_have_run_ends_in_failure_and_is_not_called_again() {
+fn a_tool_that_may_have_run_fails_the_call_and_is_not_called_again() {
     for fault in
         [ToolFault::Slow(Duration::from_secs(3)), ToolFault::Lost, ToolFault::Garbled, ToolFault::Error]
     {
-        let world = World::plain();
-        world.fleet.tools.fault(fault.clone());
-        let end = world.call("order", ORDER).end();
-        assert!(matches!(&end, End::Failed(why) if why.contains("tool")), "{fault:?}: {end:?}");
-        let records = world.finish();
-        assert_eq!(count(&records, |seen| matches!(seen, Seen::ToolReceived { .. })), 1, "{fault:?}");
+        let cluster = TestCluster::start_default();
+        cluster.fleet.tools.fault(fault.clone());
+        let end = cluster.call("order", ORDER).wait_for_end();
+        assert!(matches!(&end, CallEnd::Failed(why) if why.contains("tool")), "{fault:?}: {end:?}");
+        let records = cluster.finish_and_check();
+        assert_eq!(count_records(&records, |seen| matches!(seen, Seen::ToolReceived { .. })), 1, "{fault:?}");
     }
 }
 
 #[test]
-fn a_tool_without_effect_is_tried_again_and_its_loss_is_told_to_the_model() {
-    let world = World::plain();
-    world.fleet.tools.fault(ToolFault::Lost);
-    let text = world.call("ask", "Any left? [words 4][call stock]").served();
+fn a_tool_without_effect_is_retried_and_the_model_gets_its_error() {
+    let cluster = TestCluster::start_default();
+    cluster.fleet.tools.fault(ToolFault::Lost);
+    let text = cluster.call("ask", "Any left? [words 4][call stock]").expect_served();
     assert!(text.contains("error: the tool gave no result"), "{text}");
-    assert_eq!(world.status().counters.tool_retries, 1);
-    world.finish();
+    assert_eq!(cluster.status().counters.tool_retries, 1);
+    cluster.finish_and_check();
 }
 
 #[test]
-fn a_dead_tool_server_proves_that_nothing_ran() {
-    let world = World::plain();
-    world.fleet.tools.kill();
-    let text = world.call("order", ORDER).served();
+fn a_dead_tool_server_gives_the_model_an_error_since_nothing_ran() {
+    let cluster = TestCluster::start_default();
+    cluster.fleet.tools.kill();
+    let text = cluster.call("order", ORDER).expect_served();
     assert!(text.contains("error: the tool gave no result"), "{text}");
-    let records = world.finish();
-    assert_eq!(ran(&records), 0);
+    let records = cluster.finish_and_check();
+    assert_eq!(count_tool_runs(&records), 0);
 }
 
 #[test]
-fn a_cancelled_call_gets_no_response_and_its_id_is_free_again() {
-    let world = World::plain();
-    let session = world.initialize();
-    let conn = open(world.addr, LONG).unwrap();
-    let mut call = Call::on(conn, world.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
-    call.first();
+fn a_cancelled_call_gets_no_response_and_its_id_can_be_reused() {
+    let cluster = TestCluster::start_default();
+    let session = cluster.open_session();
+    let conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut call = Call::send(conn, cluster.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
+    call.wait_for_text();
     let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
     let cancel = r#"{"jsonrpc":"2.0","method":"notifications/cancelled","params":{"requestId":5}}"#;
-    // While it is out its id is in use.
-    let (_, said) = world.post_with(&headers, &call_body("ask", "x", 5, false));
-    assert!(said.contains("-32600"), "{said}");
-    assert_eq!(world.post_with(&headers, cancel).0, 202);
-    assert_eq!(call.end(), End::Nothing);
-    // A late cancel of the same id changes nothing.
-    assert_eq!(world.post_with(&headers, cancel).0, 202);
-    let mut again = Call::on(call.conn, world.addr, "ask", "Short. [words 3]", 5, Some(&session), true);
-    again.served();
-    world.finish();
+    // The id is in use while the call runs.
+    let (_, response) = cluster.post_with(&headers, &call_body("ask", "x", 5, false));
+    assert!(response.contains("-32600"), "{response}");
+    assert_eq!(cluster.post_with(&headers, cancel).0, 202);
+    assert_eq!(call.wait_for_end(), CallEnd::NoResponse);
+    // A late cancellation of the same id has no effect.
+    assert_eq!(cluster.post_with(&headers, cancel).0, 202);
+    let mut reused = Call::send(call.conn, cluster.addr, "ask", "Short. [words 3]", 5, Some(&session), true);
+    reused.expect_served();
+    cluster.finish_and_check();
 }
 
 #[test]
-fn two_calls_on_one_connection_are_answered_in_their_order() {
-    let world = World::plain();
-    let mut conn = open(world.addr, LONG).unwrap();
-    conn.set_read_timeout(Some(LONG));
-    // Both in one write, so that the front may read them together.
+fn two_calls_on_one_connection_are_answered_in_order() {
+    let cluster = TestCluster::start_default();
+    let mut conn = open(cluster.addr, MAX_WAIT).unwrap();
+    conn.set_read_timeout(Some(MAX_WAIT));
+    // Both requests are in one write, so that the front may get them in one socket read.
     let mut both = Vec::new();
     for (id, words) in [(1, 40), (2, 3)] {
         let body = call_body("ask", &format!("Number {id}. [words {words}]"), id, true);
@@ -157,111 +170,115 @@
         http::write_request("POST", "/mcp", "front", &headers, body.as_bytes(), &mut both);
     }
     conn.write(&both).unwrap();
-    let mut first = Call::expect(conn, 1);
-    assert_eq!(first.served().split_whitespace().count(), 40);
-    let mut second = Call::expect(first.conn, 2);
-    assert_eq!(second.served().split_whitespace().count(), 3);
-    world.finish();
+    let mut first = Call::receive(conn, 1);
+    assert_eq!(first.expect_served().split_whitespace().count(), 40);
+    let mut second = Call::receive(first.conn, 2);
+    assert_eq!(second.expect_served().split_whitespace().count(), 3);
+    cluster.finish_and_check();
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_up_nobody_else() {
-    let quick = |site: &mut elderstage_rehearsal::fleet::Site| {
+fn a_client_that_does_not_read_does_not_delay_others() {
+    let fast_engines = |site: &mut elderstage_rehearsal::fleet::Site| {
         for kind in &mut site.kinds {
             (kind.spec.step, kind.spec.step_per_answer) = (150, 1);
         }
     };
-    let world = World::with_config(quick, "stall 500ms\nsend-buffer 8k", "", |text, _| {
+    let cluster = TestCluster::with_config(fast_engines, "stall 500ms\nsend-buffer 8k", "", |text, _| {
         text.replace("class ask\n", "class ask\n max-tokens 20k\n")
     });
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
-    socket.connect(&world.addr.into()).unwrap();
+    socket.connect(&cluster.addr.into()).unwrap();
     let conn = Conn::new(std::net::TcpStream::from(socket)).unwrap();
-    let deaf = Call::on(conn, world.addr, "ask", "Very much. [words 6000]", 1, None, true);
-    world.until("taken", |status| status.counters.attempts >= 1);
+    let stalled = Call::send(conn, cluster.addr, "ask", "Very much. [words 6000]", 1, None, true);
+    cluster.wait_until("attempt started", |status| status.counters.attempts >= 1);
     for _ in 0..5 {
-        world.call("ask", "A little. [words 5]").served();
+        cluster.call("ask", "A little. [words 5]").expect_served();
     }
-    world.until("the deaf client is given up", |status| status.counters.gone == 1 && status.held == 0);
-    drop(deaf);
-    world.finish();
+    cluster
+        .wait_until("the stalled client is given up", |status| status.counters.gone == 1 && status.held == 0);
+    drop(stalled);
+    cluster.finish_and_check();
 }
 
 #[test]
-fn a_drain_ends_what_is_held_and_refuses_what_is_new() {
-    let mut world = World::plain();
-    let mut order = world.call("order", "One bowl. [words 120][call place_order]");
-    order.first();
-    let front = world.front.take().unwrap();
+fn a_drain_finishes_running_requests_and_refuses_new_ones() {
+    let mut cluster = TestCluster::start_default();
+    let mut order = cluster.call("order", "One bowl. [words 120][call place_order]");
+    order.wait_for_text();
+    let front = cluster.front.take().unwrap();
     front.drain();
-    let mut late = world.call("ask", "Too late?");
-    assert!(matches!(late.end(), End::Refused { retry_after_ms: Some(ms), .. } if ms > 0));
+    let mut late = cluster.call("ask", "Too late?");
+    assert!(matches!(late.wait_for_end(), CallEnd::Refused { retry_after_ms: Some(ms), .. } if ms > 0));
     let done = std::thread::spawn(move || front.finish(&AtomicBool::new(false)));
-    assert!(order.served().contains("order 1 placed"));
-    assert!(done.join().unwrap(), "all had ended by themselves");
-    assert!(open(world.addr, Duration::from_millis(500)).is_err(), "it listens no more");
-    world.fleet.stop();
+    assert!(order.expect_served().contains("order 1 placed"));
+    assert!(done.join().unwrap(), "all requests must have ended by themselves");
+    assert!(open(cluster.addr, Duration::from_millis(500)).is_err(), "the front must not listen any more");
+    cluster.fleet.stop();
 }
 
 #[test]
-fn what_outlasts_the_drain_is_ended_with_a_true_word() {
-    let mut world = World::start(|_| {}, "drain 300ms", "");
-    let mut ask = world.call("ask", "All of it. [words 500]");
-    let mut order = world.call("order", "All of it. [words 500]");
-    ask.first();
-    order.first();
-    let front = world.front.take().unwrap();
+fn requests_that_outlast_the_drain_are_refused_or_failed_by_their_effect() {
+    let mut cluster = TestCluster::start(|_| {}, "drain 300ms", "");
+    let mut ask = cluster.call("ask", "All of it. [words 500]");
+    let mut order = cluster.call("order", "All of it. [words 500]");
+    ask.wait_for_text();
+    order.wait_for_text();
+    let front = cluster.front.take().unwrap();
     let done = std::thread::spawn(move || front.finish(&AtomicBool::new(false)));
-    assert!(matches!(ask.end(), End::Refused { .. }), "a question may be asked again");
-    assert!(matches!(order.end(), End::Failed(_)), "an order may have run");
+    assert!(
+        matches!(ask.wait_for_end(), CallEnd::Refused { .. }),
+        "a request without effect may be repeated"
+    );
+    assert!(matches!(order.wait_for_end(), CallEnd::Failed(_)), "the order may have run");
     assert!(!done.join().unwrap());
-    world.fleet.stop();
+    cluster.fleet.stop();
 }
 
 #[test]
-fn an_engine_that_answers_after_its_attempt_was_given_up_changes_nothing() {
-    let world = World::plain();
-    ["r1", "r2"].iter().for_each(|name| world.control(name, Control::Ail(Some(Ail::Hang))));
-    let mut call = world.call("ask", "Patience. [words 5]");
-    world.until("given up", |status| status.counters.outcomes.contains_key("timed-out"));
-    ["r1", "r2"].iter().for_each(|name| world.control(name, Control::Ail(None)));
-    call.served();
-    let records = world.finish();
-    let held = count(&records, |seen| matches!(seen, Seen::StateHeld { .. }));
+fn a_late_answer_to_an_abandoned_attempt_has_no_effect() {
+    let cluster = TestCluster::start_default();
+    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::Ail(Some(Ail::Hang))));
+    let mut call = cluster.call("ask", "Patience. [words 5]");
+    cluster.wait_until("given up", |status| status.counters.outcomes.contains_key("timed-out"));
+    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::Ail(None)));
+    call.expect_served();
+    let records = cluster.finish_and_check();
+    let states_held = count_records(&records, |seen| matches!(seen, Seen::StateHeld { .. }));
     let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
-    assert_eq!(held, count(&records, freed));
+    assert_eq!(states_held, count_records(&records, freed));
 }
 
 #[test]
-fn a_writer_that_dies_in_the_stream_ends_an_order_in_failure() {
-    let world = World::plain();
+fn an_order_fails_when_its_writer_dies_in_the_stream() {
+    let cluster = TestCluster::start_default();
     for name in ["w1", "w2", "m1"] {
-        world.control(name, Control::Faults(Faults { break_next: 1, break_after: 3, ..Faults::default() }));
+        cluster.control(name, Control::Faults(Faults { break_next: 1, break_after: 3, ..Faults::default() }));
     }
-    let end = world.call("order", "A bowl. [words 50]").end();
-    assert!(matches!(&end, End::Failed(why) if why.contains("stream broke")), "{end:?}");
-    world.finish();
+    let end = cluster.call("order", "A bowl. [words 50]").wait_for_end();
+    assert!(matches!(&end, CallEnd::Failed(why) if why.contains("stream broke")), "{end:?}");
+    cluster.finish_and_check();
 }
 
 #[test]
-fn a_server_that_drains_or_dies_is_followed() {
-    let world = World::plain();
-    let mut list = world.fleet.listed.clone();
+fn draining_and_dead_servers_are_avoided() {
+    let cluster = TestCluster::start_default();
+    let mut list = cluster.fleet.listed.clone();
     list.insert("r1".into(), "draining");
-    std::fs::write(world.dir.join("servers.conf"), "server half {").unwrap();
+    std::fs::write(cluster.dir.join("servers.conf"), "server half {").unwrap();
     std::thread::sleep(Duration::from_millis(250));
-    world.call("ask", "Still there? [words 3]").served();
-    std::fs::write(world.dir.join("servers.conf"), world.fleet.servers(&list)).unwrap();
+    cluster.call("ask", "Still there? [words 3]").expect_served();
+    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.servers(&list)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
-    let before = world.status().counters.attempts;
+    let attempts_before = cluster.status().counters.attempts;
     for _ in 0..6 {
-        world.call("ask", "Who reads? [words 3]").served();
+        cluster.call("ask", "Who reads? [words 3]").expect_served();
     }
-    assert!(world.status().counters.attempts > before);
-    world.control("r2", Control::Kill);
-    world.call("ask", "And now? [words 3]").served();
-    let records = world.finish();
-    let drained = records.iter().rev().filter(|r| matches!(r.what, Seen::Received { .. })).take(10);
-    assert!(drained.clone().count() == 10 && drained.clone().all(|record| record.who != "r1"));
+    assert!(cluster.status().counters.attempts > attempts_before);
+    cluster.control("r2", Control::Kill);
+    cluster.call("ask", "And now? [words 3]").expect_served();
+    let records = cluster.finish_and_check();
+    let received = records.iter().rev().filter(|r| matches!(r.what, Seen::Received { .. })).take(10);
+    assert!(received.clone().count() == 10 && received.clone().all(|record| record.who != "r1"));
 }
