--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -80,6 +80,7 @@
 pub(crate) enum ConnectOutcome {
     /// The connection, and which part of the request is still to be sent on it.
     Connected(Box<PooledConn>, Rest),
+    /// No connection, with the reason.
     Lost(Lost),
     /// The server answered the head of the request with this final status.
     Answered(u16),
@@ -104,7 +105,9 @@
     Dialed(usize, Option<Box<PooledConn>>),
     /// The lane and the id of a proof, since a lane may run several, and its result.
     Proved(usize, u32, ProofOutcome),
+    /// The time of the race's next step has come.
     TimerFired,
+    /// The request was cancelled.
     Cancelled,
 }
 
@@ -119,6 +122,7 @@
 }
 
 impl ConnPool {
+    /// An empty pool. `via` is the value of the `Via` header in its own requests.
     pub fn new(
         bounds: Bounds,
         jitter: f64,
@@ -160,12 +164,14 @@
         })
     }
 
+    /// Wraps a new connection for the pool.
     fn wrap(self: &Arc<Self>, conn: Conn, guard: OpenCountGuard) -> Box<PooledConn> {
         let now = self.clock.now();
         let place = guard.place.clone();
         Box::new(PooledConn { conn, place, life: Life::new(now), reused: false, _guard: guard })
     }
 
+    /// A guard that keeps a connection to this address counted as open.
     fn count_open(self: &Arc<Self>, place: &Place) -> OpenCountGuard {
         OpenCountGuard { pool: Arc::downgrade(self), place: place.clone() }
     }
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -92,6 +92,7 @@
 }
 
 impl Owner {
+    /// An owner without requests.
     pub fn new(core: Core, shared: Arc<Shared>) -> Owner {
         Owner { core, shared, open_requests: HashMap::new(), effects: Vec::new() }
     }
--- a/crates/front/src/sessions.rs
+++ b/crates/front/src/sessions.rs
@@ -49,6 +49,7 @@
 }
 
 impl Sessions {
+    /// A table without sessions. The seed is one input of the ids.
     pub fn new(seed: u64) -> Sessions {
         Sessions { table: Mutex::default(), seed, hasher: RandomState::new() }
     }
--- a/crates/protocol/src/jsonrpc.rs
+++ b/crates/protocol/src/jsonrpc.rs
@@ -2,11 +2,15 @@
 
 use serde_json::{Map, Value, json};
 
-/// Error codes of the specification, section 5.1.
+/// The message is not JSON. This and the following codes are those of the specification, section 5.1.
 pub const PARSE_ERROR: i64 = -32700;
+/// The message is JSON, but not a valid message.
 pub const INVALID_REQUEST: i64 = -32600;
+/// The method does not exist.
 pub const METHOD_NOT_FOUND: i64 = -32601;
+/// The parameters of the method are invalid.
 pub const INVALID_PARAMS: i64 = -32602;
+/// The method failed for a reason inside the server.
 pub const INTERNAL_ERROR: i64 = -32603;
 
 /// The id of a request: a string or an integer (MCP does not allow null).
