--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -4,7 +4,7 @@
 //! connection, which idle one to reuse) are made by `Addresses` of the core. To prove a connection is to check,
 //! before a request is sent on it, that the server behind it responds.
 //!
-//! A race dials the addresses of a server one after the other, each with a delay, and ends with one proven connection.
+//! A race dials the addresses of a server one after the other, each with a delay, and yields at most one connection.
 //! Each of its connections is a lane. A trial is a health request to a failing address, apart from any request.
 //!
 //! Each dial and each proof runs in its own coroutine, since the coroutine of a request waits for several of them
