--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,44 +1,47 @@
-//! A file in its one form: four blanks for each section, one between words, quotes only where they are needed,
-//! comments kept, no two empty lines in a row.
+//! Formats a configuration file in its canonical form: four spaces of indentation for each open section, one space
+//! between words, quotes only where they are needed, comments kept, and no two empty lines in a row.
+//!
+//! Formatting never changes what a file says, and formatting twice gives the same text as formatting once.
 
-use crate::lines::{Errors, Token, directives, lines, quote, tokens};
+use crate::lines::{Errors, Token, directives, lines, quote_word, tokens};
 
-/// Blanks for each open section.
-const INDENT: usize = 4;
+/// Spaces of indentation for each open section.
+const INDENT_WIDTH: usize = 4;
 
-/// The same file in its one form; what it says stays the same. A file that cannot be read is not touched.
+/// Returns the text of a file in canonical form, with the same meaning. A text with syntax errors is refused. `file` is
+/// the name of the file in errors.
 pub fn format(file: &str, text: &str) -> Result<String, Errors> {
     directives(file, text)?;
-    let (mut out, mut depth, mut empty) = (String::new(), 0usize, false);
+    let (mut out, mut depth, mut after_empty_line) = (String::new(), 0usize, false);
     for (_, line) in lines(text) {
-        // All lines were read above.
+        // `directives` returned no error, so every line has valid tokens.
         let tokens = tokens(line).unwrap_or_default();
         if tokens.is_empty() {
-            empty = !out.is_empty();
+            after_empty_line = !out.is_empty();
             continue;
         }
-        let closes = tokens.iter().filter(|(token, _)| *token == Token::Close).count();
-        depth = depth.saturating_sub(closes);
-        // No empty line after the beginning of a section or before its end.
-        if empty && closes == 0 && !out.ends_with("{\n") {
+        let close_count = tokens.iter().filter(|(token, _)| *token == Token::CloseBrace).count();
+        depth = depth.saturating_sub(close_count);
+        // No empty line is kept at the start or the end of a section.
+        if after_empty_line && close_count == 0 && !out.ends_with("{\n") {
             out.push('\n');
         }
-        empty = false;
+        after_empty_line = false;
         let mut words: Vec<String> = Vec::new();
         let mut comment = None;
         for (token, _) in tokens {
             match token {
-                Token::Word(word) => words.push(quote(&word)),
-                Token::Open => words.push("{".into()),
-                Token::Close => words.push("}".into()),
+                Token::Word(word) => words.push(quote_word(&word)),
+                Token::OpenBrace => words.push("{".into()),
+                Token::CloseBrace => words.push("}".into()),
                 Token::Comment(text) => comment = Some(text.trim_end().to_owned()),
             }
         }
-        let opens = words.last().is_some_and(|word| word == "{");
+        let opens_section = words.last().is_some_and(|word| word == "{");
         let gap = if words.is_empty() { "" } else { "  " };
         let line = words.join(" ") + &comment.map(|comment| format!("{gap}{comment}")).unwrap_or_default();
-        out.push_str(&format!("{:width$}{line}\n", "", width = depth * INDENT));
-        depth += usize::from(opens);
+        out.push_str(&format!("{:width$}{line}\n", "", width = depth * INDENT_WIDTH));
+        depth += usize::from(opens_section);
     }
     Ok(out)
 }
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -4,7 +4,7 @@
 
 use elderstage_protocol::place::Place;
 
-use crate::lines::{At, ConfigError, Directive, Errors, directives_of, near};
+use crate::lines::{At, ConfigError, Directive, Errors, closest_name, parse_with_recovery};
 use crate::model::*;
 
 /// What may stand outside of sections.
@@ -71,7 +71,7 @@
         at: FIRST,
         name: name.into(),
         values: Vec::new(),
-        values_at: Vec::new(),
+        value_positions: Vec::new(),
         body: Some(Vec::new()),
     }
 }
@@ -100,7 +100,7 @@
         let before = self.errors.len();
         self.missing(at, what);
         if let Some(error) = self.errors.get_mut(before) {
-            error.near = near(name, of);
+            error.suggestion = closest_name(name, of);
         }
     }
 
@@ -173,7 +173,7 @@
         };
         let got = directive.values.join(" ");
         if value.is_none() {
-            self.wrong(directive.value_at(0), format!("{name}: expected {expected}, not \"{got}\""));
+            self.wrong(directive.value_position(0), format!("{name}: expected {expected}, not \"{got}\""));
         }
         self.acts(section, name, got, Some(directive.at));
         value.unwrap_or(stand_in)
@@ -227,13 +227,13 @@
                             "{name}: value {number}: \"{value}\" stands already as value {}",
                             first + 1
                         );
-                        self.wrong(directive.value_at(index), what);
+                        self.wrong(directive.value_position(index), what);
                     }
                     None => places.push(place),
                 },
                 Err(error) => {
                     self.wrong(
-                        directive.value_at(index),
+                        directive.value_position(index),
                         format!("{name}: value {number}: \"{value}\": {error}"),
                     );
                 }
@@ -257,7 +257,7 @@
             let what = format!("unknown directive {} in section \"{}\"", directive.name, section.name);
             self.wrong(directive.at, what);
             if let Some(error) = self.errors.last_mut() {
-                error.near = near(&directive.name, section.known.iter().copied());
+                error.suggestion = closest_name(&directive.name, section.known.iter().copied());
             }
         }
     }
@@ -455,7 +455,7 @@
     let value = directive.values.get(index).and_then(|text| number(text)).filter(|n| (0.0..=1.0).contains(n));
     value.unwrap_or_else(|| {
         let what = format!("{}: expected a share from 0 to 1 as value {}", directive.name, index + 1);
-        reader.wrong(directive.value_at(index), what);
+        reader.wrong(directive.value_position(index), what);
         0.0
     })
 }
@@ -472,7 +472,7 @@
             [most] if most.parse::<u32>().is_ok_and(|most| most > 0) => {
                 wants.push(Want::Attempts(most.parse().unwrap_or(1)));
             }
-            _ => reader.wrong(d.value_at(0), "attempts: expected a number from 1"),
+            _ => reader.wrong(d.value_position(0), "attempts: expected a number from 1"),
         }
     }
     if let Some(d) = reader.take(s, "served") {
@@ -482,14 +482,14 @@
     if let Some(d) = reader.take(s, "answered-within") {
         match d.values.first().and_then(|text| time(text)) {
             Some(longest) => wants.push(Want::AnsweredWithin(longest)),
-            None => reader.wrong(d.value_at(0), "answered-within: expected a time such as 300ms or 2s"),
+            None => reader.wrong(d.value_position(0), "answered-within: expected a time such as 300ms or 2s"),
         }
     }
     if let Some(d) = reader.take(s, "share") {
         let server = d.values.first().cloned().unwrap_or_default();
         let (low, high) = (share(reader, d, 1), share(reader, d, 2));
         if low > high {
-            reader.wrong(d.value_at(1), "share: expected the lower bound first");
+            reader.wrong(d.value_position(1), "share: expected the lower bound first");
         }
         wants.push(Want::Share { server, low, high });
     }
@@ -645,7 +645,7 @@
 
 /// Reads a whole configuration of one file. `file` is its name in messages.
 pub fn parse(file: &str, text: &str) -> Result<Config, Errors> {
-    let (all, errors) = directives_of(0, file, text);
+    let (all, errors) = parse_with_recovery(0, file, text);
     read(&[file.to_owned()], &all, errors).map(|(config, _)| config)
 }
 
@@ -796,7 +796,7 @@
 
 /// Reads a file of servers, checked against the configuration it belongs to.
 pub fn parse_servers(file: &str, text: &str, config: &Config) -> Result<Vec<ServerConfig>, Errors> {
-    let (all, errors) = directives_of(0, file, text);
+    let (all, errors) = parse_with_recovery(0, file, text);
     let files = [file.to_owned()];
     let mut reader = Reader { files: &files, torn: !errors.is_empty(), errors, effective: Vec::new() };
     let mut servers = Vec::new();
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -5,7 +5,7 @@
 
 use ariadne::{Config as Look, IndexType, Label, Report, ReportKind, sources};
 
-use crate::lines::{At, ConfigError, Directive, Errors, directives_of};
+use crate::lines::{At, ConfigError, Directive, Errors, parse_with_recovery};
 use crate::model::Config;
 use crate::read::{Effective, read};
 
@@ -51,7 +51,8 @@
         for error in &self.errors.0 {
             let at = |at: At| (error.file.clone(), at.start..at.end);
             let look = Look::default().with_color(color).with_index_type(IndexType::Byte);
-            let here = error.near.as_ref().map_or("here".into(), |near| format!("did you mean {near}?"));
+            let here =
+                error.suggestion.as_ref().map_or("here".into(), |near| format!("did you mean {near}?"));
             let report = Report::build(ReportKind::Error, at(error.at))
                 .with_config(look)
                 .with_message(&error.what)
@@ -113,7 +114,7 @@
         if good.is_some() {
             return Vec::new();
         }
-        let (directives, errors) = directives_of(number, &name, &text);
+        let (directives, errors) = parse_with_recovery(number, &name, &text);
         self.errors.extend(errors);
         open.push(path.to_owned());
         let all = self.expand(directives, path, open);
@@ -139,7 +140,7 @@
                 continue;
             };
             let target = path.parent().unwrap_or(Path::new("")).join(file);
-            let at = directive.value_at(0);
+            let at = directive.value_position(0);
             if let Some(first) = open.iter().position(|path| *path == target) {
                 let way: Vec<String> =
                     open[first..].iter().chain([&target]).map(|path| path.display().to_string()).collect();
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -99,7 +99,7 @@
         ("server r1", "server \"r 1\"", 40, "expected a name without spaces"),
         ("role prefill", "role prefill\n    proof yes", 38, "expected continue, health or none"),
         ("shortly. {#}\"", "shortly.", 30, "expected a closing quote"),
-        ("zones a b", "zones a b\n}", 4, "closes nothing"),
+        ("zones a b", "zones a b\n}", 4, "} without a matching {"),
         ("# A small deployment.", "surprise yes", 2, "unknown directive surprise"),
     ] {
         assert!(GOOD.contains(old), "{old}");
