--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,5 +19,5 @@
 pub use format::format;
 pub use lines::{At, ConfigError, Directive, Errors, directives};
 pub use model::*;
-pub use read::{Effective, number, parse, parse_servers, time};
+pub use read::{EffectiveValue, number, parse, parse_servers, time};
 pub use source::{Failed, Loaded, Source, diff, load, load_file};
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -7,7 +7,7 @@
 
 use crate::lines::{At, ConfigError, Directive, Errors, parse_with_recovery};
 use crate::model::Config;
-use crate::read::{Effective, read};
+use crate::read::{EffectiveValue, build_config};
 
 /// Includes inside of includes, and files in all: beyond them somebody has made a mistake.
 const DEEPEST: usize = 16;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Loaded {
     pub config: Config,
-    pub effective: Vec<Effective>,
+    pub effective: Vec<EffectiveValue>,
     pub files: Vec<Source>,
 }
 
@@ -163,7 +163,7 @@
     let all = loader.file(path, At::default(), &mut Vec::new());
     let (files, errors) = (loader.files, loader.errors);
     let names: Vec<String> = files.iter().map(|file| file.name.clone()).collect();
-    match read(&names, &all, errors) {
+    match build_config(&names, &all, errors) {
         Ok((config, effective)) => Ok(Loaded { config, effective, files }),
         Err(errors) => Err(Box::new(Failed { errors, files })),
     }
@@ -175,11 +175,11 @@
 }
 
 /// What is different in effect between two configurations: a line each, in the order of the sections.
-pub fn diff(old: &[Effective], new: &[Effective]) -> Vec<String> {
-    let find = |list: &[Effective], of: &Effective| {
+pub fn diff(old: &[EffectiveValue], new: &[EffectiveValue]) -> Vec<String> {
+    let find = |list: &[EffectiveValue], of: &EffectiveValue| {
         list.iter().find(|e| e.section == of.section && e.name == of.name).map(|e| e.value.clone())
     };
-    let sections = |list: &[Effective]| -> Vec<String> {
+    let sections = |list: &[EffectiveValue]| -> Vec<String> {
         let mut names: Vec<String> = list.iter().map(|e| e.section.clone()).collect();
         names.dedup();
         names
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -80,7 +80,7 @@
         ("give-up 6s", "give-up 6", 11, "expected a time such as"),
         ("give-up 6s", "give-up 1s", 8, "no longer than give-up"),
         ("worth 1", "worht 1", 12, "unknown directive worht"),
-        ("worth 1", "worth 1\n worth 2", 13, "stands already on line 12"),
+        ("worth 1", "worth 1\n worth 2", 13, "worth is already set on line 12"),
         ("class ask\n", "class aks\n", 27, "no class is called aks"),
         ("tools stock\n", "tools stock place_order\n", 27, "has a lasting effect"),
         ("zone a\n}\nclass", "zone c\n}\nclass", 1, "no zone is called c"),
@@ -94,7 +94,7 @@
         ("127.0.0.1:8001", "[fe80::1%lo]:8001", 41, "address: value 1: \"[fe80::1%lo]:8001\": zone:"),
         ("127.0.0.1:8001", "unix:/a unix:b", 41, "address: value 2: \"unix:b\": path: expected an absolute"),
         ("127.0.0.1:8001", "127.0.0.1:x", 41, "address: value 1: \"127.0.0.1:x\": port:"),
-        ("127.0.0.1:8001", "unix:/a [::1]:1 unix:/a", 41, "value 3: \"unix:/a\" stands already as value 1"),
+        ("127.0.0.1:8001", "unix:/a [::1]:1 unix:/a", 41, "value 3: \"unix:/a\" is already given as value 1"),
         ("127.0.0.1:8001", "", 41, "address: expected from 1 to 8 addresses"),
         ("server r1", "server \"r 1\"", 40, "expected a name without spaces"),
         ("role prefill", "role prefill\n    proof yes", 38, "expected continue, health or none"),
@@ -128,7 +128,7 @@
         ("class x {\n}\n", "expected server, not class"),
         (&list[..40], "before the end of the file"),
         (&list.replace("zone b", "zone z"), "no zone is called z"),
-        (&format!("{list}{list}"), "stands already on line 1"),
+        (&format!("{list}{list}"), "server w is already defined on line 1"),
     ] {
         let found = parse_servers("s", bad, &config).unwrap_err().to_string();
         assert!(found.contains(wanted), "{bad}: {found}");
