--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use elderstage_config::{Loaded, RepeatName, format, load_file};
+use elderstage_config::{LoadedConfig, RepeatName, format, load_file};
 
 #[derive(Subcommand)]
 pub enum What {
@@ -44,7 +44,7 @@
 }
 
 /// Reads a configuration; what is wrong goes to standard error, shown in its lines.
-pub fn read(file: &Path) -> Result<Loaded, ExitCode> {
+pub fn read(file: &Path) -> Result<LoadedConfig, ExitCode> {
     load_file(file).map_err(|failed| {
         eprint!("{}", failed.render(std::io::stderr().is_terminal()));
         for error in &failed.errors.0 {
@@ -120,7 +120,7 @@
     }
 }
 
-fn show(loaded: &Loaded, set: bool) -> String {
+fn show(loaded: &LoadedConfig, set: bool) -> String {
     let (mut out, mut section) = (String::new(), "");
     for effective in loaded.effective.iter().filter(|effective| !set || effective.at.is_some()) {
         if effective.section != section {
@@ -136,7 +136,7 @@
     out
 }
 
-fn test(file: &Path, loaded: &Loaded, filter: Option<&str>, seeds: u64) -> Result<ExitCode, String> {
+fn test(file: &Path, loaded: &LoadedConfig, filter: Option<&str>, seeds: u64) -> Result<ExitCode, String> {
     let config = &loaded.config;
     let servers = match &config.servers_file {
         None => config.servers.clone(),
@@ -170,7 +170,7 @@
     Ok(if broken == 0 && tried > 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn explain(loaded: &Loaded, name: &str) -> Result<ExitCode, String> {
+fn explain(loaded: &LoadedConfig, name: &str) -> Result<ExitCode, String> {
     let c = &loaded.config;
     let Some(route) = c.routes.iter().find(|route| route.name == name) else {
         let names: Vec<&str> = c.routes.iter().map(|route| route.name.as_str()).collect();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's file: one directive a line, sections in braces, `#` comments.
+//! The configuration language of the front: one directive per line, sections in braces, and `#` comments.
 //!
 //! ```text
 //! class ask {
@@ -7,8 +7,9 @@
 //! }
 //! ```
 //!
-//! Everything is checked when it is read; what is unknown, missing, doubled or out of range is an error that names
-//! the file, the line and what was expected. Values are typed: times (`300ms`, `2s`), counts (`20k`), shares.
+//! Values are typed: times (`300ms`, `2s`), counts (`20k`) and shares. A configuration is checked completely when it is
+//! read: anything unknown, missing, repeated or out of range is an error that names the file, the line and what was
+//! expected. This crate does not apply a configuration; the front does.
 
 mod format;
 mod lines;
@@ -20,4 +21,4 @@
 pub use lines::{At, ConfigError, Directive, Errors, directives};
 pub use model::*;
 pub use read::{EffectiveValue, number, parse, parse_servers, time};
-pub use source::{Failed, Loaded, Source, diff, load, load_file};
+pub use source::{LoadError, LoadedConfig, SourceFile, diff, load, load_file};
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,6 @@
-//! What a file says, typed. Times are microseconds.
+//! The types of a configuration. Times are in microseconds.
+//!
+//! These types hold values only. They are built and checked in [`crate::read`], which also sets the defaults.
 
 use std::net::SocketAddr;
 
@@ -6,9 +8,10 @@
 
 use crate::lines::At;
 
-/// Microseconds.
+/// A time in microseconds.
 pub type Micros = u64;
 
+/// The stages that an engine can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleName {
     Prefill,
@@ -16,7 +19,7 @@
     Mixed,
 }
 
-/// How a connection is proven before the body of a request that must not run twice.
+/// How a connection is checked before the body of a request that must not run twice is sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProofName {
     Continue,
@@ -24,6 +27,7 @@
     None,
 }
 
+/// The servers that recognise and drop repeats of one keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupName {
     All,
@@ -31,13 +35,18 @@
     Cell,
 }
 
+/// How the requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatName {
+    /// May run any number of times.
     Safe,
+    /// The servers of `group` drop repeats with the same key, for `memory` after the first send that may have run.
     Keyed { group: GroupName, memory: Micros },
+    /// Must never run twice.
     Unsafe,
 }
 
+/// A `class` section: how requests of one class may be repeated, and their time limits and worth.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassConfig {
     pub at: At,
@@ -53,6 +62,7 @@
     pub late_worth: f64,
 }
 
+/// A `tool` section: a tool on a tool server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ToolConfig {
     pub at: At,
@@ -64,6 +74,7 @@
     pub tries: u32,
 }
 
+/// A `route` section: what a client can call, with its class, model and tools.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteConfig {
     pub at: At,
@@ -77,6 +88,7 @@
     pub most_turns: u32,
 }
 
+/// A `kind` section: properties that engines of one kind share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindConfig {
     pub at: At,
@@ -86,6 +98,7 @@
     pub proof: ProofName,
 }
 
+/// The state of a server, as the operator sets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateName {
     Running,
@@ -93,21 +106,23 @@
     Gone,
 }
 
+/// A `server` section: one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerConfig {
     pub at: At,
     pub name: String,
-    /// In the order of preference.
+    /// Addresses, in the order of preference.
     pub places: Vec<Place>,
     pub kind: String,
     pub zone: String,
     pub cell: u32,
     pub weight: f64,
     pub state: StateName,
-    /// Unix time of the process's start, in seconds; 0 means long ago.
+    /// Unix time at which the server's process started, in seconds; 0 means long ago.
     pub started: f64,
 }
 
+/// The `front` section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontConfig {
     pub listen: SocketAddr,
@@ -117,21 +132,24 @@
     pub fronts: u32,
     pub workers: usize,
     pub most_requests: usize,
-    /// A connection on which nothing moves is closed after this time.
+    /// A connection without any traffic is closed after this time.
     pub idle: Micros,
-    /// A client that takes nothing off its connection for this time has left.
+    /// A client that receives nothing from its connection for this time is considered gone.
     pub stall: Micros,
-    /// Bytes that the system holds for a client that does not read; beyond them its stream waits.
+    /// Bytes that the system buffers for a client that does not receive them. When the buffer is full, its stream
+    /// waits.
     pub send_buffer: usize,
+    /// Maximum bytes of the head of a request.
     pub head: usize,
+    /// Maximum bytes of the body of a request.
     pub body: usize,
-    /// Most bytes of one answer.
+    /// Maximum bytes of one answer.
     pub answer: usize,
-    /// How long a drain may take.
+    /// Maximum time of a drain.
     pub drain: Micros,
 }
 
-/// The rules' figures and what the deployment allows.
+/// The `rules` section: parameters of the routing rules, and what the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RulesConfig {
     pub answer_slack: Micros,
@@ -149,32 +167,32 @@
     pub reports_in_answers: bool,
 }
 
-/// Bounds on connections to engines and tool servers.
+/// The `connections` section: limits on connections to engines and tool servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionsConfig {
     pub dials_per_s: f64,
     pub dials_at_once: f64,
     pub per_server: usize,
     pub in_all: usize,
-    /// Idle ones kept for one address, and how long.
+    /// Maximum idle connections that are kept for one address, and for how long.
     pub idle_each: usize,
     pub idle: Micros,
     pub age: Micros,
     pub uses: u32,
 }
 
-/// One line of what is expected.
+/// One condition of an expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Want {
-    /// Nothing is sent to these servers.
+    /// No request is sent to these servers.
     Never(Vec<String>),
-    /// Sends of one request, at most.
+    /// Maximum number of times that one request is sent.
     Attempts(u32),
-    /// Share of requests that are served, at least.
+    /// Minimum share of requests that are served.
     Served(f64),
-    /// Longest time to any final answer.
+    /// Maximum time from the arrival of a request to its final answer.
     AnsweredWithin(Micros),
-    /// A server's share of all sends.
+    /// Bounds on the share of all sends that go to one server.
     Share { server: String, low: f64, high: f64 },
 }
 
@@ -182,7 +200,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Want::Never(servers) => write!(f, "never {}", servers.join(" ")),
-            Want::Attempts(most) => write!(f, "attempts {most}"),
+            Want::Attempts(limit) => write!(f, "attempts {limit}"),
             Want::Served(share) => write!(f, "served {share}"),
             Want::AnsweredWithin(time) => write!(f, "answered-within {}ms", *time as f64 / 1e3),
             Want::Share { server, low, high } => write!(f, "share {server} {low} {high}"),
@@ -190,24 +208,28 @@
     }
 }
 
-/// What an operator expects of the configuration.
+/// An `expect` section: a scenario and the conditions that the configuration must meet in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExpectConfig {
     pub at: At,
     pub name: String,
     pub route: String,
-    /// Requests of one run, a second, and bytes of a prompt.
+    /// Number of requests in one run.
     pub requests: u64,
+    /// Requests per second.
     pub rate: f64,
+    /// Bytes of each prompt.
     pub prompt: usize,
-    /// Servers that cannot be reached, drain, or take nothing.
+    /// Servers that cannot be reached.
     pub down: Vec<String>,
+    /// Servers that are draining.
     pub draining: Vec<String>,
+    /// Servers that refuse every request because they are full.
     pub full: Vec<String>,
     pub wants: Vec<Want>,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     pub front: FrontConfig,
@@ -219,7 +241,7 @@
     pub routes: Vec<RouteConfig>,
     pub kinds: Vec<KindConfig>,
     pub servers: Vec<ServerConfig>,
-    /// A file with servers, which is followed while the front runs.
+    /// Path of a file that lists servers. The front watches it for changes while it runs.
     pub servers_file: Option<String>,
     pub expects: Vec<ExpectConfig>,
 }
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,65 +1,71 @@
-//! Files with their includes, read whole, and diagnostics that show the offending text.
+//! Loads configuration files with their includes, renders errors with the text that they refer to, and compares
+//! configurations.
+//!
+//! This module resolves `include` only; the meaning of the other directives is in [`crate::read`]. The position of each
+//! directive refers to the file that it was read from, included or not.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use ariadne::{Config as Look, IndexType, Label, Report, ReportKind, sources};
+use ariadne::{Config as ReportConfig, IndexType, Label, Report, ReportKind, sources};
 
 use crate::lines::{At, ConfigError, Directive, Errors, parse_with_recovery};
 use crate::model::Config;
 use crate::read::{EffectiveValue, build_config};
 
-/// Includes inside of includes, and files in all: beyond them somebody has made a mistake.
-const DEEPEST: usize = 16;
-const MOST_FILES: usize = 256;
+/// Limits on nested includes and on files in total. A configuration that exceeds them is a mistake.
+const MAX_INCLUDE_DEPTH: usize = 16;
+const MAX_FILES: usize = 256;
 
-/// One file as it was read.
+/// The text of one configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Source {
+pub struct SourceFile {
+    /// Path of the file, as shown to the user.
     pub name: String,
     pub text: String,
 }
 
-/// A whole configuration, with what acts and the files that it came from.
+/// A valid configuration, with its effective values and the files that it was read from.
 #[derive(Clone, Debug)]
-pub struct Loaded {
+pub struct LoadedConfig {
     pub config: Config,
     pub effective: Vec<EffectiveValue>,
-    pub files: Vec<Source>,
+    /// All files, in the order in which they were read; [`At::file`] is an index into them.
+    pub files: Vec<SourceFile>,
 }
 
-/// What is wrong, with the files to show it in.
+/// The errors of a configuration, with the files that they refer to.
 #[derive(Clone, Debug)]
-pub struct Failed {
+pub struct LoadError {
     pub errors: Errors,
-    pub files: Vec<Source>,
+    pub files: Vec<SourceFile>,
 }
 
-impl fmt::Display for Failed {
-    /// A line for each error: file, line, column, what.
+impl fmt::Display for LoadError {
+    /// Writes one line for each error: file, line, column, message.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.errors.fmt(f)
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for LoadError {}
 
-impl Failed {
-    /// Each error with its line and the offending text underlined.
+impl LoadError {
+    /// Renders each error with the line that it refers to and the invalid text underlined.
     pub fn render(&self, color: bool) -> String {
         let mut out = Vec::new();
         for error in &self.errors.0 {
-            let at = |at: At| (error.file.clone(), at.start..at.end);
-            let look = Look::default().with_color(color).with_index_type(IndexType::Byte);
-            let here =
-                error.suggestion.as_ref().map_or("here".into(), |near| format!("did you mean {near}?"));
-            let report = Report::build(ReportKind::Error, at(error.at))
-                .with_config(look)
+            let span = |at: At| (error.file.clone(), at.start..at.end);
+            let report_config = ReportConfig::default().with_color(color).with_index_type(IndexType::Byte);
+            let label =
+                error.suggestion.as_ref().map_or("here".into(), |name| format!("did you mean {name}?"));
+            let report = Report::build(ReportKind::Error, span(error.at))
+                .with_config(report_config)
                 .with_message(&error.what)
-                .with_label(Label::new(at(error.at)).with_message(here))
+                .with_label(Label::new(span(error.at)).with_message(label))
                 .finish();
             let files = self.files.iter().map(|file| (file.name.clone(), file.text.as_str()));
-            // Writing to memory fails only where a file is not known, and then the plain line is told.
+            // Writing to memory fails only if the file of the error is not known. The error then becomes one line.
             if report.write(sources(files), &mut out).is_err() {
                 out.extend_from_slice(format!("{error}\n").as_bytes());
             }
@@ -68,65 +74,82 @@
     }
 }
 
-/// Gives the bytes of a file.
+/// Returns the content of a file.
 pub type ReadFile<'a> = dyn FnMut(&Path) -> std::io::Result<Vec<u8>> + 'a;
 
+/// Reads files and follows their includes, and collects the files and the errors.
 struct Loader<'a> {
-    files: Vec<Source>,
+    files: Vec<SourceFile>,
     errors: Vec<ConfigError>,
-    read: &'a mut ReadFile<'a>,
+    read_file: &'a mut ReadFile<'a>,
 }
 
 impl Loader<'_> {
-    /// A file's directives with its includes in their places. `from` is where it is included, `open` the files that
-    /// include it.
-    fn file(&mut self, path: &Path, from: At, open: &mut Vec<PathBuf>) -> Vec<Directive> {
+    /// Returns the directives of a file, with each include replaced by the directives of the included file.
+    /// `included_at` is the position of the include, and `open_files` are the files that directly or indirectly include
+    /// this one.
+    fn load_directives(
+        &mut self,
+        path: &Path,
+        included_at: At,
+        open_files: &mut Vec<PathBuf>,
+    ) -> Vec<Directive> {
         let name = path.display().to_string();
-        let asked =
-            |loader: &Self| loader.files.get(from.file).map_or(name.clone(), |file| file.name.clone());
-        let bytes = match (self.read)(path) {
+        let including_file =
+            |loader: &Self| loader.files.get(included_at.file).map_or(name.clone(), |file| file.name.clone());
+        let bytes = match (self.read_file)(path) {
             Ok(bytes) => bytes,
             Err(error) => {
-                let file = asked(self);
-                self.errors.push(ConfigError::new(&file, from, format!("cannot read {name}: {error}")));
+                let file = including_file(self);
+                self.errors.push(ConfigError::new(
+                    &file,
+                    included_at,
+                    format!("cannot read {name}: {error}"),
+                ));
                 return Vec::new();
             }
         };
-        let number = self.files.len();
-        let (text, good) = match String::from_utf8(bytes) {
+        let file_index = self.files.len();
+        let (text, valid_up_to) = match String::from_utf8(bytes) {
             Ok(text) => (text, None),
             Err(error) => {
-                let good = error.utf8_error().valid_up_to();
-                (String::from_utf8_lossy(error.as_bytes()).into_owned(), Some(good))
+                let valid_up_to = error.utf8_error().valid_up_to();
+                (String::from_utf8_lossy(error.as_bytes()).into_owned(), Some(valid_up_to))
             }
         };
-        if let Some(good) = good {
-            let before = &text[..good];
+        if let Some(valid_up_to) = valid_up_to {
+            let before = &text[..valid_up_to];
             let line = before.matches('\n').count() + 1;
             let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-            // What stands there in the text that is shown. Guards against a range that cuts it.
-            let end = good + char::REPLACEMENT_CHARACTER.len_utf8();
-            let at = At { file: number, line, column, start: good, end };
-            let what = "this byte is no UTF-8; the file must be UTF-8 text";
+            // The shown text has a replacement character here, and the range must end on a character boundary.
+            let end = valid_up_to + char::REPLACEMENT_CHARACTER.len_utf8();
+            let at = At { file: file_index, line, column, start: valid_up_to, end };
+            let what = "invalid UTF-8 byte; the file must be UTF-8 text";
             self.errors.push(ConfigError::new(&name, at, what));
         }
-        self.files.push(Source { name: name.clone(), text: text.clone() });
-        if good.is_some() {
+        self.files.push(SourceFile { name: name.clone(), text: text.clone() });
+        if valid_up_to.is_some() {
             return Vec::new();
         }
-        let (directives, errors) = parse_with_recovery(number, &name, &text);
+        let (directives, errors) = parse_with_recovery(file_index, &name, &text);
         self.errors.extend(errors);
-        open.push(path.to_owned());
-        let all = self.expand(directives, path, open);
-        open.pop();
-        all
+        open_files.push(path.to_owned());
+        let expanded = self.expand_includes(directives, path, open_files);
+        open_files.pop();
+        expanded
     }
 
-    fn expand(&mut self, directives: Vec<Directive>, path: &Path, open: &mut Vec<PathBuf>) -> Vec<Directive> {
+    /// Replaces each include among the directives of the file `path` by the directives of the included file.
+    fn expand_includes(
+        &mut self,
+        directives: Vec<Directive>,
+        path: &Path,
+        open_files: &mut Vec<PathBuf>,
+    ) -> Vec<Directive> {
         let mut out = Vec::new();
         for mut directive in directives {
             if directive.name != "include" {
-                directive.body = directive.body.map(|body| self.expand(body, path, open));
+                directive.body = directive.body.map(|body| self.expand_includes(body, path, open_files));
                 out.push(directive);
                 continue;
             }
@@ -141,61 +164,75 @@
             };
             let target = path.parent().unwrap_or(Path::new("")).join(file);
             let at = directive.value_position(0);
-            if let Some(first) = open.iter().position(|path| *path == target) {
-                let way: Vec<String> =
-                    open[first..].iter().chain([&target]).map(|path| path.display().to_string()).collect();
-                let what = format!("include: a circle: {}", way.join(" -> "));
+            if let Some(first) = open_files.iter().position(|path| *path == target) {
+                let cycle: Vec<String> = open_files[first..]
+                    .iter()
+                    .chain([&target])
+                    .map(|path| path.display().to_string())
+                    .collect();
+                let what = format!("include: cycle: {}", cycle.join(" -> "));
                 self.errors.push(ConfigError::new(&name, at, what));
-            } else if open.len() >= DEEPEST || self.files.len() >= MOST_FILES {
-                let what = format!("include: at most {DEEPEST} files deep and {MOST_FILES} in all");
+            } else if open_files.len() >= MAX_INCLUDE_DEPTH || self.files.len() >= MAX_FILES {
+                let what = format!(
+                    "include: expected at most {MAX_INCLUDE_DEPTH} nested files and {MAX_FILES} files in total"
+                );
                 self.errors.push(ConfigError::new(&name, at, what));
             } else {
-                out.extend(self.file(&target, at, open));
+                out.extend(self.load_directives(&target, at, open_files));
             }
         }
         out
     }
 }
 
-/// Reads a configuration with its includes, whose paths start from the folder of the file that has them.
-pub fn load<'a>(path: &Path, read_file: &'a mut ReadFile<'a>) -> Result<Loaded, Box<Failed>> {
-    let mut loader = Loader { files: Vec::new(), errors: Vec::new(), read: read_file };
-    let all = loader.file(path, At::default(), &mut Vec::new());
+/// Loads a configuration with its includes, and reads files with `read_file`. The path of an include is relative to the
+/// directory of the file that contains it.
+pub fn load<'a>(path: &Path, read_file: &'a mut ReadFile<'a>) -> Result<LoadedConfig, Box<LoadError>> {
+    let mut loader = Loader { files: Vec::new(), errors: Vec::new(), read_file };
+    let directives = loader.load_directives(path, At::default(), &mut Vec::new());
     let (files, errors) = (loader.files, loader.errors);
     let names: Vec<String> = files.iter().map(|file| file.name.clone()).collect();
-    match build_config(&names, &all, errors) {
-        Ok((config, effective)) => Ok(Loaded { config, effective, files }),
-        Err(errors) => Err(Box::new(Failed { errors, files })),
+    match build_config(&names, &directives, errors) {
+        Ok((config, effective)) => Ok(LoadedConfig { config, effective, files }),
+        Err(errors) => Err(Box::new(LoadError { errors, files })),
     }
 }
 
-/// From the file system.
-pub fn load_file(path: &Path) -> Result<Loaded, Box<Failed>> {
+/// Loads a configuration with its includes from the file system.
+pub fn load_file(path: &Path) -> Result<LoadedConfig, Box<LoadError>> {
     load(path, &mut |path| std::fs::read(path))
 }
 
-/// What is different in effect between two configurations: a line each, in the order of the sections.
+/// The differences between the effective values of two configurations, one line each: removed sections, added sections,
+/// changed values, and values that are no longer set. Each group is in the order of the sections.
 pub fn diff(old: &[EffectiveValue], new: &[EffectiveValue]) -> Vec<String> {
-    let find = |list: &[EffectiveValue], of: &EffectiveValue| {
-        list.iter().find(|e| e.section == of.section && e.name == of.name).map(|e| e.value.clone())
+    let find = |list: &[EffectiveValue], wanted: &EffectiveValue| {
+        list.iter().find(|e| e.section == wanted.section && e.name == wanted.name).map(|e| e.value.clone())
     };
     let sections = |list: &[EffectiveValue]| -> Vec<String> {
         let mut names: Vec<String> = list.iter().map(|e| e.section.clone()).collect();
         names.dedup();
         names
     };
-    let (before, after) = (sections(old), sections(new));
+    let (old_sections, new_sections) = (sections(old), sections(new));
     let mut out = Vec::new();
-    out.extend(before.iter().filter(|name| !after.contains(name)).map(|name| format!("- {name}")));
-    out.extend(after.iter().filter(|name| !before.contains(name)).map(|name| format!("+ {name}")));
-    for effective in new.iter().filter(|e| before.contains(&e.section)) {
-        let was = find(old, effective);
-        if was.as_ref() != Some(&effective.value) {
-            let was = was.unwrap_or_default();
-            out.push(format!("  {}: {}: {was} -> {}", effective.section, effective.name, effective.value));
+    out.extend(
+        old_sections.iter().filter(|name| !new_sections.contains(name)).map(|name| format!("- {name}")),
+    );
+    out.extend(
+        new_sections.iter().filter(|name| !old_sections.contains(name)).map(|name| format!("+ {name}")),
+    );
+    for effective in new.iter().filter(|e| old_sections.contains(&e.section)) {
+        let old_value = find(old, effective);
+        if old_value.as_ref() != Some(&effective.value) {
+            let old_value = old_value.unwrap_or_default();
+            out.push(format!(
+                "  {}: {}: {old_value} -> {}",
+                effective.section, effective.name, effective.value
+            ));
         }
     }
-    for effective in old.iter().filter(|e| after.contains(&e.section) && find(new, e).is_none()) {
+    for effective in old.iter().filter(|e| new_sections.contains(&e.section) && find(new, e).is_none()) {
         out.push(format!("  {}: {}: {} -> (not set)", effective.section, effective.name, effective.value));
     }
     out
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,8 +1,8 @@
-//! Good files load; bad ones are refused with the line and what was expected.
+//! Valid files load; invalid files are refused with the line of each error and what was expected.
 
 use elderstage_config::{RepeatName, parse, parse_servers};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 # A small deployment.
 zones a b
 front {
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn a_good_file_loads() {
-    let config = parse("f.conf", GOOD).unwrap();
+fn valid_file_loads() {
+    let config = parse("f.conf", VALID).unwrap();
     assert_eq!(config.classes[0].first_token, 1_200_000);
     assert!(matches!(config.classes[1].repeat, RepeatName::Keyed { memory: 5_000_000, .. }));
     assert_eq!(config.kinds[0].kv_tokens, 160_000.0);
@@ -64,19 +64,20 @@
 }
 
 #[test]
-fn a_server_has_addresses_in_the_order_of_preference() {
-    let text = GOOD.replace("127.0.0.1:8001", "unix:/run/r1.sock [::1]:8001 127.0.0.1:8001");
+fn server_addresses_keep_the_order_of_preference() {
+    let text = VALID.replace("127.0.0.1:8001", "unix:/run/r1.sock [::1]:8001 127.0.0.1:8001");
     let config = parse("f.conf", &text).unwrap();
     let places: Vec<String> = config.servers[0].places.iter().map(ToString::to_string).collect();
     assert_eq!(places, ["unix:/run/r1.sock", "[::1]:8001", "127.0.0.1:8001"]);
     assert_eq!((config.connections.per_server, config.connections.idle), (512, 20_000_000));
-    let bounded = parse("f.conf", &format!("{GOOD}connections {{\n per-server 7\n idle 1s\n}}\n")).unwrap();
-    assert_eq!((bounded.connections.per_server, bounded.connections.idle), (7, 1_000_000));
+    let with_limits =
+        parse("f.conf", &format!("{VALID}connections {{\n per-server 7\n idle 1s\n}}\n")).unwrap();
+    assert_eq!((with_limits.connections.per_server, with_limits.connections.idle), (7, 1_000_000));
 }
 
 #[test]
-fn each_kind_of_mistake_names_its_line_and_what_was_expected() {
-    for (old, new, line, wanted) in [
+fn each_error_names_its_line_and_what_was_expected() {
+    for (old, new, line, expected) in [
         ("give-up 6s", "give-up 6", 11, "expected a time such as"),
         ("give-up 6s", "give-up 1s", 8, "no longer than give-up"),
         ("worth 1", "worht 1", 12, "unknown directive worht"),
@@ -102,35 +103,35 @@
         ("zones a b", "zones a b\n}", 4, "} without a matching {"),
         ("# A small deployment.", "surprise yes", 2, "unknown directive surprise"),
     ] {
-        assert!(GOOD.contains(old), "{old}");
-        let found = errors(&GOOD.replacen(old, new, 1));
-        let place = format!("f.conf:{line}:");
-        assert!(found.iter().any(|e| e.starts_with(&place) && e.contains(wanted)), "{new}: {found:#?}");
+        assert!(VALID.contains(old), "{old}");
+        let found = errors(&VALID.replacen(old, new, 1));
+        let position = format!("f.conf:{line}:");
+        assert!(found.iter().any(|e| e.starts_with(&position) && e.contains(expected)), "{new}: {found:#?}");
     }
 }
 
 #[test]
-fn all_mistakes_of_a_file_are_told_in_one_go() {
+fn all_errors_of_a_file_are_reported_together() {
     let text =
-        GOOD.replace("worth 1", "worth x").replace("role prefill", "role x").replace("zones a b", "zones a");
+        VALID.replace("worth 1", "worth x").replace("role prefill", "role x").replace("zones a b", "zones a");
     assert_eq!(errors(&text).len(), 2);
     assert!(errors("").len() >= 4);
-    assert_eq!(errors("class x {\n").len(), 1, "an open section");
+    assert_eq!(errors("class x {\n").len(), 1, "a section without its closing brace");
 }
 
 #[test]
-fn a_list_of_servers_is_checked_against_its_configuration() {
-    let config = parse("f.conf", GOOD).unwrap();
+fn server_list_is_checked_against_its_configuration() {
+    let config = parse("f.conf", VALID).unwrap();
     let list = "server w {\n address 127.0.0.1:1\n kind reader\n zone b\n state draining\n}\n";
     assert_eq!(parse_servers("s", list, &config).unwrap().len(), 1);
-    for (bad, wanted) in [
+    for (text, expected) in [
         ("", "at least one server"),
         ("class x {\n}\n", "expected server, not class"),
         (&list[..40], "before the end of the file"),
         (&list.replace("zone b", "zone z"), "no zone is called z"),
         (&format!("{list}{list}"), "server w is already defined on line 1"),
     ] {
-        let found = parse_servers("s", bad, &config).unwrap_err().to_string();
-        assert!(found.contains(wanted), "{bad}: {found}");
+        let found = parse_servers("s", text, &config).unwrap_err().to_string();
+        assert!(found.contains(expected), "{text}: {found}");
     }
 }
