--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,15 +1,17 @@
-//! `elderstage demo`: stand-ins and a front in one process.
+//! `elderstage demo`: runs stand-in engines, a tool server and a front in one process, and prints an example request.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
 use elderstage_front::Front;
-use elderstage_rehearsal::fleet::{Fleet, demo as site};
+use elderstage_rehearsal::fleet::{Fleet, demo as demo_site};
 use elderstage_standin::traffic::Log;
 
-pub fn demo(listen: SocketAddr) -> Result<ExitCode, String> {
+/// Runs the demo with a front that listens on `listen`, until a signal stops it.
+pub fn run(listen: SocketAddr) -> Result<ExitCode, String> {
     elderstage_net::init(2);
-    let fleet = Fleet::start(site(), &Log::none()).map_err(|error| format!("stand-ins: {error}"))?;
+    let fleet = Fleet::start(demo_site(), &Log::none())
+        .map_err(|error| format!("cannot start the stand-ins: {error}"))?;
     let dir = std::env::temp_dir().join(format!("elderstage-demo-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|error| format!("{}: {error}", dir.display()))?;
     let write = |name: &str, text: String| {
@@ -31,9 +33,9 @@
          \"_meta\":{{\"progressToken\":\"p\"}}}}}}'\n"
     );
     println!("Stop it with Ctrl-C.");
-    let done = crate::serve::until_signal(front);
+    let result = crate::serve::run_until_signal(front);
     fleet.stop();
-    // The folder holds only what was written above.
+    // The directory contains only the files written above.
     let _ = std::fs::remove_dir_all(&dir);
-    done
+    result
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,7 @@
-//! The `elderstage` program.
+//! The `elderstage` program: parses the command line, sets up logging and runs one command.
+//!
+//! Each command is in the module of its name. An error that a command returns is printed to standard error, and the
+//! exit code is then 2.
 
 mod config;
 mod demo;
@@ -18,10 +21,10 @@
 #[derive(Parser)]
 #[command(version, about, propagate_version = true)]
 struct Cli {
-    /// Form of the log lines.
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
-    /// Levels by target, such as `info`, `request=debug` or `front=warn,request=trace`.
+    /// Format of the log lines.
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
+    /// Log levels by target, such as `info`, `request=debug` or `front=warn,request=trace`.
     #[arg(long, global = true, default_value = "info,may=warn", value_name = "LEVELS")]
     log_level: String,
     #[command(subcommand)]
@@ -29,42 +32,42 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a front until SIGTERM or SIGINT, which drain it; a second one hastens the end.
+    /// Run a front until SIGTERM or SIGINT, which drain it; a second signal ends the drain early.
     Serve {
-        /// The configuration.
+        /// The configuration file.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Write the address that the front listens on to this file, for port 0.
+        /// Write the address that the front listens on to this file, for use with port 0.
         #[arg(long, value_name = "FILE")]
         addr_file: Option<PathBuf>,
         /// Seed of the random numbers that break ties; drawn from the clock if not given.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Run a front node of the platform until SIGTERM; SIGHUP takes its configuration anew.
+    /// Run a front node of the platform until SIGTERM; SIGHUP reloads its configuration.
     Node {
-        /// The configuration, where the environment's PROXY_CONFIG does not name it.
+        /// The configuration file; if not given, the environment variable PROXY_CONFIG names it.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
     /// Check, format, show, compare and explain configurations.
     Config {
         #[command(subcommand)]
-        what: config::What,
+        command: config::ConfigCommand,
     },
-    /// Keepers and agents of a fleet, what is proposed to them, and how they stand.
+    /// Run keepers and agents of a fleet, propose changes to them, and show their state.
     Fleet {
         #[command(subcommand)]
-        what: fleet::What,
+        command: fleet::What,
     },
-    /// Run stand-in engines, a tool server and one front, and print how to ask it something.
+    /// Run stand-in engines, a tool server and one front, and print an example request.
     Demo {
         /// Where the front listens.
         #[arg(long, default_value = "127.0.0.1:7080", value_name = "ADDR")]
@@ -73,9 +76,9 @@
     /// Measure the front against a baseline in the same run, on stand-ins.
     Measure {
         #[command(subcommand)]
-        what: measure::What,
+        command: measure::MeasureCommand,
     },
-    /// Play a scripted day against stand-ins and judge the rules; exit 0 only if all of them held.
+    /// Play a scripted day against stand-ins and check the rules; exit 0 only if all of them hold.
     Rehearse {
         /// The script, or a folder with a `day.conf`.
         script: PathBuf,
@@ -85,37 +88,38 @@
         /// Keep the files of the run (traffic, configurations, logs) in this folder.
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
-        /// Play only so many requests, with the script's times shortened in proportion.
+        /// Play only this many requests, with the script's times shortened in proportion.
         #[arg(long, value_name = "N")]
         requests: Option<u64>,
     },
 }
 
-fn log(form: LogForm, levels: &str) -> Result<(), String> {
+/// Sends log lines to standard error, in the given format and at the given levels.
+fn init_logging(format: LogFormat, levels: &str) -> Result<(), String> {
     let filter = EnvFilter::try_new(levels).map_err(|error| format!("--log-level: {error}"))?;
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     let builder = builder.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
-    let done = match form {
-        LogForm::Text => builder.try_init(),
-        LogForm::Json => builder.json().flatten_event(true).try_init(),
+    let result = match format {
+        LogFormat::Text => builder.try_init(),
+        LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
-    done.map_err(|error| error.to_string())
+    result.map_err(|error| error.to_string())
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = log(cli.log, &cli.log_level).and_then(|()| match cli.command {
+    let result = init_logging(cli.log, &cli.log_level).and_then(|()| match cli.command {
         Command::Serve { config, addr_file, seed } => serve::serve(&config, addr_file.as_deref(), seed),
         Command::Node { config } => node::node(config),
-        Command::Config { what } => config::config(&what),
-        Command::Fleet { what } => fleet::fleet(&what),
-        Command::Demo { listen } => demo::demo(listen),
-        Command::Measure { what } => measure::measure(&what),
+        Command::Config { command } => config::run(&command),
+        Command::Fleet { command } => fleet::fleet(&command),
+        Command::Demo { listen } => demo::run(listen),
+        Command::Measure { command } => measure::measure(&command),
         Command::Rehearse { script, json, keep, requests } => {
             rehearse::rehearse(&script, json.as_deref(), keep.as_deref(), requests)
         }
     });
-    match done {
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("elderstage: {error}");
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `elderstage rehearse`: a scripted day, judged.
+//! `elderstage rehearse`: plays a scripted day against stand-ins and reports which rules hold.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -7,6 +7,9 @@
 use elderstage_rehearsal::play::{Options, play};
 use indicatif::{ProgressBar, ProgressStyle};
 
+/// Plays `script`, prints the report, and writes it as JSON to `json` if given. The files of the run stay in `keep`, or
+/// in a temporary directory that is removed. `requests` shortens the script to this many requests. The exit code is 0 if
+/// the report is good, else 1.
 pub fn rehearse(
     script: &Path,
     json: Option<&Path>,
@@ -23,17 +26,17 @@
     let dir = keep.unwrap_or(&temporary);
     std::fs::create_dir_all(dir).map_err(|error| format!("{}: {error}", dir.display()))?;
     let program = std::env::current_exe().map_err(|error| error.to_string())?;
-    // Hidden by itself where there is no terminal.
-    let bar = ProgressBar::new(day.load.requests);
+    // The progress bar hides itself if there is no terminal.
+    let progress_bar = ProgressBar::new(day.load.requests);
     if let Ok(style) = ProgressStyle::with_template("{msg} [{bar:40}] {pos}/{len} {elapsed}") {
-        bar.set_style(style);
+        progress_bar.set_style(style);
     }
-    bar.set_message(day.name.clone());
-    let options = Options { program: &program, dir, progress: &|begun| bar.set_position(begun) };
+    progress_bar.set_message(day.name.clone());
+    let options = Options { program: &program, dir, progress: &|started| progress_bar.set_position(started) };
     let report = play(&day, &options).map_err(|error| error.to_string());
-    bar.finish_and_clear();
+    progress_bar.finish_and_clear();
     if keep.is_none() {
-        // The folder holds only what this run wrote.
+        // The directory contains only the files of this run.
         let _ = std::fs::remove_dir_all(&temporary);
     }
     let report = report?;
