--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,47 +1,51 @@
-//! `.ci/known-red` on files of all kinds, with a stand-in for cargo that knows three tests, one of which fails.
+//! Runs the script `.ci/known-red` on valid and invalid lists of tests that are known to fail. A script in place of
+//! cargo lists three test names, one of them twice; one of the tests fails.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const CARGO: &str = "#!/bin/sh\n\
+/// Takes the place of cargo: lists the tests, and fails when it runs `a::red`.
+const FAKE_CARGO: &str = "#!/bin/sh\n\
     case \"$*\" in\n\
     *--list*) printf 'a::red: test\\na::green: test\\ntwice: test\\ntwice: test\\n';;\n\
     *'--exact a::red') echo 'test a::red ... FAILED'; exit 101;;\n\
     *) exit 0;;\n\
     esac\n";
 
-fn run(name: &str, text: &str) -> Output {
+/// Runs the script on a file with this text.
+fn run_script(name: &str, text: &str) -> Output {
     let dir = std::env::temp_dir().join(format!("elderstage-red-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let (cargo, file): (PathBuf, PathBuf) = (dir.join("cargo"), dir.join("KNOWN-RED.txt"));
-    std::fs::write(&cargo, CARGO).unwrap();
+    std::fs::write(&cargo, FAKE_CARGO).unwrap();
     std::fs::set_permissions(&cargo, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
     std::fs::write(&file, text).unwrap();
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
-    let done = Command::new("bash").arg(script).arg(&file).env("CARGO", &cargo).output().unwrap();
+    let output = Command::new("bash").arg(script).arg(&file).env("CARGO", &cargo).output().unwrap();
     std::fs::remove_dir_all(&dir).unwrap();
-    done
+    output
 }
 
-fn told(of: &Output) -> (bool, String, String) {
+/// Whether the script succeeded, its standard output and its standard error.
+fn outcome(output: &Output) -> (bool, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (of.status.success(), text(&of.stdout), text(&of.stderr))
+    (output.status.success(), text(&output.stdout), text(&output.stderr))
 }
 
 #[test]
-fn a_red_test_is_run_printed_and_passed_over() {
-    let (good, skips, said) = told(&run("red", "a::red | the link is cut too late | 7\n"));
-    assert!(good, "{said}");
+fn known_failing_test_is_run_printed_and_skipped() {
+    let (success, skips, stderr) = outcome(&run_script("red", "a::red | the link is cut too late | 7\n"));
+    assert!(success, "{stderr}");
     assert_eq!(skips, "--exact\n--skip\na::red\n");
-    assert!(said.contains("known red: a::red (the link is cut too late; issue 7)"), "{said}");
-    assert!(said.contains("test a::red ... FAILED"), "{said}");
-    let (good, skips, _) = told(&run("none", "\n"));
-    assert!(good && skips.is_empty(), "{skips}");
+    assert!(stderr.contains("known red: a::red (the link is cut too late; issue 7)"), "{stderr}");
+    assert!(stderr.contains("test a::red ... FAILED"), "{stderr}");
+    let (success, skips, _) = outcome(&run_script("none", "\n"));
+    assert!(success && skips.is_empty(), "{skips}");
 }
 
 #[test]
-fn what_is_not_red_or_no_test_or_one_too_many_fails() {
-    for (name, text, why) in [
+fn invalid_list_of_known_failing_tests_is_refused() {
+    for (name, text, reason) in [
         ("green", "a::green | cause | 7\n", "passes: its line is to go"),
         ("unknown", "a::gone | cause | 7\n", "0 tests are named a::gone"),
         ("part", "a::re | cause | 7\n", "0 tests are named a::re"),
@@ -50,7 +54,7 @@
         ("no-issue", "a::red | cause |\n", "not \"test | cause | issue\""),
         ("four", &"a::red | cause | 7\n".repeat(4), "holds 4 tests, 3 at most"),
     ] {
-        let (good, skips, said) = told(&run(name, text));
-        assert!(!good && skips.is_empty() && said.contains(why), "{name}: {said}");
+        let (success, skips, stderr) = outcome(&run_script(name, text));
+        assert!(!success && skips.is_empty() && stderr.contains(reason), "{name}: {stderr}");
     }
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as a user runs it: signals, exit codes, few descriptors, and a short rehearsal.
+//! The program as a user runs it: signals, exit codes, a shortage of file descriptors, and shortened rehearsals.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,22 +9,25 @@
 use elderstage_rehearsal::fleet::{Fleet, demo};
 use elderstage_standin::traffic::Log;
 
-const LONG: Duration = Duration::from_secs(30);
+/// Time limit of each wait.
+const TIMEOUT: Duration = Duration::from_secs(30);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_elderstage");
 
-fn folder(name: &str) -> PathBuf {
+/// Makes a temporary directory for one test.
+fn temporary_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("elderstage-program-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-struct Running {
+/// A front process with its files, which ends when this is dropped.
+struct RunningFront {
     child: Child,
     addr: SocketAddr,
     dir: PathBuf,
 }
 
-impl Drop for Running {
+impl Drop for RunningFront {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -32,20 +35,23 @@
     }
 }
 
-fn start(name: &str, fleet: &Fleet, before: &str) -> Running {
-    let dir = folder(name);
+/// Starts `elderstage serve` for the engines of `fleet`, and waits until it listens. `setup` is a shell command that
+/// runs before it.
+fn start_front(name: &str, fleet: &Fleet, setup: &str) -> RunningFront {
+    let dir = temporary_dir(name);
     std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed)).unwrap();
     let config = dir.join("front.conf");
     std::fs::write(&config, fleet.config("listen 127.0.0.1:0\nzone a", "servers.conf")).unwrap();
     let addr_file = dir.join("addr");
-    let shell = format!(
-        "{before} exec {PROGRAM} --log json serve --config {} --addr-file {}",
+    let shell_command = format!(
+        "{setup} exec {PROGRAM} --log json serve --config {} --addr-file {}",
         config.display(),
         addr_file.display()
     );
     let log = std::fs::File::create(dir.join("log")).unwrap();
-    let child = Command::new("sh").args(["-c", &shell]).stdin(Stdio::null()).stderr(log).spawn().unwrap();
-    let end = Instant::now() + LONG;
+    let child =
+        Command::new("sh").args(["-c", &shell_command]).stdin(Stdio::null()).stderr(log).spawn().unwrap();
+    let end = Instant::now() + TIMEOUT;
     let addr = loop {
         if let Some(addr) = std::fs::read_to_string(&addr_file).ok().and_then(|text| text.parse().ok()) {
             break addr;
@@ -53,49 +59,52 @@
         assert!(Instant::now() < end, "{}", std::fs::read_to_string(dir.join("log")).unwrap());
         std::thread::sleep(Duration::from_millis(5));
     };
-    Running { child, addr, dir }
+    RunningFront { child, addr, dir }
 }
 
-fn signal(running: &Running, name: &str) {
-    let done = Command::new("kill").args([name, &running.child.id().to_string()]).status().unwrap();
-    assert!(done.success());
+fn send_signal(front: &RunningFront, name: &str) {
+    let status = Command::new("kill").args([name, &front.child.id().to_string()]).status().unwrap();
+    assert!(status.success());
 }
 
-fn fleet() -> Fleet {
+/// Starts the stand-in engines and the tool server of the demo.
+fn start_fleet() -> Fleet {
     elderstage_net::init(2);
     Fleet::start(demo(), &Log::none()).unwrap()
 }
 
+/// Calls the tool `ask` for an answer of `words` words, and returns the body of the response.
 fn ask(addr: SocketAddr, words: u32) -> String {
     let body = format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{{\"name\":\"ask\",\
          \"arguments\":{{\"prompt\":\"x [words {words}]\"}}}}}}"
     );
-    let to = Endpoint::new(addr, "/mcp");
-    let answer =
-        exchange("POST", &to, &[("content-type", "application/json")], body.as_bytes(), LONG).unwrap();
-    String::from_utf8(answer.body).unwrap()
+    let endpoint = Endpoint::new(addr, "/mcp");
+    let response =
+        exchange("POST", &endpoint, &[("content-type", "application/json")], body.as_bytes(), TIMEOUT)
+            .unwrap();
+    String::from_utf8(response.body).unwrap()
 }
 
 #[test]
-fn a_term_signal_lets_streams_end_and_the_exit_code_says_so() {
-    let fleet = fleet();
-    let mut running = start("term", &fleet, "");
-    let addr = running.addr;
+fn sigterm_lets_streams_end_and_exits_with_code_zero() {
+    let fleet = start_fleet();
+    let mut front = start_front("term", &fleet, "");
+    let addr = front.addr;
     let stream = std::thread::spawn(move || ask(addr, 120));
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TIMEOUT;
     let metrics = Endpoint::new(addr, "/metrics");
     loop {
-        let text = exchange("GET", &metrics, &[], b"", LONG).unwrap().body;
+        let text = exchange("GET", &metrics, &[], b"", TIMEOUT).unwrap().body;
         if String::from_utf8(text).unwrap().contains("elderstage_requests_held 1") {
             break;
         }
         assert!(Instant::now() < end);
     }
-    signal(&running, "-TERM");
+    send_signal(&front, "-TERM");
     assert!(stream.join().unwrap().contains("\"isError\":false"));
-    assert_eq!(running.child.wait().unwrap().code(), Some(0));
-    let log = std::fs::read_to_string(running.dir.join("log")).unwrap();
+    assert_eq!(front.child.wait().unwrap().code(), Some(0));
+    let log = std::fs::read_to_string(front.dir.join("log")).unwrap();
     for line in log.lines() {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
         assert!(value["target"] != "request" || value["rid"].is_string(), "{line}");
@@ -105,33 +114,33 @@
 }
 
 #[test]
-fn a_front_short_of_descriptors_serves_again_when_they_are_back() {
-    let fleet = fleet();
-    let running = start("descriptors", &fleet, "ulimit -n 64;");
-    // The system takes the connections of which the front can accept only some.
-    let many: Vec<_> = (0..150).map(|_| open(running.addr, LONG).unwrap()).collect();
-    let end = Instant::now() + LONG;
-    while !std::fs::read_to_string(running.dir.join("log")).unwrap().contains("no room for a connection") {
-        assert!(Instant::now() < end, "it never ran short");
+fn front_recovers_from_a_shortage_of_file_descriptors() {
+    let fleet = start_fleet();
+    let front = start_front("descriptors", &fleet, "ulimit -n 64;");
+    // The system completes all of these connections, but the front can accept only some of them.
+    let connections: Vec<_> = (0..150).map(|_| open(front.addr, TIMEOUT).unwrap()).collect();
+    let end = Instant::now() + TIMEOUT;
+    while !std::fs::read_to_string(front.dir.join("log")).unwrap().contains("no room for a connection") {
+        assert!(Instant::now() < end, "the front never ran out of file descriptors");
         std::thread::sleep(Duration::from_millis(10));
     }
-    drop(many);
-    assert!(ask(running.addr, 3).contains("\"isError\":false"));
+    drop(connections);
+    assert!(ask(front.addr, 3).contains("\"isError\":false"));
     fleet.stop();
 }
 
 #[test]
-fn mistakes_are_told_with_their_place_and_an_exit_code() {
-    let dir = folder("mistakes");
+fn invalid_input_is_reported_with_its_position_and_exit_code() {
+    let dir = temporary_dir("mistakes");
     let file = dir.join("bad.conf");
     std::fs::write(&file, "front {\n    lisen 127.0.0.1:1\n}\n").unwrap();
     let run = |args: &[&str]| Command::new(PROGRAM).args(args).output().unwrap();
     let path = file.display().to_string();
-    let bad = run(&["serve", "--config", &path]);
-    let said = String::from_utf8(bad.stderr).unwrap();
-    assert_eq!(bad.status.code(), Some(2));
-    assert!(said.contains("bad.conf:2:5: unknown directive lisen"), "{said}");
-    assert!(said.contains("did you mean listen?"), "{said}");
+    let output = run(&["serve", "--config", &path]);
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(2));
+    assert!(stderr.contains("bad.conf:2:5: unknown directive lisen"), "{stderr}");
+    assert!(stderr.contains("did you mean listen?"), "{stderr}");
     for command in ["check", "show"] {
         assert_eq!(run(&["config", command, &path]).status.code(), Some(2));
     }
@@ -140,18 +149,18 @@
     let example =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/small.conf").display().to_string();
     assert_eq!(run(&["config", "test", &example]).status.code(), Some(0));
-    // Expectations: one that holds, one that does not, none at all.
-    let site = "zones a\nfront {\n zone a\n}\nclass c {\n repeat safe\n first-token 1s\n give-up 2s\n}\nroute r {\n class c\n}\n\
+    // A configuration with an expectation that holds, with one that does not, and with none.
+    let valid_config = "zones a\nfront {\n zone a\n}\nclass c {\n repeat safe\n first-token 1s\n give-up 2s\n}\nroute r {\n class c\n}\n\
                 kind k {\n role mixed\n kv-tokens 200k\n}\nserver s {\n address 127.0.0.1:1\n kind k\n zone a\n}\n";
     for (expect, code, word) in [
         ("expect e {\n route r\n rate 2\n served 1\n}\n", 0, "holds  e"),
         ("expect e {\n route r\n never s\n}\n", 1, "FAILS  e"),
         ("", 1, "0 tried"),
     ] {
-        std::fs::write(&file, format!("{site}{expect}")).unwrap();
-        let tried = run(&["config", "test", &path, "--seeds", "2"]);
-        let said = String::from_utf8(tried.stdout).unwrap();
-        assert!(tried.status.code() == Some(code) && said.contains(word), "{said}");
+        std::fs::write(&file, format!("{valid_config}{expect}")).unwrap();
+        let output = run(&["config", "test", &path, "--seeds", "2"]);
+        let stdout = String::from_utf8(output.stdout).unwrap();
+        assert!(output.status.code() == Some(code) && stdout.contains(word), "{stdout}");
     }
     assert_eq!(run(&["serve", "--config", "/nowhere.conf"]).status.code(), Some(2));
     assert_eq!(run(&["rehearse", &path]).status.code(), Some(2));
@@ -159,12 +168,12 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// Plays a shortened script, and gives its report. No rule may be broken.
-fn rehearsed(name: &str, requests: &str) -> serde_json::Value {
+/// Plays a shortened script, checks that no rule is broken, and returns the report.
+fn rehearse(name: &str, requests: &str) -> serde_json::Value {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals").join(name);
-    let dir = folder(name);
+    let dir = temporary_dir(name);
     let json = dir.join("report.json");
-    let run = Command::new(PROGRAM)
+    let output = Command::new(PROGRAM)
         .arg("rehearse")
         .arg(&script)
         .args(["--requests", requests, "--keep"])
@@ -173,20 +182,21 @@
         .arg(&json)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&run.stdout).into_owned() + &String::from_utf8_lossy(&run.stderr);
+    let printed =
+        String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
     let report: serde_json::Value = serde_json::from_str(&std::fs::read_to_string(&json).unwrap()).unwrap();
     for rule in report["rules"].as_array().unwrap() {
-        assert_eq!(rule["broken"].as_array().unwrap().len(), 0, "{said}");
+        assert_eq!(rule["broken"].as_array().unwrap().len(), 0, "{printed}");
     }
-    assert_eq!(report["clean"], true, "{said}");
+    assert_eq!(report["clean"], true, "{printed}");
     std::fs::remove_dir_all(&dir).unwrap();
     report
 }
 
-/// A shortened bad day keeps all rules, and its report says what was played.
+/// A shortened bad day breaks no rule, and its report covers all five rules.
 #[test]
-fn a_short_bad_day_keeps_the_rules() {
-    let report = rehearsed("bad-day", "900");
+fn shortened_bad_day_breaks_no_rule() {
+    let report = rehearse("bad-day", "900");
     assert_eq!(report["good"], true);
     let rules = report["rules"].as_array().unwrap();
     assert_eq!(rules.len(), 5);
@@ -195,12 +205,12 @@
     }
 }
 
-/// Addresses that fail before and after a body is written. How many are refused depends on the machine here; the
-/// whole day is played by hand and expects none.
+/// Addresses fail before and after a request body is written. How many requests are refused in a shortened day depends
+/// on the machine, so the test does not check it. The whole day is played by hand and expects none.
 #[test]
-fn short_days_of_address_faults_keep_the_rules() {
+fn shortened_days_of_address_faults_break_no_rule() {
     for (name, requests) in [("addresses", "800"), ("addresses-late", "400")] {
-        let report = rehearsed(name, requests);
+        let report = rehearse(name, requests);
         assert!(report["faults"].as_u64().unwrap() > 10, "{report}");
         for route in ["ask", "order"] {
             assert!(report["routes"][route]["served"].as_u64().unwrap() > 0, "{report}");
