--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -22,8 +22,11 @@
 /// How a connection is checked before the body of a request that must not run twice is sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProofName {
+    /// The head is sent with `Expect: 100-continue`, and the body after the interim response.
     Continue,
+    /// A health request on the same connection is answered first.
     Health,
+    /// The connection is not checked.
     None,
 }
 
@@ -52,13 +55,21 @@
     pub at: At,
     pub name: String,
     pub repeat: RepeatName,
+    /// Target time to first token (TTFT), without the part that depends on the prompt.
     pub first_token: Micros,
+    /// Added to `first_token` for each 1,000 prompt tokens.
     pub first_token_per_1000: Micros,
+    /// Target mean time between tokens (TPOT).
     pub token_gap: Micros,
+    /// Maximum wait for the first token of a turn.
     pub give_up: Micros,
+    /// Added to `give_up` for each 1,000 prompt tokens.
     pub give_up_per_1000: Micros,
+    /// Maximum time of the whole answer.
     pub total: Micros,
+    /// Value of an answer in time, relative to other classes. It decides the order of waiting requests.
     pub worth: f64,
+    /// Share of `worth` that a late answer still has.
     pub late_worth: f64,
 }
 
@@ -69,8 +80,11 @@
     pub name: String,
     pub addr: SocketAddr,
     pub path: String,
+    /// Whether a call may have a lasting effect, so that it must not be made twice.
     pub effect: bool,
+    /// Time limit of one call.
     pub timeout: Micros,
+    /// Maximum calls of one request for one turn.
     pub tries: u32,
 }
 
@@ -83,8 +97,11 @@
     pub description: String,
     pub model: String,
     pub tools: Vec<String>,
+    /// System message before the prompt; empty for none.
     pub preamble: String,
+    /// Maximum tokens of one turn.
     pub max_tokens: u32,
+    /// Maximum turns of the model in one request.
     pub most_turns: u32,
 }
 
@@ -94,6 +111,7 @@
     pub at: At,
     pub name: String,
     pub role: RoleName,
+    /// Size of the KV cache in tokens.
     pub kv_tokens: f64,
     pub proof: ProofName,
 }
@@ -128,9 +146,13 @@
     pub listen: SocketAddr,
     pub name: String,
     pub zone: String,
+    /// Index of this front among all fronts, from 0.
     pub number: u32,
+    /// Number of fronts.
     pub fronts: u32,
+    /// Number of worker threads.
     pub workers: usize,
+    /// Maximum requests that the front holds at once.
     pub most_requests: usize,
     /// A connection without any traffic is closed after this time.
     pub idle: Micros,
@@ -152,32 +174,52 @@
 /// The `rules` section: parameters of the routing rules, and what the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RulesConfig {
+    /// Tolerance with which the time limits of answers are checked.
     pub answer_slack: Micros,
+    /// A server's connections are closed this long after the server was told to leave.
     pub drain_grace: Micros,
+    /// Time limit for releasing what is held for a request without a running attempt.
     pub let_go: Micros,
+    /// Share of its full speed that an engine has at a cold start.
     pub cold_from: f64,
+    /// Time after its start during which an engine is cold.
     pub cold_for: Micros,
+    /// Load that makes a cold engine fail, as a multiple of what it can do.
     pub fall_multiple: f64,
+    /// Time for which that load must last to make a cold engine fail.
     pub tip_after: Micros,
+    /// Maximum sends of one request.
     pub most_tries: u32,
+    /// Timeout of connecting.
     pub connect: Micros,
+    /// Maximum time after which a refused client is told to retry.
     pub retry_after: Micros,
+    /// Whether a writer prefills the prompt itself if there is no KV state to fetch.
     pub writers_read: bool,
+    /// Whether the front may probe servers.
     pub probes: bool,
+    /// Whether load reports come in answers; otherwise, if at all, in answers to probes.
     pub reports_in_answers: bool,
 }
 
 /// The `connections` section: limits on connections to engines and tool servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionsConfig {
+    /// Connection attempts per second.
     pub dials_per_s: f64,
+    /// Connection attempts that may start at once after an idle time.
     pub dials_at_once: f64,
+    /// Maximum connections to one server, open or being opened.
     pub per_server: usize,
+    /// Maximum connections to all servers, open or being opened.
     pub in_all: usize,
-    /// Maximum idle connections that are kept for one address, and for how long.
+    /// Maximum idle connections that are kept for one address.
     pub idle_each: usize,
+    /// Time for which an idle connection is kept.
     pub idle: Micros,
+    /// Age after which a connection is not reused.
     pub age: Micros,
+    /// Number of requests after which a connection is not reused.
     pub uses: u32,
 }
 
