--- a/crates/standin/src/host/machine.rs
+++ b/crates/standin/src/host/machine.rs
@@ -5,7 +5,7 @@
 use elderstage_net::channel::Sender;
 use elderstage_net::owner::{self, Micros};
 
-use crate::model::{Ail, Engine, Job, JobId, Load, Out, Task, Why};
+use crate::model::{Ail, Engine, EngineEvent, Job, JobId, Load, RejectReason, Task};
 use crate::traffic::{Log, Seen};
 
 /// A state that nobody takes or lets go of is dropped after this time, as when its front has died.
@@ -16,11 +16,11 @@
 /// What becomes of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum News {
-    Rejected(Why),
+    Rejected(RejectReason),
     Fetch,
-    Read { cached: u64 },
+    Read { cached_tokens: u64 },
     Token(u64),
-    Done { cached: u64 },
+    Done { cached_tokens: u64 },
 }
 
 pub(crate) enum Ask {
@@ -102,26 +102,26 @@
     fn expire(&mut self, now: Micros) {
         while self.expiry.front().is_some_and(|(at, ..)| *at <= now) {
             let Some((_, rid, id)) = self.expiry.pop_front() else { return };
-            if self.engine.let_go(id) {
+            if self.engine.release_state(id) {
                 self.reads.remove(&rid);
                 self.see(Seen::StateLost { rid });
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, outs: Vec<Out>) {
+    fn tell(&mut self, now: Micros, outs: Vec<EngineEvent>) {
         for out in outs {
             match out {
-                Out::Rejected { id, why } => self.last(id, News::Rejected(why)),
-                Out::Fetch { id } => self.news(id, News::Fetch),
-                Out::ReadDone { id, cached } => {
+                EngineEvent::Rejected { id, reason } => self.last(id, News::Rejected(reason)),
+                EngineEvent::FetchState { id } => self.news(id, News::Fetch),
+                EngineEvent::ReadDone { id, cached_tokens } => {
                     if let Some(job) = self.jobs.get(&id) {
                         self.see(Seen::StateHeld { rid: job.rid.clone() });
                         self.expiry.push_back((now + EXPIRES, job.rid.clone(), id));
                     }
-                    self.last(id, News::Read { cached });
+                    self.last(id, News::Read { cached_tokens });
                 }
-                Out::Token { id, index } => {
+                EngineEvent::Token { id, index } => {
                     if index == 0
                         && let Some(job) = self.jobs.get(&id)
                     {
@@ -129,8 +129,8 @@
                     }
                     self.news(id, News::Token(index));
                 }
-                Out::Done { id, cached } => self.last(id, News::Done { cached }),
-                Out::FellOver => {
+                EngineEvent::AnswerDone { id, cached_tokens } => self.last(id, News::Done { cached_tokens }),
+                EngineEvent::Crashed => {
                     self.see(Seen::FellOver);
                     self.lose_all();
                 }
@@ -177,7 +177,7 @@
             }
             return false;
         };
-        if self.engine.let_go(id) {
+        if self.engine.release_state(id) {
             self.see(Seen::StateReleased { rid: rid.to_owned() });
         } else {
             self.cancel(now, id);
@@ -206,15 +206,15 @@
             Ask::Start { job, rid, news } => {
                 if job.task == Task::Read {
                     if self.aborted.contains(&rid) {
-                        let _ = news.send(News::Rejected(Why::Full));
+                        let _ = news.send(News::Rejected(RejectReason::Full));
                         return true;
                     }
-                    self.reads.insert(rid.clone(), (job.id, job.prompt));
+                    self.reads.insert(rid.clone(), (job.id, job.prompt_tokens));
                 }
                 self.jobs.insert(job.id, Known { rid, news });
-                self.engine.start(now, job, &mut outs);
+                self.engine.submit(now, job, &mut outs);
             }
-            Ask::Fetched { id, ok } => self.engine.fetched(now, id, ok, &mut outs),
+            Ask::Fetched { id, ok } => self.engine.finish_state_fetch(now, id, ok, &mut outs),
             Ask::Cancel { id } => self.cancel(now, id),
             Ask::Release { rid, done } => {
                 let _ = done.send(self.release(now, &rid));
@@ -224,7 +224,7 @@
                 let _ = done.send(state.map(|(_, tokens)| *tokens));
             }
             Ask::Taken { rid, done } => {
-                let taken = self.reads.get(&rid).is_some_and(|(id, _)| self.engine.let_go(*id));
+                let taken = self.reads.get(&rid).is_some_and(|(id, _)| self.engine.release_state(*id));
                 if taken {
                     self.reads.remove(&rid);
                     self.see(Seen::StateTaken { rid });
@@ -234,8 +234,8 @@
             Ask::Load { done } => {
                 let _ = done.send((self.engine.load(), self.engine.is_down()));
             }
-            Ask::Ail(ail) => self.engine.ail(now, ail),
-            Ask::Flush => self.engine.flush(),
+            Ask::Ail(ail) => self.engine.set_fault(now, ail),
+            Ask::Flush => self.engine.clear_prefix_cache(),
             Ask::Restart { cold } => {
                 self.lose_all();
                 self.engine = Engine::new(self.engine.spec().clone(), now, cold);
@@ -248,13 +248,13 @@
 
     fn next_timer(&self) -> Option<Micros> {
         let expiry = self.expiry.front().map(|(at, ..)| *at);
-        self.engine.next_wake().into_iter().chain(expiry).min()
+        self.engine.next_step_end().into_iter().chain(expiry).min()
     }
 
     fn wake(&mut self, now: Micros) {
         self.expire(now);
         let mut outs = Vec::new();
-        self.engine.wake(now, &mut outs);
+        self.engine.end_due_step(now, &mut outs);
         self.tell(now, outs);
     }
 }
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -13,7 +13,7 @@
 use super::door::{DoorFault, SLOW};
 use super::machine::{Ask, News};
 use super::{Faults, Shared, lock};
-use crate::model::{Job, JobId, Load, Task, Why, blocks};
+use crate::model::{Job, JobId, Load, RejectReason, Task, block_hashes};
 use crate::script;
 use crate::traffic::Seen;
 
@@ -165,8 +165,8 @@
     let faults = lock(&shared.faults).clone();
     let (front, zone) = via(head);
     if faults.cut.contains(&zone) {
-        // Nothing passes between the zones: the peer hears nothing and gives up by itself. What it sent is noted
-        // all the same, since the rules judge what was sent.
+        // Nothing passes between the zones: the peer hears nothing and gives up by itself. What it sent is
+        // noted all the same, since the rules judge what was sent.
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
         match head.target.as_str() {
             engine::COMPLETIONS => drop(shared.see_order(head, body)),
@@ -250,13 +250,13 @@
     let named = [
         (orca::RUNNING, load.running as f64),
         (orca::WAITING, load.waiting as f64),
-        (orca::KV_USAGE, load.kv),
-        (orca::PENDING_TOKENS, load.pending as f64),
-        (orca::LATENCY_MS, load.latency as f64 / 1e3),
+        (orca::KV_USAGE, load.kv_usage),
+        (orca::PENDING_TOKENS, load.pending_tokens as f64),
+        (orca::LATENCY_MS, load.recent_latency as f64 / 1e3),
         (orca::STARTED, started),
     ];
     orca::Report {
-        application_utilization: load.busy,
+        application_utilization: load.slot_usage,
         named_metrics: named.into_iter().map(|(name, value)| (name.to_owned(), value)).collect(),
     }
 }
@@ -282,7 +282,7 @@
     let task = match (params.do_remote_decode, params.do_remote_prefill) {
         (true, _) => Task::Read,
         (false, true) => Task::Write,
-        _ => Task::Whole,
+        _ => Task::ReadAndWrite,
     };
     let text = script::prompt_text(&asked);
     let (prompt, turn) = (script::tokens(&text), script::turn(&asked));
@@ -294,7 +294,7 @@
     let task_name = match task {
         Task::Read => "read",
         Task::Write => "write",
-        Task::Whole => "whole",
+        Task::ReadAndWrite => "whole",
     };
     shared.log.see(
         name,
@@ -314,8 +314,15 @@
     }
     let id = JobId(shared.next.fetch_add(1, Ordering::Relaxed));
     let (news, heard) = channel();
-    let blocks = blocks(text.as_bytes());
-    let job = Job { id, task, class: asked.model.clone(), blocks, prompt, answer: turn.tokens };
+    let block_hashes = block_hashes(text.as_bytes());
+    let job = Job {
+        id,
+        task,
+        class: asked.model.clone(),
+        block_hashes,
+        prompt_tokens: prompt,
+        answer_tokens: turn.tokens,
+    };
     shared.inbox.send(Ask::Start { job, rid: rid.clone(), news });
     let mut work = Work { shared, conn, heard, id, rid: &rid, asked: &asked, turn: &turn, prompt, stalls };
     let (how, next) = work.follow(&params, faults);
@@ -353,12 +360,12 @@
         }
     }
 
-    fn reject(&mut self, why: Why) -> (&'static str, Result<Next, NetError>) {
+    fn reject(&mut self, why: RejectReason) -> (&'static str, Result<Next, NetError>) {
         let (how, status, code) = match why {
-            Why::Full => ("full", 429, "rate_limit"),
-            Why::Role => ("wrong-role", 400, "wrong_role"),
-            Why::NoState => ("no-state", 424, engine::NO_STATE),
-            Why::Down => ("down", 500, "engine_dead"),
+            RejectReason::Full => ("full", 429, "rate_limit"),
+            RejectReason::WrongRole => ("wrong-role", 400, "wrong_role"),
+            RejectReason::NoState => ("no-state", 424, engine::NO_STATE),
+            RejectReason::Down => ("down", 500, "engine_dead"),
         };
         let json = [("content-type", "application/json")];
         let sent = answer(self.conn, status, &json, &engine::error_body(code, how));
@@ -382,7 +389,7 @@
                     let ok = fetch(self.shared, params);
                     self.shared.inbox.send(Ask::Fetched { id: self.id, ok });
                 }
-                Some(News::Read { cached }) => return ("read", self.read(cached)),
+                Some(News::Read { cached_tokens }) => return ("read", self.read(cached_tokens)),
                 Some(News::Token(index)) => return self.stream(index, faults),
                 Some(News::Done { .. }) => return ("error", Ok(Next::Close)),
             }
@@ -445,8 +452,8 @@
                     sse::write(None, &data, &mut event);
                     http::write_chunk(&event, &mut out);
                 }
-                Some(News::Done { cached }) => {
-                    self.last(cached, &mut out);
+                Some(News::Done { cached_tokens }) => {
+                    self.last(cached_tokens, &mut out);
                     return match self.conn.write(&out) {
                         Ok(()) => ("served", Ok(Next::Go)),
                         Err(error) => ("left", Err(error)),
--- a/crates/standin/src/model/engine.rs
+++ b/crates/standin/src/model/engine.rs
@@ -1,301 +1,329 @@
-//! One engine: its queue, its running requests, its memory and its steps.
+//! One simulated engine: its queue, its running requests, its KV memory and its steps.
+//!
+//! The engine does no I/O and reads no clock. The caller passes the time and receives events. The KV memory
+//! in use is the sum of what running requests and held states occupy.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::kept::Kept;
+use super::kept::PrefixCache;
 use super::{Ail, Job, JobId, Load, Micros, Role, Spec, Task};
 
-/// Weight of one answer in the recent latency.
-const LATENCY_STEP: f64 = 0.2;
+/// Weight of the newest sample in the moving average of the latency.
+const LATENCY_SMOOTHING: f64 = 0.2;
 
-/// Why a request was not taken.
+/// Why the engine rejected a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// All slots and places in the queue are taken, or the prompt is larger than the memory.
+pub enum RejectReason {
+    /// All slots and queue places are taken, or the prompt is larger than the KV memory.
     Full,
-    /// Not this engine's work: a reader does not answer.
-    Role,
-    /// The state could not be fetched.
+    /// The role of the engine excludes this task: a reader takes only `Task::Read`, a writer every other
+    /// task.
+    WrongRole,
+    /// The KV state could not be fetched from the reader.
     NoState,
-    /// It has fallen over and stays down until it is started anew.
+    /// The engine has crashed under load and stays down until it is restarted.
     Down,
 }
 
-/// What has happened.
+/// What an engine reports to its host.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    Rejected {
-        id: JobId,
-        why: Why,
-    },
-    /// A slot and memory are there: the state is to be fetched now; `fetched` tells how it went.
-    Fetch {
-        id: JobId,
-    },
-    ReadDone {
-        id: JobId,
-        cached: u64,
-    },
-    /// The next token of an answer, from 0.
-    Token {
-        id: JobId,
-        index: u64,
-    },
-    Done {
-        id: JobId,
-        cached: u64,
-    },
-    /// Too much was sent to it while it was cold; all that it held is lost.
-    FellOver,
+pub enum EngineEvent {
+    /// The request is not served.
+    Rejected { id: JobId, reason: RejectReason },
+    /// A slot and memory are allocated: the host fetches the KV state now and reports the outcome through
+    /// [`Engine::finish_state_fetch`].
+    FetchState { id: JobId },
+    /// The prompt is read and its KV state is held. `cached_tokens` came from the prefix cache.
+    ReadDone { id: JobId, cached_tokens: u64 },
+    /// The next token of an answer; `index` starts at 0.
+    Token { id: JobId, index: u64 },
+    /// The answer is complete.
+    AnswerDone { id: JobId, cached_tokens: u64 },
+    /// The engine received too much work while cold. All its requests and states are lost.
+    Crashed,
 }
 
+/// A request in the queue or in a slot, and how far it has come.
 #[derive(Clone, Debug)]
-struct Running {
+struct JobProgress {
     job: Job,
-    came: Micros,
-    /// Prompt tokens found kept, and those still to be read.
-    cached: u64,
-    unread: u64,
-    /// Waits for its state.
-    fetching: bool,
-    written: u64,
-    /// Memory held, in tokens.
-    held: u64,
+    arrived_at: Micros,
+    /// Prompt tokens found in the prefix cache, and prompt tokens still to be read.
+    cached_tokens: u64,
+    unread_tokens: u64,
+    /// The KV state has not arrived yet.
+    is_fetching_state: bool,
+    written_tokens: u64,
+    /// KV memory that this request occupies, in tokens.
+    held_tokens: u64,
 }
 
-impl Running {
-    fn reads(&self) -> bool {
-        self.unread > 0 && !self.fetching
+impl JobProgress {
+    fn is_reading(&self) -> bool {
+        self.unread_tokens > 0 && !self.is_fetching_state
     }
 
-    fn writes(&self) -> bool {
-        self.unread == 0 && !self.fetching && self.job.task != Task::Read
+    fn is_writing(&self) -> bool {
+        self.unread_tokens == 0 && !self.is_fetching_state && self.job.task != Task::Read
     }
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     spec: Spec,
-    started: Micros,
-    /// It started cold, rather than having run for long.
-    cold: bool,
-    down: bool,
-    hang: bool,
-    slow: f64,
-    unanswered: Option<String>,
-    kept: Kept,
-    waiting: VecDeque<Running>,
-    running: Vec<Running>,
-    /// States that wait to be taken, by the job that read them, and the tokens that they hold.
-    states: BTreeMap<JobId, u64>,
-    used: u64,
-    /// End of the step under way, and which jobs it reads and writes for.
-    step: Option<Step>,
-    latency: f64,
-    /// Work that has come while cold, with its time; for falling over.
-    arrivals: VecDeque<(Micros, f64)>,
+    started_at: Micros,
+    /// The engine started cold; `false` means that it is treated as having run for a long time.
+    started_cold: bool,
+    is_down: bool,
+    is_hung: bool,
+    slowdown: f64,
+    unanswered_class: Option<String>,
+    prefix_cache: PrefixCache,
+    waiting: VecDeque<JobProgress>,
+    running: Vec<JobProgress>,
+    /// Tokens of each KV state that no writer has taken yet, by the job that read the prompt.
+    held_states: BTreeMap<JobId, u64>,
+    /// KV memory in use.
+    used_tokens: u64,
+    /// The step in progress, if any.
+    current_step: Option<Step>,
+    recent_latency: f64,
+    /// Arrival time and cost of the requests received while cold, within the last `tip_after`.
+    cold_arrivals: VecDeque<(Micros, f64)>,
 }
 
+/// A step in progress: when it ends, the tokens that it reads for each job and the jobs that it writes a
+/// token for.
 #[derive(Clone, Debug)]
 struct Step {
-    ends: Micros,
+    ends_at: Micros,
     reads: Vec<(JobId, u64)>,
     writes: Vec<JobId>,
 }
 
 impl Engine {
-    /// An engine that starts now; a cold one works its way up.
+    /// Creates an engine that starts at `now`. A cold engine starts slow and warms up over `Spec::cold_for`.
     pub fn new(spec: Spec, now: Micros, cold: bool) -> Engine {
         Engine {
-            kept: Kept::new(spec.kept_tokens),
+            prefix_cache: PrefixCache::new(spec.kept_tokens),
             spec,
-            started: now,
-            cold,
-            down: false,
-            hang: false,
-            slow: 1.0,
-            unanswered: None,
+            started_at: now,
+            started_cold: cold,
+            is_down: false,
+            is_hung: false,
+            slowdown: 1.0,
+            unanswered_class: None,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            states: BTreeMap::new(),
-            used: 0,
-            step: None,
-            latency: 0.0,
-            arrivals: VecDeque::new(),
+            held_states: BTreeMap::new(),
+            used_tokens: 0,
+            current_step: None,
+            recent_latency: 0.0,
+            cold_arrivals: VecDeque::new(),
         }
     }
 
+    /// The configured capacity of the engine.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
+    /// Whether the engine has crashed and not been restarted.
     pub fn is_down(&self) -> bool {
-        self.down
+        self.is_down
     }
 
-    /// Share of its speed that it has now.
-    pub fn warmth(&self, now: Micros) -> f64 {
-        if !self.cold {
+    /// Current speed as a fraction of the warm speed.
+    pub fn speed_fraction(&self, now: Micros) -> f64 {
+        if !self.started_cold {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started) as f64 / self.spec.cold_for.max(1) as f64;
+        let age = now.saturating_sub(self.started_at) as f64 / self.spec.cold_for.max(1) as f64;
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
 
+    /// The load as an engine reports it.
     pub fn load(&self) -> Load {
-        let pending = self
+        let pending_tokens = self
             .waiting
             .iter()
             .chain(&self.running)
-            .map(|r| if r.fetching { r.job.prompt } else { r.unread });
+            .map(|r| if r.is_fetching_state { r.job.prompt_tokens } else { r.unread_tokens });
         Load {
             running: self.running.len(),
             waiting: self.waiting.len(),
-            busy: self.running.len() as f64 / self.spec.slots.max(1) as f64,
-            kv: self.used as f64 / self.spec.kv_tokens.max(1) as f64,
-            pending: pending.sum(),
-            latency: self.latency as Micros,
+            slot_usage: self.running.len() as f64 / self.spec.slots.max(1) as f64,
+            kv_usage: self.used_tokens as f64 / self.spec.kv_tokens.max(1) as f64,
+            pending_tokens: pending_tokens.sum(),
+            recent_latency: self.recent_latency as Micros,
         }
     }
 
     // ---- Faults ----
 
-    pub fn ail(&mut self, now: Micros, ail: Option<Ail>) {
-        (self.hang, self.slow, self.unanswered) = (false, 1.0, None);
-        match ail {
+    /// Sets the fault of the engine and ends any earlier one; `None` only ends it.
+    pub fn set_fault(&mut self, now: Micros, fault: Option<Ail>) {
+        (self.is_hung, self.slowdown, self.unanswered_class) = (false, 1.0, None);
+        match fault {
             None => {}
-            Some(Ail::Hang) => self.hang = true,
-            Some(Ail::Slow(times)) => self.slow = times.max(0.01),
-            Some(Ail::ClassUnanswered(class)) => self.unanswered = Some(class),
+            Some(Ail::Hang) => self.is_hung = true,
+            Some(Ail::Slow(factor)) => self.slowdown = factor.max(0.01),
+            Some(Ail::ClassUnanswered(class)) => self.unanswered_class = Some(class),
         }
-        if self.hang {
-            self.step = None;
+        if self.is_hung {
+            self.current_step = None;
         } else {
             self.begin_step(now);
         }
     }
 
-    pub fn flush(&mut self) {
-        self.kept.flush();
+    /// Empties the prefix cache.
+    pub fn clear_prefix_cache(&mut self) {
+        self.prefix_cache.clear();
     }
 
     // ---- Requests ----
 
-    /// Takes a request, or says why not.
-    pub fn start(&mut self, now: Micros, job: Job, out: &mut Vec<Out>) {
+    /// Queues a request, or rejects it with an event.
+    pub fn submit(&mut self, now: Micros, job: Job, events: &mut Vec<EngineEvent>) {
         let id = job.id;
-        let cached = if job.task == Task::Write { 0 } else { self.kept.found(&job.blocks).min(job.prompt) };
-        let unread = if job.task == Task::Write { 0 } else { (job.prompt - cached).max(1) };
-        let work = self.spec.work(unread, if job.task == Task::Read { 0 } else { job.answer });
-        if self.pushed_over(now, work) {
-            out.push(Out::FellOver);
+        let cached_tokens = if job.task == Task::Write {
+            0
+        } else {
+            self.prefix_cache.cached_prefix_tokens(&job.block_hashes).min(job.prompt_tokens)
+        };
+        let unread_tokens =
+            if job.task == Task::Write { 0 } else { (job.prompt_tokens - cached_tokens).max(1) };
+        let work = self.spec.work(unread_tokens, if job.task == Task::Read { 0 } else { job.answer_tokens });
+        if self.crash_if_overloaded(now, work) {
+            events.push(EngineEvent::Crashed);
             return;
         }
-        let why = if self.down {
-            Some(Why::Down)
+        let reason = if self.is_down {
+            Some(RejectReason::Down)
         } else if (self.spec.role == Role::Prefill) != (job.task == Task::Read)
             && self.spec.role != Role::Mixed
         {
-            Some(Why::Role)
+            Some(RejectReason::WrongRole)
         } else if self.running.len() + self.waiting.len() >= self.spec.slots + self.spec.queue
-            || job.prompt > self.spec.kv_tokens
+            || job.prompt_tokens > self.spec.kv_tokens
         {
-            Some(Why::Full)
+            Some(RejectReason::Full)
         } else {
             None
         };
-        if let Some(why) = why {
-            out.push(Out::Rejected { id, why });
+        if let Some(reason) = reason {
+            events.push(EngineEvent::Rejected { id, reason });
             return;
         }
-        let fetching = job.task == Task::Write;
-        self.waiting.push_back(Running { job, came: now, cached, unread, fetching, written: 0, held: 0 });
-        self.admit(out);
+        let is_fetching_state = job.task == Task::Write;
+        self.waiting.push_back(JobProgress {
+            job,
+            arrived_at: now,
+            cached_tokens,
+            unread_tokens,
+            is_fetching_state,
+            written_tokens: 0,
+            held_tokens: 0,
+        });
+        self.admit_waiting(events);
         self.begin_step(now);
     }
 
-    /// Adds work to what has come lately, and tells whether that was too much for a cold engine.
-    fn pushed_over(&mut self, now: Micros, work: f64) -> bool {
-        if !self.cold || self.down || self.warmth(now) >= 1.0 {
-            self.arrivals.clear();
+    /// Records arriving work and crashes a cold engine that received more than it can handle. Returns whether
+    /// it crashed.
+    fn crash_if_overloaded(&mut self, now: Micros, work: f64) -> bool {
+        if !self.started_cold || self.is_down || self.speed_fraction(now) >= 1.0 {
+            self.cold_arrivals.clear();
             return false;
         }
-        self.arrivals.push_back((now, work));
-        while self.arrivals.front().is_some_and(|(at, _)| at + self.spec.tip_after < now) {
-            self.arrivals.pop_front();
+        self.cold_arrivals.push_back((now, work));
+        while self.cold_arrivals.front().is_some_and(|(arrived_at, _)| arrived_at + self.spec.tip_after < now)
+        {
+            self.cold_arrivals.pop_front();
         }
-        let came: f64 = self.arrivals.iter().map(|(_, work)| work).sum();
-        let able = self.spec.fall_multiple * self.warmth(now) * self.spec.tip_after as f64;
-        if came <= able {
+        let arrived_work: f64 = self.cold_arrivals.iter().map(|(_, work)| work).sum();
+        let capacity = self.spec.fall_multiple * self.speed_fraction(now) * self.spec.tip_after as f64;
+        if arrived_work <= capacity {
             return false;
         }
-        self.down = true;
+        self.is_down = true;
         self.waiting.clear();
         self.running.clear();
-        self.states.clear();
-        (self.used, self.step) = (0, None);
+        self.held_states.clear();
+        (self.used_tokens, self.current_step) = (0, None);
         true
     }
 
-    /// The state has come, or could not be had.
-    pub fn fetched(&mut self, now: Micros, id: JobId, ok: bool, out: &mut Vec<Out>) {
-        if ok {
+    /// Continues a request after its state fetch: starts the answer, or rejects the request if the fetch
+    /// failed.
+    pub fn finish_state_fetch(
+        &mut self,
+        now: Micros,
+        id: JobId,
+        is_available: bool,
+        events: &mut Vec<EngineEvent>,
+    ) {
+        if is_available {
             if let Some(running) = self.running.iter_mut().find(|r| r.job.id == id) {
-                running.fetching = false;
-                self.kept.keep(&running.job.blocks);
+                running.is_fetching_state = false;
+                self.prefix_cache.insert(&running.job.block_hashes);
             }
-        } else if self.drop_running(id).is_some() {
-            out.push(Out::Rejected { id, why: Why::NoState });
+        } else if self.remove_running(id).is_some() {
+            events.push(EngineEvent::Rejected { id, reason: RejectReason::NoState });
         }
-        self.admit(out);
+        self.admit_waiting(events);
         self.begin_step(now);
     }
 
-    /// Nobody waits for this request any more: it ends, wherever it is.
-    pub fn cancel(&mut self, now: Micros, id: JobId, out: &mut Vec<Out>) {
+    /// Ends a request that nobody waits for any more: removes it from the queue, from its slot or from the
+    /// held states.
+    pub fn cancel(&mut self, now: Micros, id: JobId, events: &mut Vec<EngineEvent>) {
         self.waiting.retain(|r| r.job.id != id);
-        self.drop_running(id);
-        self.let_go(id);
-        self.admit(out);
+        self.remove_running(id);
+        self.release_state(id);
+        self.admit_waiting(events);
         self.begin_step(now);
     }
 
-    /// Whether a state waits; a taken or released one frees its memory.
-    pub fn let_go(&mut self, id: JobId) -> bool {
-        match self.states.remove(&id) {
+    /// Frees the memory of a held KV state. Returns whether the state was held.
+    pub fn release_state(&mut self, id: JobId) -> bool {
+        match self.held_states.remove(&id) {
             Some(tokens) => {
-                self.used -= tokens;
+                self.used_tokens -= tokens;
                 true
             }
             None => false,
         }
     }
 
+    /// Whether the KV state that this job read is still held.
     pub fn holds_state(&self, id: JobId) -> bool {
-        self.states.contains_key(&id)
+        self.held_states.contains_key(&id)
     }
 
-    fn drop_running(&mut self, id: JobId) -> Option<Running> {
-        let at = self.running.iter().position(|r| r.job.id == id)?;
-        let running = self.running.remove(at);
-        self.used -= running.held;
+    /// Takes a request out of its slot and frees its memory.
+    fn remove_running(&mut self, id: JobId) -> Option<JobProgress> {
+        let position = self.running.iter().position(|r| r.job.id == id)?;
+        let running = self.running.remove(position);
+        self.used_tokens -= running.held_tokens;
         Some(running)
     }
 
-    /// Lets waiting requests in while slots and memory last, first come first.
-    fn admit(&mut self, out: &mut Vec<Out>) {
+    /// Moves requests from the queue into slots in arrival order, while slots and memory suffice.
+    fn admit_waiting(&mut self, events: &mut Vec<EngineEvent>) {
         while self.running.len() < self.spec.slots {
             let Some(next) = self.waiting.front() else { return };
-            let need = next.job.prompt + next.written;
-            if self.used + need > self.spec.kv_tokens {
+            let needed_tokens = next.job.prompt_tokens + next.written_tokens;
+            if self.used_tokens + needed_tokens > self.spec.kv_tokens {
                 return;
             }
             let Some(mut next) = self.waiting.pop_front() else { return };
-            next.held = need;
-            self.used += need;
-            if next.fetching {
-                out.push(Out::Fetch { id: next.job.id });
+            next.held_tokens = needed_tokens;
+            self.used_tokens += needed_tokens;
+            if next.is_fetching_state {
+                events.push(EngineEvent::FetchState { id: next.job.id });
             }
             self.running.push(next);
         }
@@ -303,108 +331,113 @@
 
     // ---- Steps ----
 
-    fn answers(&self, class: &str) -> bool {
-        self.unanswered.as_deref() != Some(class)
+    /// Whether the current fault lets requests of this class make progress.
+    fn serves_class(&self, class: &str) -> bool {
+        self.unanswered_class.as_deref() != Some(class)
     }
 
+    /// Starts a step if none is in progress and there is work.
     fn begin_step(&mut self, now: Micros) {
-        if self.step.is_some() || self.hang || self.down {
+        if self.current_step.is_some() || self.is_hung || self.is_down {
             return;
         }
-        let active = |r: &&Running| self.answers(&r.job.class);
-        let mut room = self.spec.chunk;
+        let is_served = |r: &&JobProgress| self.serves_class(&r.job.class);
+        let mut chunk_left = self.spec.chunk;
         let mut reads = Vec::new();
-        for running in self.running.iter().filter(active).filter(|r| r.reads()) {
-            let tokens = running.unread.min(room);
+        for running in self.running.iter().filter(is_served).filter(|r| r.is_reading()) {
+            let tokens = running.unread_tokens.min(chunk_left);
             reads.push((running.job.id, tokens));
-            room -= tokens;
-            // A reader reads one prompt at a time, so that its times can be told ahead.
-            if room == 0 || self.spec.role == Role::Prefill {
+            chunk_left -= tokens;
+            // A reader processes one prompt at a time, so that its latency is predictable.
+            if chunk_left == 0 || self.spec.role == Role::Prefill {
                 break;
             }
         }
         let mut writes: Vec<JobId> =
-            self.running.iter().filter(active).filter(|r| r.writes()).map(|r| r.job.id).collect();
+            self.running.iter().filter(is_served).filter(|r| r.is_writing()).map(|r| r.job.id).collect();
         writes.sort_unstable();
         if reads.is_empty() && writes.is_empty() {
             return;
         }
         let tokens = reads.iter().map(|(_, tokens)| *tokens as f64).sum::<f64>();
-        // A reader's step is the read alone; answers make a step of their own length.
-        let base = if writes.is_empty() { 0.0 } else { self.spec.step as f64 };
-        let full = base
+        // The fixed step cost applies only when answers are written.
+        let base_time = if writes.is_empty() { 0.0 } else { self.spec.step as f64 };
+        let warm_time = base_time
             + self.spec.step_per_answer as f64 * writes.len() as f64
             + tokens / self.spec.read_per_s * 1e6;
-        let time = (full * self.slow / self.warmth(now)).max(1.0);
-        self.step = Some(Step { ends: now + time as Micros, reads, writes });
+        let step_time = (warm_time * self.slowdown / self.speed_fraction(now)).max(1.0);
+        self.current_step = Some(Step { ends_at: now + step_time as Micros, reads, writes });
     }
 
-    /// When [`Engine::wake`] is due.
-    pub fn next_wake(&self) -> Option<Micros> {
-        self.step.as_ref().map(|step| step.ends)
+    /// When [`Engine::end_due_step`] is to be called, if a step is in progress.
+    pub fn next_step_end(&self) -> Option<Micros> {
+        self.current_step.as_ref().map(|step| step.ends_at)
     }
 
-    /// Ends the step that is due.
-    pub fn wake(&mut self, now: Micros, out: &mut Vec<Out>) {
-        let Some(step) = self.step.take_if(|step| step.ends <= now) else { return };
+    /// Ends the step in progress if it is due, reports what it produced and starts the next one.
+    pub fn end_due_step(&mut self, now: Micros, events: &mut Vec<EngineEvent>) {
+        let Some(step) = self.current_step.take_if(|step| step.ends_at <= now) else { return };
         for (id, tokens) in step.reads {
-            self.end_read(now, id, tokens, out);
+            self.record_read(now, id, tokens, events);
         }
         let mut done = Vec::new();
         for running in &mut self.running {
-            // Some may have joined since the step began.
-            if !running.writes() || step.writes.binary_search(&running.job.id).is_err() {
+            // Requests that joined after the step began get no token from it.
+            if !running.is_writing() || step.writes.binary_search(&running.job.id).is_err() {
                 continue;
             }
-            if running.written == 0 {
-                let took = (now - running.came) as f64;
-                self.latency += LATENCY_STEP * (took - self.latency);
+            if running.written_tokens == 0 {
+                let elapsed = (now - running.arrived_at) as f64;
+                self.recent_latency += LATENCY_SMOOTHING * (elapsed - self.recent_latency);
             }
-            out.push(Out::Token { id: running.job.id, index: running.written });
-            running.written += 1;
-            running.held += 1;
-            self.used += 1;
-            if running.written >= running.job.answer {
-                done.push((running.job.id, running.cached));
+            events.push(EngineEvent::Token { id: running.job.id, index: running.written_tokens });
+            running.written_tokens += 1;
+            running.held_tokens += 1;
+            self.used_tokens += 1;
+            if running.written_tokens >= running.job.answer_tokens {
+                done.push((running.job.id, running.cached_tokens));
             }
         }
-        for (id, cached) in done {
-            self.drop_running(id);
-            out.push(Out::Done { id, cached });
+        for (id, cached_tokens) in done {
+            self.remove_running(id);
+            events.push(EngineEvent::AnswerDone { id, cached_tokens });
         }
-        self.make_room();
-        self.admit(out);
+        self.preempt_newest_answers();
+        self.admit_waiting(events);
         self.begin_step(now);
     }
 
-    fn end_read(&mut self, now: Micros, id: JobId, tokens: u64, out: &mut Vec<Out>) {
+    /// Counts prompt tokens as read. Once all are read, caches the prompt and holds the state of a read task.
+    fn record_read(&mut self, now: Micros, id: JobId, tokens: u64, events: &mut Vec<EngineEvent>) {
         let Some(running) = self.running.iter_mut().find(|r| r.job.id == id) else { return };
-        running.unread -= tokens.min(running.unread);
-        if running.unread > 0 {
+        running.unread_tokens -= tokens.min(running.unread_tokens);
+        if running.unread_tokens > 0 {
             return;
         }
-        self.kept.keep(&running.job.blocks);
+        self.prefix_cache.insert(&running.job.block_hashes);
         if running.job.task != Task::Read {
             return;
         }
-        let took = (now - running.came) as f64;
-        self.latency += LATENCY_STEP * (took - self.latency);
-        if let Some(running) = self.drop_running(id) {
-            // The state stays in memory until a writer takes it.
-            self.states.insert(id, running.job.prompt);
-            self.used += running.job.prompt;
-            out.push(Out::ReadDone { id, cached: running.cached });
+        let elapsed = (now - running.arrived_at) as f64;
+        self.recent_latency += LATENCY_SMOOTHING * (elapsed - self.recent_latency);
+        if let Some(running) = self.remove_running(id) {
+            // The state occupies memory until a writer takes it or it is released.
+            self.held_states.insert(id, running.job.prompt_tokens);
+            self.used_tokens += running.job.prompt_tokens;
+            events.push(EngineEvent::ReadDone { id, cached_tokens: running.cached_tokens });
         }
     }
 
-    /// Memory has run out: the newest answer goes back to the queue, to be read anew with what it wrote.
-    fn make_room(&mut self) {
-        while self.used > self.spec.kv_tokens {
-            let newest = self.running.iter().filter(|r| r.writes()).max_by_key(|r| r.came).map(|r| r.job.id);
-            let Some(mut running) = newest.and_then(|id| self.drop_running(id)) else { return };
-            running.held = 0;
-            running.unread = running.job.prompt + running.written;
-            running.job.task = Task::Whole;
+    /// While memory is exceeded, preempts the newest answer: it returns to the head of the queue and its
+    /// prompt and written tokens are read again.
+    fn preempt_newest_answers(&mut self) {
+        while self.used_tokens > self.spec.kv_tokens {
+            let newest =
+                self.running.iter().filter(|r| r.is_writing()).max_by_key(|r| r.arrived_at).map(|r| r.job.id);
+            let Some(mut running) = newest.and_then(|id| self.remove_running(id)) else { return };
+            running.held_tokens = 0;
+            running.unread_tokens = running.job.prompt_tokens + running.written_tokens;
+            running.job.task = Task::ReadAndWrite;
             self.waiting.push_front(running);
         }
     }
--- a/crates/standin/src/model/kept.rs
+++ b/crates/standin/src/model/kept.rs
@@ -1,15 +1,17 @@
-//! Kept texts: blocks of prompts that were read, the least lately used dropped first.
+//! The prefix cache of an engine: hashes of prompt blocks, evicted in least recently used order.
+//!
+//! It stores hashes only, no text and no KV data. It never holds more blocks than its capacity.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Tokens of one block.
+/// Tokens in one block.
 pub const BLOCK_TOKENS: u64 = 16;
-/// Bytes of one block of text, at four bytes a token.
+/// Bytes of text in one block, at four bytes per token.
 const BLOCK_BYTES: usize = 64;
 
-/// Hashes of a text's whole blocks, each of all text up to the block's end, so that equal hashes mean equal
-/// beginnings.
-pub fn blocks(text: &[u8]) -> Vec<u64> {
+/// Hashes of the complete blocks of a text. Each hash covers all text up to the end of its block, so equal
+/// hashes mean equal prefixes.
+pub fn block_hashes(text: &[u8]) -> Vec<u64> {
     let mut hash = 0xcbf2_9ce4_8422_2325u64;
     text.chunks_exact(BLOCK_BYTES)
         .map(|block| {
@@ -21,43 +23,47 @@
         .collect()
 }
 
-/// Blocks kept, by when they were last used.
+/// The set of cached blocks, ordered by last use.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
-    most: usize,
-    used: u64,
-    by_hash: HashMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+pub struct PrefixCache {
+    max_blocks: usize,
+    /// Counter that orders uses; the value of the latest one.
+    last_use: u64,
+    use_by_hash: HashMap<u64, u64>,
+    hash_by_use: BTreeMap<u64, u64>,
 }
 
-impl Kept {
-    pub fn new(tokens: u64) -> Kept {
-        Kept { most: (tokens / BLOCK_TOKENS) as usize, ..Kept::default() }
+impl PrefixCache {
+    /// Creates a cache for this many tokens.
+    pub fn new(tokens: u64) -> PrefixCache {
+        PrefixCache { max_blocks: (tokens / BLOCK_TOKENS) as usize, ..PrefixCache::default() }
     }
 
-    /// Tokens of the longest beginning that is kept.
-    pub fn found(&self, blocks: &[u64]) -> u64 {
-        blocks.iter().take_while(|hash| self.by_hash.contains_key(hash)).count() as u64 * BLOCK_TOKENS
+    /// Length in tokens of the longest cached prefix.
+    pub fn cached_prefix_tokens(&self, block_hashes: &[u64]) -> u64 {
+        block_hashes.iter().take_while(|hash| self.use_by_hash.contains_key(hash)).count() as u64
+            * BLOCK_TOKENS
     }
 
-    /// Keeps a text that was read. Its beginning is used last, so that it is dropped last.
-    pub fn keep(&mut self, blocks: &[u64]) {
-        for hash in blocks.iter().rev() {
-            self.used += 1;
-            if let Some(old) = self.by_hash.insert(*hash, self.used) {
-                self.by_use.remove(&old);
+    /// Caches a prompt that was read. Its first blocks count as used last, so that they are evicted last.
+    pub fn insert(&mut self, block_hashes: &[u64]) {
+        for hash in block_hashes.iter().rev() {
+            self.last_use += 1;
+            if let Some(previous_use) = self.use_by_hash.insert(*hash, self.last_use) {
+                self.hash_by_use.remove(&previous_use);
             }
-            self.by_use.insert(self.used, *hash);
+            self.hash_by_use.insert(self.last_use, *hash);
         }
-        while self.by_hash.len() > self.most {
-            let Some((_, hash)) = self.by_use.pop_first() else { return };
-            self.by_hash.remove(&hash);
+        while self.use_by_hash.len() > self.max_blocks {
+            let Some((_, hash)) = self.hash_by_use.pop_first() else { return };
+            self.use_by_hash.remove(&hash);
         }
     }
 
-    pub fn flush(&mut self) {
-        self.by_hash.clear();
-        self.by_use.clear();
+    /// Removes all blocks.
+    pub fn clear(&mut self) {
+        self.use_by_hash.clear();
+        self.hash_by_use.clear();
     }
 }
 
--- a/crates/standin/src/model/kept/tests.rs
+++ b/crates/standin/src/model/kept/tests.rs
@@ -1,20 +1,24 @@
 use super::*;
 
 #[test]
-fn finds_shared_beginnings_and_drops_the_least_lately_used() {
+fn finds_shared_prefixes_and_evicts_the_least_recently_used() {
     let text = |name: &str, n: usize| name.repeat(n).into_bytes();
     let shared = text("catalogue ", 64);
-    let with = |tail: &str| blocks(&[shared.clone(), text(tail, 64)].concat());
-    let mut kept = Kept::new(100 * BLOCK_TOKENS);
-    kept.keep(&with("one "));
-    assert_eq!(kept.found(&with("two ")), 10 * BLOCK_TOKENS);
-    assert_eq!(kept.found(&blocks(&text("other ", 64))), 0);
+    let with_tail = |tail: &str| block_hashes(&[shared.clone(), text(tail, 64)].concat());
+    let mut cache = PrefixCache::new(100 * BLOCK_TOKENS);
+    cache.insert(&with_tail("one "));
+    assert_eq!(cache.cached_prefix_tokens(&with_tail("two ")), 10 * BLOCK_TOKENS);
+    assert_eq!(cache.cached_prefix_tokens(&block_hashes(&text("other ", 64))), 0);
     for n in 0..20 {
-        kept.keep(&blocks(&text(&format!("text {n} "), 64)));
-        assert!(kept.by_hash.len() <= 100 && kept.by_hash.len() == kept.by_use.len());
+        cache.insert(&block_hashes(&text(&format!("text {n} "), 64)));
+        assert!(cache.use_by_hash.len() <= 100 && cache.use_by_hash.len() == cache.hash_by_use.len());
     }
-    assert_eq!(kept.found(&with("one ")), 0, "dropped by now");
-    kept.keep(&with("one "));
-    kept.flush();
-    assert_eq!(kept.found(&with("one ")), 0);
+    assert_eq!(
+        cache.cached_prefix_tokens(&with_tail("one ")),
+        0,
+        "the prefix is still cached after 20 other prompts"
+    );
+    cache.insert(&with_tail("one "));
+    cache.clear();
+    assert_eq!(cache.cached_prefix_tokens(&with_tail("one ")), 0);
 }
--- a/crates/standin/src/model/mod.rs
+++ b/crates/standin/src/model/mod.rs
@@ -1,19 +1,22 @@
-//! The engine model: events and time in, what happens out.
+//! The engine model: takes requests and the time, returns events.
 //!
-//! An engine works in steps. A step reads up to a chunk of prompt tokens, first come first, and adds one token to
-//! every running answer; it takes longer the more it does. A request waits until a slot and memory for its prompt
-//! are free. A reader keeps the state that it has read until a writer takes it. When memory runs out the newest
-//! answer goes back to the queue and is read anew.
+//! An engine works in steps. A step reads up to a chunk of prompt tokens in arrival order and adds one token
+//! to every running answer. Its length grows with the work it does. A request waits in the queue until a slot
+//! and memory for its prompt are free. A reader holds the KV state of a prompt until a writer takes it. When
+//! memory runs out, the newest answer returns to the queue and is read again.
+//!
+//! The model does no I/O and reads no clock, so the same calls give the same events.
 
 mod engine;
 mod kept;
 
-pub use engine::{Engine, Out, Why};
-pub use kept::{BLOCK_TOKENS, Kept, blocks};
+pub use engine::{Engine, EngineEvent, RejectReason};
+pub use kept::{BLOCK_TOKENS, PrefixCache, block_hashes};
 
 /// Microseconds on the host's clock.
 pub type Micros = u64;
 
+/// The stages that an engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Prefill,
@@ -21,33 +24,34 @@
     Mixed,
 }
 
-/// What an engine can do when it is warm.
+/// The capacity of an engine. Speeds are those of a warm engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
     pub role: Role,
-    /// Requests at once, and how many more may wait.
+    /// Requests served at once, and requests that may wait in the queue.
     pub slots: usize,
     pub queue: usize,
-    /// KV memory in tokens, and the part of it that kept texts may take.
+    /// KV memory and capacity of the prefix cache, in tokens.
     pub kv_tokens: u64,
     pub kept_tokens: u64,
-    /// Prompt tokens read in a second by an engine that does nothing else.
+    /// Prompt tokens per second that an engine reads if it does nothing else.
     pub read_per_s: f64,
-    /// Time of an empty step, and what each running answer adds.
+    /// Fixed time of a step that writes, and the time that each running answer adds.
     pub step: Micros,
     pub step_per_answer: Micros,
-    /// Prompt tokens read in one step at most.
+    /// Most prompt tokens read in one step.
     pub chunk: u64,
-    /// Share of its speed at a cold start, and when it is warm.
+    /// Fraction of the full speed at a cold start, and the time until the engine is warm.
     pub cold_from: f64,
     pub cold_for: Micros,
-    /// While cold, more than this multiple of what it can do, for this long, makes it fall over.
+    /// A cold engine crashes if the work that arrives within `tip_after` exceeds this multiple of its current
+    /// capacity.
     pub fall_multiple: f64,
     pub tip_after: Micros,
 }
 
 impl Default for Spec {
-    /// A small mixed engine: 20,000 prompt tokens and some 2,000 answer tokens a second.
+    /// A small mixed engine: 20,000 prompt tokens and about 2,000 answer tokens per second.
     fn default() -> Spec {
         Spec {
             role: Role::Mixed,
@@ -68,60 +72,63 @@
 }
 
 impl Spec {
-    /// What a request costs, in microseconds of a warm engine with all slots in use.
-    pub fn work(&self, unread: u64, answer: u64) -> f64 {
-        let step = self.step as f64 + self.step_per_answer as f64 * self.slots as f64;
-        unread as f64 / self.read_per_s * 1e6 + answer as f64 * step / self.slots as f64
+    /// Cost of a request, in microseconds of a warm engine with all slots in use.
+    pub fn work(&self, unread_tokens: u64, answer_tokens: u64) -> f64 {
+        let full_step = self.step as f64 + self.step_per_answer as f64 * self.slots as f64;
+        unread_tokens as f64 / self.read_per_s * 1e6 + answer_tokens as f64 * full_step / self.slots as f64
     }
 }
 
-/// A request at an engine, as the host names it.
+/// Identifies a request within one engine; the host assigns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
+/// What a request asks of the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// Read, and keep the state.
+    /// Read the prompt (prefill) and hold its KV state for a writer.
     Read,
-    /// Fetch a state, then answer.
+    /// Fetch a KV state from a reader, then write the answer (decode).
     Write,
-    /// Read and answer.
-    Whole,
+    /// Read the prompt and write the answer on the same engine.
+    ReadAndWrite,
 }
 
+/// A request as the engine model sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub id: JobId,
     pub task: Task,
     pub class: String,
-    /// Hashes of the prompt's blocks, each of all text up to its end.
-    pub blocks: Vec<u64>,
-    pub prompt: u64,
-    /// Tokens that it will answer with.
-    pub answer: u64,
+    /// Hashes of the prompt as [`block_hashes`] computes them.
+    pub block_hashes: Vec<u64>,
+    pub prompt_tokens: u64,
+    /// Tokens of the answer.
+    pub answer_tokens: u64,
 }
 
-/// What can be wrong with an engine's work; its sockets have faults of their own.
+/// A fault in the work of an engine. Faults of its sockets are separate: [`crate::host::DoorFault`] and
+/// [`crate::host::Faults`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ail {
-    /// Takes work and does nothing.
+    /// Accepts requests and makes no progress.
     Hang,
-    /// So many times slower.
+    /// Works slower by this factor.
     Slow(f64),
-    /// Does nothing for one class.
+    /// Makes no progress on requests of one class.
     ClassUnanswered(String),
 }
 
-/// An engine's load, as a report tells it.
+/// The load that an engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub running: usize,
     pub waiting: usize,
-    /// Share of slots in use, and of KV memory held.
-    pub busy: f64,
-    pub kv: f64,
-    /// Prompt tokens that wait to be read or fetched.
-    pub pending: u64,
-    /// Recent time to the end of a read or to the first token.
-    pub latency: Micros,
+    /// Fraction of the slots and of the KV memory in use.
+    pub slot_usage: f64,
+    pub kv_usage: f64,
+    /// Prompt tokens still to be read or fetched.
+    pub pending_tokens: u64,
+    /// Moving average of the time to the end of a read or to the first token.
+    pub recent_latency: Micros,
 }
--- a/crates/standin/tests/model.rs
+++ b/crates/standin/tests/model.rs
@@ -1,13 +1,15 @@
-//! The engine model in simulated time.
+//! Tests of the engine model in simulated time.
 
-use elderstage_standin::model::{Ail, BLOCK_TOKENS, Engine, Job, JobId, Out, Role, Spec, Task, Why, blocks};
+use elderstage_standin::model::{
+    Ail, BLOCK_TOKENS, Engine, EngineEvent, Job, JobId, RejectReason, Role, Spec, Task, block_hashes,
+};
 
 const MS: u64 = 1_000;
 
-struct Bench {
+struct Simulation {
     engine: Engine,
     now: u64,
-    outs: Vec<(u64, Out)>,
+    events: Vec<(u64, EngineEvent)>,
 }
 
 fn spec(role: Role) -> Spec {
@@ -30,178 +32,206 @@
 
 fn job(id: u64, task: Task, prompt: u64, answer: u64) -> Job {
     let text: Vec<u8> = (0..prompt * 4).map(|n| (id * 7 + n / 64) as u8).collect();
-    Job { id: JobId(id), task, class: "ask".into(), blocks: blocks(&text), prompt, answer }
+    Job {
+        id: JobId(id),
+        task,
+        class: "ask".into(),
+        block_hashes: block_hashes(&text),
+        prompt_tokens: prompt,
+        answer_tokens: answer,
+    }
 }
 
-impl Bench {
-    fn new(spec: Spec, cold: bool) -> Bench {
-        Bench { engine: Engine::new(spec, 1, cold), now: 1, outs: Vec::new() }
+impl Simulation {
+    fn new(spec: Spec, cold: bool) -> Simulation {
+        Simulation { engine: Engine::new(spec, 1, cold), now: 1, events: Vec::new() }
     }
 
-    fn take(&mut self, outs: Vec<Out>) -> Vec<Out> {
-        self.outs.extend(outs.iter().cloned().map(|out| (self.now, out)));
-        outs
+    fn record(&mut self, events: Vec<EngineEvent>) -> Vec<EngineEvent> {
+        self.events.extend(events.iter().cloned().map(|event| (self.now, event)));
+        events
     }
 
-    fn start(&mut self, job: Job) -> Vec<Out> {
-        let mut outs = Vec::new();
-        self.engine.start(self.now, job, &mut outs);
-        self.take(outs)
+    fn start(&mut self, job: Job) -> Vec<EngineEvent> {
+        let mut events = Vec::new();
+        self.engine.submit(self.now, job, &mut events);
+        self.record(events)
     }
 
-    fn run(&mut self, span: u64) {
-        let end = self.now + span;
-        while let Some(at) = self.engine.next_wake().filter(|at| *at <= end) {
+    fn run(&mut self, duration: u64) {
+        let end = self.now + duration;
+        while let Some(at) = self.engine.next_step_end().filter(|at| *at <= end) {
             self.now = at;
-            let mut outs = Vec::new();
-            self.engine.wake(at, &mut outs);
-            self.take(outs);
+            let mut events = Vec::new();
+            self.engine.end_due_step(at, &mut events);
+            self.record(events);
         }
         self.now = end;
     }
 
-    fn when(&self, is: impl Fn(&Out) -> bool) -> Option<u64> {
-        self.outs.iter().find(|(_, out)| is(out)).map(|(at, _)| *at)
+    fn time_of(&self, predicate: impl Fn(&EngineEvent) -> bool) -> Option<u64> {
+        self.events.iter().find(|(_, event)| predicate(event)).map(|(at, _)| *at)
     }
 
     fn tokens(&self, id: u64) -> Vec<u64> {
-        let of = |(_, out): &(u64, Out)| match out {
-            Out::Token { id: of, index } if *of == JobId(id) => Some(*index),
+        let index_of = |(_, event): &(u64, EngineEvent)| match event {
+            EngineEvent::Token { id: found, index } if *found == JobId(id) => Some(*index),
             _ => None,
         };
-        self.outs.iter().filter_map(of).collect()
+        self.events.iter().filter_map(index_of).collect()
     }
 }
 
-fn read_done(id: u64) -> impl Fn(&Out) -> bool {
-    move |out| matches!(out, Out::ReadDone { id: of, .. } if *of == JobId(id))
+fn read_done(id: u64) -> impl Fn(&EngineEvent) -> bool {
+    move |event| matches!(event, EngineEvent::ReadDone { id: found, .. } if *found == JobId(id))
 }
 
 #[test]
-fn a_reader_reads_one_prompt_after_the_other_and_keeps_what_it_read() {
-    let mut bench = Bench::new(spec(Role::Prefill), false);
-    bench.start(job(1, Task::Read, 2_000, 0));
-    bench.start(job(2, Task::Read, 1_000, 0));
-    bench.run(1_000 * MS);
-    let (one, two) = (bench.when(read_done(1)).unwrap(), bench.when(read_done(2)).unwrap());
+fn a_reader_reads_prompts_in_order_and_holds_their_states() {
+    let mut sim = Simulation::new(spec(Role::Prefill), false);
+    sim.start(job(1, Task::Read, 2_000, 0));
+    sim.start(job(2, Task::Read, 1_000, 0));
+    sim.run(1_000 * MS);
+    let (one, two) = (sim.time_of(read_done(1)).unwrap(), sim.time_of(read_done(2)).unwrap());
     assert_eq!(((one - 1) / MS, (two - 1) / MS), (200, 300));
-    assert!(bench.engine.holds_state(JobId(1)) && (bench.engine.load().kv - 0.3).abs() < 1e-9);
-    assert!(bench.engine.let_go(JobId(1)) && !bench.engine.let_go(JobId(1)));
-    // The same prompt again is found, but for its last part of a block.
+    assert!(sim.engine.holds_state(JobId(1)) && (sim.engine.load().kv_usage - 0.3).abs() < 1e-9);
+    assert!(sim.engine.release_state(JobId(1)) && !sim.engine.release_state(JobId(1)));
+    // The same prompt sent again is found in the cache, except for the incomplete block at its end.
     let again = Job { id: JobId(3), ..job(1, Task::Read, 2_000, 0) };
-    bench.start(again);
-    bench.run(1_000 * MS);
-    let cached = bench.outs.iter().find_map(|(_, out)| match out {
-        Out::ReadDone { id: JobId(3), cached } => Some(*cached),
+    sim.start(again);
+    sim.run(1_000 * MS);
+    let cached = sim.events.iter().find_map(|(_, event)| match event {
+        EngineEvent::ReadDone { id: JobId(3), cached_tokens } => Some(*cached_tokens),
         _ => None,
     });
     assert_eq!(cached, Some(2_000 / BLOCK_TOKENS * BLOCK_TOKENS));
-    bench.engine.flush();
-    bench.start(Job { id: JobId(4), ..job(1, Task::Read, 2_000, 0) });
-    bench.run(1_000 * MS);
-    assert!(bench.outs.iter().any(|(_, out)| *out == Out::ReadDone { id: JobId(4), cached: 0 }));
+    sim.engine.clear_prefix_cache();
+    sim.start(Job { id: JobId(4), ..job(1, Task::Read, 2_000, 0) });
+    sim.run(1_000 * MS);
+    assert!(
+        sim.events
+            .iter()
+            .any(|(_, event)| *event == EngineEvent::ReadDone { id: JobId(4), cached_tokens: 0 })
+    );
 }
 
 #[test]
-fn a_writer_fetches_then_writes_each_token_once() {
-    let mut bench = Bench::new(spec(Role::Decode), false);
-    assert_eq!(bench.start(job(1, Task::Write, 500, 4)), [Out::Fetch { id: JobId(1) }]);
-    bench.run(50 * MS);
-    assert!(bench.tokens(1).is_empty(), "nothing is written before the state is there");
-    let mut outs = Vec::new();
-    bench.engine.fetched(bench.now, JobId(1), true, &mut outs);
-    bench.run(200 * MS);
-    assert_eq!(bench.tokens(1), [0, 1, 2, 3]);
-    assert!(bench.when(|out| matches!(out, Out::Done { .. })).is_some());
-    assert_eq!(bench.engine.load().kv, 0.0);
-    bench.start(job(2, Task::Write, 500, 4));
-    bench.engine.fetched(bench.now, JobId(2), false, &mut outs);
-    assert!(outs.contains(&Out::Rejected { id: JobId(2), why: Why::NoState }));
+fn a_writer_fetches_the_state_then_writes_each_token_once() {
+    let mut sim = Simulation::new(spec(Role::Decode), false);
+    assert_eq!(sim.start(job(1, Task::Write, 500, 4)), [EngineEvent::FetchState { id: JobId(1) }]);
+    sim.run(50 * MS);
+    assert!(sim.tokens(1).is_empty(), "tokens were written before the state arrived");
+    let mut events = Vec::new();
+    sim.engine.finish_state_fetch(sim.now, JobId(1), true, &mut events);
+    sim.run(200 * MS);
+    assert_eq!(sim.tokens(1), [0, 1, 2, 3]);
+    assert!(sim.time_of(|event| matches!(event, EngineEvent::AnswerDone { .. })).is_some());
+    assert_eq!(sim.engine.load().kv_usage, 0.0);
+    sim.start(job(2, Task::Write, 500, 4));
+    sim.engine.finish_state_fetch(sim.now, JobId(2), false, &mut events);
+    assert!(events.contains(&EngineEvent::Rejected { id: JobId(2), reason: RejectReason::NoState }));
 }
 
 #[test]
-fn what_does_not_fit_is_turned_away() {
-    let mut bench = Bench::new(spec(Role::Prefill), false);
-    assert_eq!(bench.start(job(1, Task::Whole, 10, 1)), [Out::Rejected { id: JobId(1), why: Why::Role }]);
-    assert_eq!(bench.start(job(2, Task::Read, 20_000, 0)), [Out::Rejected { id: JobId(2), why: Why::Full }]);
+fn requests_that_do_not_fit_are_rejected() {
+    let mut sim = Simulation::new(spec(Role::Prefill), false);
+    assert_eq!(
+        sim.start(job(1, Task::ReadAndWrite, 10, 1)),
+        [EngineEvent::Rejected { id: JobId(1), reason: RejectReason::WrongRole }]
+    );
+    assert_eq!(
+        sim.start(job(2, Task::Read, 20_000, 0)),
+        [EngineEvent::Rejected { id: JobId(2), reason: RejectReason::Full }]
+    );
     for id in 3..7 {
-        assert!(bench.start(job(id, Task::Read, 100, 0)).is_empty());
+        assert!(sim.start(job(id, Task::Read, 100, 0)).is_empty());
     }
-    assert_eq!(bench.start(job(7, Task::Read, 100, 0)), [Out::Rejected { id: JobId(7), why: Why::Full }]);
-    let load = bench.engine.load();
-    assert_eq!((load.running, load.waiting, load.pending), (2, 2, 400));
+    assert_eq!(
+        sim.start(job(7, Task::Read, 100, 0)),
+        [EngineEvent::Rejected { id: JobId(7), reason: RejectReason::Full }]
+    );
+    let load = sim.engine.load();
+    assert_eq!((load.running, load.waiting, load.pending_tokens), (2, 2, 400));
 }
 
 #[test]
-fn when_memory_runs_out_the_newest_answer_is_read_anew_and_repeats_nothing() {
-    let mut bench = Bench::new(Spec { kv_tokens: 1_030, ..spec(Role::Mixed) }, false);
-    bench.start(job(1, Task::Whole, 500, 40));
-    bench.run(60 * MS);
-    bench.start(job(2, Task::Whole, 500, 40));
-    bench.run(3_000 * MS);
+fn a_preempted_answer_is_read_again_and_repeats_no_token() {
+    let mut sim = Simulation::new(Spec { kv_tokens: 1_030, ..spec(Role::Mixed) }, false);
+    sim.start(job(1, Task::ReadAndWrite, 500, 40));
+    sim.run(60 * MS);
+    sim.start(job(2, Task::ReadAndWrite, 500, 40));
+    sim.run(3_000 * MS);
     for id in [1, 2] {
-        assert_eq!(bench.tokens(id), (0..40).collect::<Vec<u64>>(), "answer {id}");
+        assert_eq!(sim.tokens(id), (0..40).collect::<Vec<u64>>(), "answer {id}");
     }
-    let done =
-        |id| bench.when(move |out| matches!(out, Out::Done { id: of, .. } if *of == JobId(id))).unwrap();
-    assert!(done(2) > done(1) + 20 * 11 * MS, "the newest waited for memory");
+    let done = |id| {
+        sim.time_of(
+            move |event| matches!(event, EngineEvent::AnswerDone { id: found, .. } if *found == JobId(id)),
+        )
+        .unwrap()
+    };
+    assert!(done(2) > done(1) + 20 * 11 * MS, "the newest answer did not wait for memory");
 }
 
 #[test]
-fn ailments_hold_work_and_let_it_go_on() {
-    let mut bench = Bench::new(spec(Role::Mixed), false);
-    bench.engine.ail(bench.now, Some(Ail::Hang));
-    bench.start(job(1, Task::Whole, 100, 2));
-    bench.run(5_000 * MS);
-    assert!(bench.outs.is_empty());
-    bench.engine.ail(bench.now, Some(Ail::ClassUnanswered("ask".into())));
-    bench.start(Job { class: "order".into(), ..job(2, Task::Whole, 100, 2) });
-    bench.run(1_000 * MS);
-    assert_eq!((bench.tokens(1).len(), bench.tokens(2).len()), (0, 2));
-    bench.engine.ail(bench.now, Some(Ail::Slow(10.0)));
-    let begun = bench.now;
-    bench.run(5_000 * MS);
-    let first = bench.when(|out| matches!(out, Out::Token { id: JobId(1), index: 0 })).unwrap();
-    assert_eq!(bench.tokens(1).len(), 2);
-    assert!(first - begun > 150 * MS, "slowed");
+fn work_resumes_after_an_engine_fault_ends() {
+    let mut sim = Simulation::new(spec(Role::Mixed), false);
+    sim.engine.set_fault(sim.now, Some(Ail::Hang));
+    sim.start(job(1, Task::ReadAndWrite, 100, 2));
+    sim.run(5_000 * MS);
+    assert!(sim.events.is_empty());
+    sim.engine.set_fault(sim.now, Some(Ail::ClassUnanswered("ask".into())));
+    sim.start(Job { class: "order".into(), ..job(2, Task::ReadAndWrite, 100, 2) });
+    sim.run(1_000 * MS);
+    assert_eq!((sim.tokens(1).len(), sim.tokens(2).len()), (0, 2));
+    sim.engine.set_fault(sim.now, Some(Ail::Slow(10.0)));
+    let begun = sim.now;
+    sim.run(5_000 * MS);
+    let first = sim.time_of(|event| matches!(event, EngineEvent::Token { id: JobId(1), index: 0 })).unwrap();
+    assert_eq!(sim.tokens(1).len(), 2);
+    assert!(first - begun > 150 * MS, "the first token came after less than 150 ms, expected a slowdown");
 }
 
 #[test]
-fn a_cancelled_job_frees_its_place_and_memory() {
-    let mut bench = Bench::new(spec(Role::Mixed), false);
+fn a_cancelled_job_frees_its_slot_and_memory() {
+    let mut sim = Simulation::new(spec(Role::Mixed), false);
     for id in 1..4 {
-        bench.start(job(id, Task::Whole, 3_000, 50));
+        sim.start(job(id, Task::ReadAndWrite, 3_000, 50));
     }
-    let mut outs = Vec::new();
-    bench.engine.cancel(bench.now, JobId(1), &mut outs);
-    bench.engine.cancel(bench.now, JobId(9), &mut outs);
-    assert_eq!((bench.engine.load().running, bench.engine.load().waiting), (2, 0));
-    bench.run(10_000 * MS);
-    assert!(bench.tokens(1).is_empty() && bench.tokens(3).len() == 50);
-    assert_eq!(bench.engine.load().kv, 0.0);
+    let mut events = Vec::new();
+    sim.engine.cancel(sim.now, JobId(1), &mut events);
+    sim.engine.cancel(sim.now, JobId(9), &mut events);
+    assert_eq!((sim.engine.load().running, sim.engine.load().waiting), (2, 0));
+    sim.run(10_000 * MS);
+    assert!(sim.tokens(1).is_empty() && sim.tokens(3).len() == 50);
+    assert_eq!(sim.engine.load().kv_usage, 0.0);
 }
 
 #[test]
-fn a_cold_engine_is_slow_and_falls_over_when_it_is_sent_too_much() {
-    let mut warm = Bench::new(spec(Role::Prefill), false);
-    let mut cold = Bench::new(spec(Role::Prefill), true);
-    for bench in [&mut warm, &mut cold] {
-        bench.start(job(1, Task::Read, 1_000, 0));
-        bench.run(1_000 * MS);
+fn a_cold_engine_is_slow_and_crashes_under_too_much_work() {
+    let mut warm = Simulation::new(spec(Role::Prefill), false);
+    let mut cold = Simulation::new(spec(Role::Prefill), true);
+    for sim in [&mut warm, &mut cold] {
+        sim.start(job(1, Task::Read, 1_000, 0));
+        sim.run(1_000 * MS);
     }
-    let took = |bench: &Bench| bench.when(read_done(1)).unwrap() - 1;
+    let took = |sim: &Simulation| sim.time_of(read_done(1)).unwrap() - 1;
     assert_eq!((took(&warm) / MS, took(&cold) / MS), (100, 200));
-    // It can do about 0.55 of its work now: twice that is 1,100 ms of work in a second.
+    // The engine runs at about 0.55 of its full speed now. With `fall_multiple` 2 it bears 1,100 ms of work
+    // per second.
     for id in 2..12 {
-        assert!(!cold.start(job(id, Task::Read, 1_000, 0)).contains(&Out::FellOver), "job {id}");
+        assert!(!cold.start(job(id, Task::Read, 1_000, 0)).contains(&EngineEvent::Crashed), "job {id}");
     }
-    let mut fell = false;
+    let mut crashed = false;
     for id in 12..20 {
-        fell |= cold.start(job(id, Task::Read, 1_000, 0)).contains(&Out::FellOver);
+        crashed |= cold.start(job(id, Task::Read, 1_000, 0)).contains(&EngineEvent::Crashed);
     }
-    assert!(fell && cold.engine.is_down());
-    assert_eq!(cold.start(job(30, Task::Read, 10, 0)), [Out::Rejected { id: JobId(30), why: Why::Down }]);
+    assert!(crashed && cold.engine.is_down());
+    assert_eq!(
+        cold.start(job(30, Task::Read, 10, 0)),
+        [EngineEvent::Rejected { id: JobId(30), reason: RejectReason::Down }]
+    );
     for id in 2..40 {
-        assert!(!warm.start(job(id, Task::Read, 1_000, 0)).contains(&Out::FellOver));
+        assert!(!warm.start(job(id, Task::Read, 1_000, 0)).contains(&EngineEvent::Crashed));
     }
 }
