--- a/crates/standin/src/host/door.rs
+++ b/crates/standin/src/host/door.rs
@@ -1,4 +1,5 @@
-//! One place where an engine listens, and what may be wrong with it while the engine itself is well.
+//! A listen address of an engine and its faults. The engine itself works normally while an address has a
+//! fault.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -8,62 +9,70 @@
 
 use elderstage_net::{Listener, Place, Stop, go};
 
-use super::{Open, Shared, lock, serve};
+use super::{OpenConnection, Shared, lock, serve};
 
-/// Connections of our own that fill a backlog of one; the system takes one or two more than it says.
-const FILL: usize = 4;
-/// Wait for one of them; the ones after the backlog is full take this long.
-const FILL_TIME: Duration = Duration::from_millis(20);
+/// Number of connections that fill a backlog of one. The kernel queues one or two connections more than the
+/// requested backlog.
+const FILL_CONNECTIONS: usize = 4;
+/// Time that the kernel gets to queue these connections before the backlog counts as full.
+const FILL_WAIT: Duration = Duration::from_millis(20);
 
-/// What is wrong with an address.
+/// A fault of a listen address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DoorFault {
     #[default]
     None,
-    /// Nobody listens: connects are refused. For a Unix socket the file stays, as after a process's death.
+    /// Connects are refused because nothing listens. The file of a Unix socket remains, as after a crash.
     Refuses,
-    /// Connects are not answered: the backlog is full and nobody accepts.
+    /// Connects hang: the backlog is full and nothing accepts.
     Silent,
-    /// Connections are taken and nothing is read or said.
+    /// Connections are accepted; requests get no response.
     Stalls,
-    /// Connections are closed as soon as they are made.
+    /// Connections are closed right after they are accepted.
     Closes,
-    /// Connections are closed as soon as a request's head has come.
+    /// Connections are closed once the head of a request has arrived.
     ClosesOnRequest,
-    /// A request is read whole, and the head of an answer is all that comes.
+    /// The request is received completely; only the head of the response is sent.
     StallsAfterHead,
-    /// A stream stands still after its first tokens.
+    /// A stream stalls after its first tokens.
     StallsInBody,
-    /// The word to go on is given, and then nothing more.
+    /// `100 Continue` is sent, and nothing after it.
     StallsAfterContinue,
-    /// The word to go on comes late, by the first pause of a slow handshake.
+    /// A new connection is served late, so that the first `100 Continue` on it is delayed like by a slow
+    /// handshake.
     Slow,
-    /// A Unix socket's file is missing.
+    /// The file of a Unix socket is missing.
     Missing,
-    /// A Unix socket's file may not be used; without effect on a superuser.
+    /// The file of a Unix socket has no permissions; has no effect on root.
     Denied,
-    /// Requests that wait for the word to go on are answered 417.
+    /// Requests with an `Expect` header get status 417.
     Unexpected,
 }
 
-/// How long a slow door takes to say anything.
-pub(super) const SLOW: Duration = Duration::from_millis(120);
+/// Delay before a new connection is served under [`DoorFault::Slow`].
+pub(super) const SLOW_HANDSHAKE: Duration = Duration::from_millis(120);
 
-/// A listening place.
-pub(super) struct Door {
+/// A listen address, its fault and its listener.
+pub(super) struct ListenAddress {
     place: Place,
     fault: DoorFault,
-    /// Bound before the engine was there, so that its port is known.
-    bound: Option<Listener>,
-    listening: Option<Stop>,
-    /// Connections that fill a backlog, and the socket whose backlog it is.
-    full: Option<(socket2::Socket, Vec<socket2::Socket>)>,
+    /// A listener bound before the engine starts, so that its port is known.
+    prebound: Option<Listener>,
+    listener_stop: Option<Stop>,
+    /// The socket whose backlog is full, and the connections that fill it.
+    backlog_fill: Option<(socket2::Socket, Vec<socket2::Socket>)>,
 }
 
-impl Door {
-    pub fn new(bound: Listener) -> Door {
-        let place = bound.place().clone();
-        Door { place, fault: DoorFault::None, bound: Some(bound), listening: None, full: None }
+impl ListenAddress {
+    pub fn new(listener: Listener) -> ListenAddress {
+        let place = listener.place().clone();
+        ListenAddress {
+            place,
+            fault: DoorFault::None,
+            prebound: Some(listener),
+            listener_stop: None,
+            backlog_fill: None,
+        }
     }
 
     pub fn place(&self) -> &Place {
@@ -74,78 +83,78 @@
         self.fault
     }
 
-    /// Stops listening.
-    pub fn shut(&mut self) {
-        if let Some(stop) = self.listening.take() {
+    /// Stops listening and drops the connections that fill a backlog.
+    pub fn stop_listening(&mut self) {
+        if let Some(stop) = self.listener_stop.take() {
             stop.stop();
         }
-        self.full = None;
+        self.backlog_fill = None;
     }
 
-    /// Listens, as far as its fault lets it.
-    pub fn open(&mut self, shared: &Arc<Shared>, number: usize) -> std::io::Result<()> {
-        self.shut();
+    /// Starts listening as the current fault allows.
+    pub fn listen(&mut self, shared: &Arc<Shared>, index: usize) -> std::io::Result<()> {
+        self.stop_listening();
         match self.fault {
             DoorFault::Refuses => {
                 if let Place::Unix(path) = &self.place {
-                    stale(path)?;
+                    leave_stale_socket_file(path)?;
                 }
                 Ok(())
             }
             DoorFault::Missing => {
                 if let Place::Unix(path) = &self.place {
-                    remove(path)?;
+                    remove_socket_file(path)?;
                 }
                 Ok(())
             }
-            DoorFault::Silent => self.fill(),
+            DoorFault::Silent => self.fill_backlog(),
             _ => {
-                let listener = match self.bound.take() {
-                    Some(bound) => bound,
-                    None => listener(&self.place)?,
+                let listener = match self.prebound.take() {
+                    Some(listener) => listener,
+                    None => bind_listener(&self.place)?,
                 };
                 if let (DoorFault::Denied, Place::Unix(path)) = (self.fault, &self.place) {
                     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o000))?;
                 }
-                self.listening = Some(listener.stopper());
-                accept(shared, listener, number);
+                self.listener_stop = Some(listener.stopper());
+                spawn_accept_loop(shared, listener, index);
                 Ok(())
             }
         }
     }
 
-    /// From now on this is wrong with it. Connections that a fault holds are let go of by its end.
-    pub fn change(
+    /// Sets the fault. Connections that the previous fault holds are closed when it ends.
+    pub fn set_fault(
         &mut self,
         shared: &Arc<Shared>,
-        number: usize,
+        index: usize,
         fault: DoorFault,
-        running: bool,
+        is_running: bool,
     ) -> std::io::Result<()> {
         if self.fault == fault {
             return Ok(());
         }
         self.fault = fault;
-        self.bound = None;
-        // Idle connections end where nobody takes new ones; else they have the fault with their next request. What
-        // is being answered goes on: the engine is well.
+        self.prebound = None;
+        // Idle connections are closed if the fault also refuses new ones; otherwise the fault applies to
+        // their next request. Requests in progress continue, because the engine itself has no fault.
         if matches!(fault, DoorFault::Refuses | DoorFault::Missing | DoorFault::Closes) {
-            for open in lock(&shared.sockets).values() {
-                if open.door == number && !open.busy.load(Ordering::SeqCst) {
-                    open.socket.shut();
+            for connection in lock(&shared.connections).values() {
+                if connection.address_index == index && !connection.is_busy.load(Ordering::SeqCst) {
+                    connection.socket.shut();
                 }
             }
         }
-        if running { self.open(shared, number) } else { Ok(()) }
+        if is_running { self.listen(shared, index) } else { Ok(()) }
     }
 
-    /// A backlog that is full, with nobody who accepts.
-    fn fill(&mut self) -> std::io::Result<()> {
+    /// Listens with a full backlog and accepts nothing.
+    fn fill_backlog(&mut self) -> std::io::Result<()> {
         use socket2::{Domain, SockAddr, Socket, Type};
         let (domain, addr) = match &self.place {
             Place::Tcp(addr) => (Domain::for_address(*addr), SockAddr::from(*addr)),
             Place::Unix(path) => {
-                remove(path)?;
+                remove_socket_file(path)?;
                 (Domain::UNIX, SockAddr::unix(path)?)
             }
         };
@@ -153,74 +162,77 @@
         if domain != Domain::UNIX {
             socket.set_reuse_address(true)?;
         }
-        retry(|| socket.bind(&addr))?;
+        retry_while_in_use(|| socket.bind(&addr))?;
         socket.listen(0)?;
-        let mut held = Vec::new();
-        for _ in 0..FILL {
-            let one = Socket::new(domain, Type::STREAM, None)?;
-            one.set_nonblocking(true)?;
-            // That it cannot be made in time is what is wanted.
-            let _ = one.connect(&addr);
-            held.push(one);
+        let mut connections = Vec::new();
+        for _ in 0..FILL_CONNECTIONS {
+            let connection = Socket::new(domain, Type::STREAM, None)?;
+            connection.set_nonblocking(true)?;
+            // An error is ignored: once the backlog is full, the connect is meant not to complete.
+            let _ = connection.connect(&addr);
+            connections.push(connection);
         }
-        std::thread::sleep(FILL_TIME);
-        self.full = Some((socket, held));
+        std::thread::sleep(FILL_WAIT);
+        self.backlog_fill = Some((socket, connections));
         Ok(())
     }
 }
 
-/// The old listener closes when its coroutine has heard of it, a moment later.
-fn retry<T>(mut f: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
+/// Retries while the address is in use: the previous listener closes a moment after it is told to stop.
+fn retry_while_in_use<T>(mut operation: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
     for _ in 0..200 {
-        match f() {
+        match operation() {
             Err(error) if error.kind() == std::io::ErrorKind::AddrInUse => {
                 std::thread::sleep(Duration::from_millis(5));
             }
             other => return other,
         }
     }
-    f()
+    operation()
 }
 
-fn listener(place: &Place) -> std::io::Result<Listener> {
+/// Binds a listener, over the socket file of an earlier process if there is one.
+fn bind_listener(place: &Place) -> std::io::Result<Listener> {
     if let Place::Unix(path) = place {
-        // A process that starts removes what an earlier one left.
-        remove(path)?;
+        // A starting process removes the socket file that an earlier one left.
+        remove_socket_file(path)?;
     }
-    retry(|| Listener::at(place))
+    retry_while_in_use(|| Listener::at(place))
 }
 
-fn remove(path: &Path) -> std::io::Result<()> {
+fn remove_socket_file(path: &Path) -> std::io::Result<()> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
         _ => Ok(()),
     }
 }
 
-/// A file without a listener.
-fn stale(path: &Path) -> std::io::Result<()> {
-    remove(path)?;
+/// Leaves a socket file that nothing listens on.
+fn leave_stale_socket_file(path: &Path) -> std::io::Result<()> {
+    remove_socket_file(path)?;
     drop(std::os::unix::net::UnixListener::bind(path)?);
     Ok(())
 }
 
-fn accept(shared: &Arc<Shared>, listener: Listener, door: usize) {
+/// Accepts connections and serves each in its own coroutine.
+fn spawn_accept_loop(shared: &Arc<Shared>, listener: Listener, address_index: usize) {
     let shared = shared.clone();
     go(move || {
-        let accept = {
+        let on_connection = {
             let shared = shared.clone();
             move |conn: elderstage_net::Conn| {
-                let number = shared.next.fetch_add(1, Ordering::Relaxed);
-                let busy = Arc::new(AtomicBool::new(false));
-                let open = Open { door, socket: conn.socket(), busy: busy.clone() };
-                lock(&shared.sockets).insert(number, open);
+                let connection_id = shared.next_id.fetch_add(1, Ordering::Relaxed);
+                let is_busy = Arc::new(AtomicBool::new(false));
+                let open_connection =
+                    OpenConnection { address_index, socket: conn.socket(), is_busy: is_busy.clone() };
+                lock(&shared.connections).insert(connection_id, open_connection);
                 let shared = shared.clone();
                 go(move || {
-                    serve::connection(&shared, conn, door, &busy);
-                    lock(&shared.sockets).remove(&number);
+                    serve::serve_connection(&shared, conn, address_index, &is_busy);
+                    lock(&shared.connections).remove(&connection_id);
                 });
             }
         };
-        listener.serve(accept, |_| {});
+        listener.serve(on_connection, |_| {});
     });
 }
--- a/crates/standin/src/host/machine.rs
+++ b/crates/standin/src/host/machine.rs
@@ -1,4 +1,7 @@
-//! The model's owner: takes what connections ask, and tells each job's connection what becomes of it.
+//! Drives the engine model of one host: applies the commands of its connections to the model and forwards the
+//! model's events to the connection that waits for each job.
+//!
+//! It owns the model, so all changes to it happen on one thread. It does no socket I/O.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -8,253 +11,273 @@
 use crate::model::{Ail, Engine, EngineEvent, Job, JobId, Load, RejectReason, Task};
 use crate::traffic::{Log, Seen};
 
-/// A state that nobody takes or lets go of is dropped after this time, as when its front has died.
-const EXPIRES: Micros = 10_000_000;
-/// Requests that were given up before they came; remembered so that they are not begun.
-const ABORTED_MOST: usize = 4096;
+/// A held state that nobody takes or releases is dropped after this time, for example because its front died.
+const STATE_EXPIRY: Micros = 10_000_000;
+/// Limit on remembered requests that were aborted before they arrived. They are rejected on arrival.
+const MAX_ABORTED: usize = 4096;
 
-/// What becomes of a job.
+/// Progress of a job, sent to the connection that waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum News {
+pub(crate) enum JobUpdate {
     Rejected(RejectReason),
-    Fetch,
-    Read { cached_tokens: u64 },
+    FetchState,
+    ReadDone { cached_tokens: u64 },
     Token(u64),
-    Done { cached_tokens: u64 },
+    AnswerDone { cached_tokens: u64 },
 }
 
-pub(crate) enum Ask {
+/// What connections and control calls ask of the driver.
+pub(crate) enum Command {
+    /// Submit a job; its progress is sent to `updates`.
     Start {
         job: Job,
         rid: String,
-        news: Sender<News>,
+        updates: Sender<JobUpdate>,
     },
-    Fetched {
+    /// The state fetch of a job has ended.
+    StateFetched {
         id: JobId,
-        ok: bool,
+        is_available: bool,
     },
-    /// The connection has ended.
+    /// The connection that waited for the job has ended.
     Cancel {
         id: JobId,
     },
-    /// Let go of a state, read or still being read.
+    /// Release a held state, or cancel the read that would produce it.
     Release {
         rid: String,
-        done: Sender<bool>,
+        reply: Sender<bool>,
     },
-    /// A writer asks for a state: its tokens, if it is there.
+    /// A writer asks for a state. Replies with its size in tokens if it is held.
     Claim {
         rid: String,
-        done: Sender<Option<u64>>,
+        reply: Sender<Option<u64>>,
     },
-    /// The writer has it.
+    /// The writer has received the state.
     Taken {
         rid: String,
-        done: Sender<bool>,
+        reply: Sender<bool>,
     },
+    /// Replies with the load and whether the engine is down.
     Load {
-        done: Sender<(Load, bool)>,
+        reply: Sender<(Load, bool)>,
     },
-    Ail(Option<Ail>),
-    Flush,
+    SetFault(Option<Ail>),
+    ClearPrefixCache,
     Restart {
         cold: bool,
     },
     Stop,
 }
 
-struct Known {
+/// A job in the model and where its progress is sent.
+struct ActiveJob {
     rid: String,
-    news: Sender<News>,
+    updates: Sender<JobUpdate>,
 }
 
-pub(crate) struct Machine {
+/// Owner of the engine model, with the jobs and states by request id.
+pub(crate) struct EngineDriver {
     engine: Engine,
     name: String,
     log: Log,
-    jobs: HashMap<JobId, Known>,
-    /// Reads and waiting states, by request id.
-    reads: HashMap<String, (JobId, u64)>,
-    aborted: HashSet<String>,
+    jobs: HashMap<JobId, ActiveJob>,
+    /// Reads in progress and held states, with their prompt tokens, by request id.
+    reads_by_request: HashMap<String, (JobId, u64)>,
+    /// Requests that were aborted before they arrived, and the order in which they were aborted.
+    aborted_requests: HashSet<String>,
     aborted_order: VecDeque<String>,
-    /// States in the order in which they were read.
-    expiry: VecDeque<(Micros, String, JobId)>,
+    /// Expiry times of states, in the order in which the states were read.
+    state_expiries: VecDeque<(Micros, String, JobId)>,
 }
 
-impl Machine {
-    pub fn new(engine: Engine, name: String, log: Log) -> Machine {
-        Machine {
+impl EngineDriver {
+    pub fn new(engine: Engine, name: String, log: Log) -> EngineDriver {
+        EngineDriver {
             engine,
             name,
             log,
             jobs: HashMap::new(),
-            reads: HashMap::new(),
-            aborted: HashSet::new(),
+            reads_by_request: HashMap::new(),
+            aborted_requests: HashSet::new(),
             aborted_order: VecDeque::new(),
-            expiry: VecDeque::new(),
+            state_expiries: VecDeque::new(),
         }
     }
 
-    fn see(&self, what: Seen) {
-        self.log.see(&self.name, what);
+    fn log_event(&self, event: Seen) {
+        self.log.see(&self.name, event);
     }
 
-    fn expire(&mut self, now: Micros) {
-        while self.expiry.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, rid, id)) = self.expiry.pop_front() else { return };
+    /// Drops states whose expiry time has passed.
+    fn expire_states(&mut self, now: Micros) {
+        while self.state_expiries.front().is_some_and(|(expires_at, ..)| *expires_at <= now) {
+            let Some((_, rid, id)) = self.state_expiries.pop_front() else { return };
             if self.engine.release_state(id) {
-                self.reads.remove(&rid);
-                self.see(Seen::StateLost { rid });
+                self.reads_by_request.remove(&rid);
+                self.log_event(Seen::StateLost { rid });
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, outs: Vec<EngineEvent>) {
-        for out in outs {
-            match out {
-                EngineEvent::Rejected { id, reason } => self.last(id, News::Rejected(reason)),
-                EngineEvent::FetchState { id } => self.news(id, News::Fetch),
+    /// Logs the events of the model and forwards them to the connections of their jobs.
+    fn handle_engine_events(&mut self, now: Micros, events: Vec<EngineEvent>) {
+        for event in events {
+            match event {
+                EngineEvent::Rejected { id, reason } => {
+                    self.send_last_update(id, JobUpdate::Rejected(reason))
+                }
+                EngineEvent::FetchState { id } => self.send_update(id, JobUpdate::FetchState),
                 EngineEvent::ReadDone { id, cached_tokens } => {
                     if let Some(job) = self.jobs.get(&id) {
-                        self.see(Seen::StateHeld { rid: job.rid.clone() });
-                        self.expiry.push_back((now + EXPIRES, job.rid.clone(), id));
+                        self.log_event(Seen::StateHeld { rid: job.rid.clone() });
+                        self.state_expiries.push_back((now + STATE_EXPIRY, job.rid.clone(), id));
                     }
-                    self.last(id, News::Read { cached_tokens });
+                    self.send_last_update(id, JobUpdate::ReadDone { cached_tokens });
                 }
                 EngineEvent::Token { id, index } => {
                     if index == 0
                         && let Some(job) = self.jobs.get(&id)
                     {
-                        self.see(Seen::Ran { rid: job.rid.clone() });
+                        self.log_event(Seen::Ran { rid: job.rid.clone() });
                     }
-                    self.news(id, News::Token(index));
+                    self.send_update(id, JobUpdate::Token(index));
+                }
+                EngineEvent::AnswerDone { id, cached_tokens } => {
+                    self.send_last_update(id, JobUpdate::AnswerDone { cached_tokens })
                 }
-                EngineEvent::AnswerDone { id, cached_tokens } => self.last(id, News::Done { cached_tokens }),
                 EngineEvent::Crashed => {
-                    self.see(Seen::FellOver);
-                    self.lose_all();
+                    self.log_event(Seen::FellOver);
+                    self.discard_jobs_and_states();
                 }
             }
         }
     }
 
-    fn news(&self, id: JobId, news: News) {
+    fn send_update(&self, id: JobId, update: JobUpdate) {
         if let Some(job) = self.jobs.get(&id) {
-            // A connection that has just ended takes no more news; its cancel is on its way.
-            let _ = job.news.send(news);
+            // The send fails if the connection has just ended; its cancel command follows.
+            let _ = job.updates.send(update);
         }
     }
 
-    fn last(&mut self, id: JobId, news: News) {
-        self.news(id, news);
+    /// Sends the final update of a job and forgets it.
+    fn send_last_update(&mut self, id: JobId, update: JobUpdate) {
+        self.send_update(id, update);
         if let Some(job) = self.jobs.remove(&id)
-            && !matches!(news, News::Read { .. })
+            && !matches!(update, JobUpdate::ReadDone { .. })
         {
-            self.reads.remove(&job.rid);
+            self.reads_by_request.remove(&job.rid);
         }
     }
 
-    /// All jobs and states are gone; connections hear it by the end of their news.
-    fn lose_all(&mut self) {
+    /// Discards all jobs and states. Connections notice because their channel of updates closes.
+    fn discard_jobs_and_states(&mut self) {
         self.jobs.clear();
-        for (rid, (id, _)) in self.reads.drain() {
+        for (rid, (id, _)) in self.reads_by_request.drain() {
             if self.engine.holds_state(id) {
                 self.log.see(&self.name, Seen::StateLost { rid });
             }
         }
     }
 
-    fn release(&mut self, now: Micros, rid: &str) -> bool {
-        let Some((id, _)) = self.reads.remove(rid) else {
-            // It may be on its way here still.
-            if self.aborted.insert(rid.to_owned()) {
+    /// Releases the state of a request or cancels its read. Returns whether either existed.
+    fn release_request(&mut self, now: Micros, rid: &str) -> bool {
+        let Some((id, _)) = self.reads_by_request.remove(rid) else {
+            // The request may still arrive.
+            if self.aborted_requests.insert(rid.to_owned()) {
                 self.aborted_order.push_back(rid.to_owned());
             }
-            if self.aborted_order.len() > ABORTED_MOST
-                && let Some(old) = self.aborted_order.pop_front()
+            if self.aborted_order.len() > MAX_ABORTED
+                && let Some(oldest) = self.aborted_order.pop_front()
             {
-                self.aborted.remove(&old);
+                self.aborted_requests.remove(&oldest);
             }
             return false;
         };
         if self.engine.release_state(id) {
-            self.see(Seen::StateReleased { rid: rid.to_owned() });
+            self.log_event(Seen::StateReleased { rid: rid.to_owned() });
         } else {
-            self.cancel(now, id);
+            self.cancel_job(now, id);
         }
         true
     }
 
-    fn cancel(&mut self, now: Micros, id: JobId) {
-        // The answer of a read may have been lost with its connection: the state stays until it is let go of.
+    /// Cancels a job that is not finished.
+    fn cancel_job(&mut self, now: Micros, id: JobId) {
+        // A finished read is no longer in `jobs`: its response may have been lost with the connection, so the
+        // state stays until it is released.
         if let Some(job) = self.jobs.remove(&id) {
-            self.reads.remove(&job.rid);
-            let mut outs = Vec::new();
-            self.engine.cancel(now, id, &mut outs);
-            self.tell(now, outs);
+            self.reads_by_request.remove(&job.rid);
+            let mut events = Vec::new();
+            self.engine.cancel(now, id, &mut events);
+            self.handle_engine_events(now, events);
         }
     }
 }
 
-impl owner::Machine for Machine {
-    type Event = Ask;
+impl owner::Machine for EngineDriver {
+    type Event = Command;
 
-    fn handle(&mut self, now: Micros, event: Ask) -> bool {
-        self.expire(now);
-        let mut outs = Vec::new();
-        match event {
-            Ask::Start { job, rid, news } => {
+    fn handle(&mut self, now: Micros, command: Command) -> bool {
+        self.expire_states(now);
+        let mut events = Vec::new();
+        match command {
+            Command::Start { job, rid, updates } => {
                 if job.task == Task::Read {
-                    if self.aborted.contains(&rid) {
-                        let _ = news.send(News::Rejected(RejectReason::Full));
+                    if self.aborted_requests.contains(&rid) {
+                        let _ = updates.send(JobUpdate::Rejected(RejectReason::Full));
                         return true;
                     }
-                    self.reads.insert(rid.clone(), (job.id, job.prompt_tokens));
+                    self.reads_by_request.insert(rid.clone(), (job.id, job.prompt_tokens));
                 }
-                self.jobs.insert(job.id, Known { rid, news });
-                self.engine.submit(now, job, &mut outs);
+                self.jobs.insert(job.id, ActiveJob { rid, updates });
+                self.engine.submit(now, job, &mut events);
+            }
+            Command::StateFetched { id, is_available } => {
+                self.engine.finish_state_fetch(now, id, is_available, &mut events)
             }
-            Ask::Fetched { id, ok } => self.engine.finish_state_fetch(now, id, ok, &mut outs),
-            Ask::Cancel { id } => self.cancel(now, id),
-            Ask::Release { rid, done } => {
-                let _ = done.send(self.release(now, &rid));
+            Command::Cancel { id } => self.cancel_job(now, id),
+            Command::Release { rid, reply } => {
+                let _ = reply.send(self.release_request(now, &rid));
             }
-            Ask::Claim { rid, done } => {
-                let state = self.reads.get(&rid).filter(|(id, _)| self.engine.holds_state(*id));
-                let _ = done.send(state.map(|(_, tokens)| *tokens));
+            Command::Claim { rid, reply } => {
+                let state = self.reads_by_request.get(&rid).filter(|(id, _)| self.engine.holds_state(*id));
+                let _ = reply.send(state.map(|(_, tokens)| *tokens));
             }
-            Ask::Taken { rid, done } => {
-                let taken = self.reads.get(&rid).is_some_and(|(id, _)| self.engine.release_state(*id));
-                if taken {
-                    self.reads.remove(&rid);
-                    self.see(Seen::StateTaken { rid });
+            Command::Taken { rid, reply } => {
+                let is_taken =
+                    self.reads_by_request.get(&rid).is_some_and(|(id, _)| self.engine.release_state(*id));
+                if is_taken {
+                    self.reads_by_request.remove(&rid);
+                    self.log_event(Seen::StateTaken { rid });
                 }
-                let _ = done.send(taken);
+                let _ = reply.send(is_taken);
             }
-            Ask::Load { done } => {
-                let _ = done.send((self.engine.load(), self.engine.is_down()));
+            Command::Load { reply } => {
+                let _ = reply.send((self.engine.load(), self.engine.is_down()));
             }
-            Ask::Ail(ail) => self.engine.set_fault(now, ail),
-            Ask::Flush => self.engine.clear_prefix_cache(),
-            Ask::Restart { cold } => {
-                self.lose_all();
+            Command::SetFault(fault) => self.engine.set_fault(now, fault),
+            Command::ClearPrefixCache => self.engine.clear_prefix_cache(),
+            Command::Restart { cold } => {
+                self.discard_jobs_and_states();
                 self.engine = Engine::new(self.engine.spec().clone(), now, cold);
             }
-            Ask::Stop => return false,
+            Command::Stop => return false,
         }
-        self.tell(now, outs);
+        self.handle_engine_events(now, events);
         true
     }
 
     fn next_timer(&self) -> Option<Micros> {
-        let expiry = self.expiry.front().map(|(at, ..)| *at);
-        self.engine.next_step_end().into_iter().chain(expiry).min()
+        let next_expiry = self.state_expiries.front().map(|(expires_at, ..)| *expires_at);
+        self.engine.next_step_end().into_iter().chain(next_expiry).min()
     }
 
     fn wake(&mut self, now: Micros) {
-        self.expire(now);
-        let mut outs = Vec::new();
-        self.engine.end_due_step(now, &mut outs);
-        self.tell(now, outs);
+        self.expire_states(now);
+        let mut events = Vec::new();
+        self.engine.end_due_step(now, &mut events);
+        self.handle_engine_events(now, events);
     }
 }
--- a/crates/standin/src/host/mod.rs
+++ b/crates/standin/src/host/mod.rs
@@ -1,4 +1,7 @@
-//! An engine on a socket: the model in a thread of its own, and a coroutine for each connection.
+//! An engine that serves the engines' HTTP API on sockets. The model runs on its own thread; each connection
+//! is served by a coroutine that talks to the model through commands.
+//!
+//! Socket faults are injected here; faults in the engine's work belong to [`crate::model`].
 
 mod door;
 mod machine;
@@ -16,108 +19,112 @@
 
 use crate::model::{Ail, Engine, Spec};
 use crate::traffic::{Log, Seen, unix_us};
-use door::Door;
 pub use door::DoorFault;
-use machine::{Ask, Machine};
+use door::ListenAddress;
+use machine::{Command, EngineDriver};
 
-/// Events that wait for the model at most.
-const QUEUE: usize = 65_536;
+/// Capacity of the queue of commands to the model's thread.
+const MAX_QUEUED_COMMANDS: usize = 65_536;
 
-/// What an engine is and where it stands.
+/// The identity, capacity and location of an engine.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub name: String,
     pub spec: Spec,
-    /// Port 0 asks the system for one; it is kept over restarts.
+    /// Port 0 lets the operating system choose a port; the port stays the same across restarts.
     pub listen: SocketAddr,
-    /// Further places to listen at.
+    /// Additional addresses to listen on.
     pub also: Vec<Place>,
     pub zone: String,
     pub cell: u32,
-    /// Tokens of state a second: to a writer of the same cell, of another cell, of another zone.
+    /// Transfer rate of KV states in tokens per second: within the cell, between cells, between zones.
     pub links: [f64; 3],
 }
 
-/// What is wrong with the sockets of an engine, beside what ails its model.
+/// Faults of the sockets of an engine, independent of the fault of its model.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Every request is turned away as too many.
+    /// Every completion request is rejected with 429.
     pub full: bool,
-    /// Connections are closed as soon as they are made, as by a full table.
+    /// Connections are closed right after they are accepted, as if the connection table were full.
     pub table_full: bool,
-    /// Load reports stay as they were.
+    /// Load reports do not change.
     pub frozen: bool,
-    /// Time that a new connection waits before it is served.
+    /// Delay before a new connection is served.
     pub handshake: Duration,
-    /// Peers of these zones are not answered.
+    /// Requests from fronts in these zones get no response.
     pub cut: Vec<String>,
-    /// So many of the next streams break after so many tokens.
+    /// Number of next streams that break, and the number of tokens after which each breaks.
     pub break_next: u32,
     pub break_after: u64,
-    /// Links run so many times slower; 0 stands for 1.
+    /// KV state transfers are slower by this factor; a value below 1 counts as 1.
     pub slow_links: f64,
 }
 
-/// A control call.
+/// A change of the state or faults of a running host.
 #[derive(Clone, Debug)]
 pub enum Control {
+    /// Sets or ends the fault of the engine model.
     Ail(Option<Ail>),
+    /// Empties the prefix cache.
     Flush,
-    /// The process dies: its connections, states and kept texts are gone.
+    /// The process dies: its connections, held states and prefix cache are lost.
     Kill,
-    /// The process starts, if it is not running.
-    Start {
-        cold: bool,
-    },
+    /// The process starts if it is not running.
+    Start { cold: bool },
+    /// Replaces the socket faults.
     Faults(Faults),
-    /// What is wrong with one of the places where it listens, by its number in the order of [`Host::places`].
+    /// Sets the fault of one listen address, by its index in [`Host::places`].
     Door(usize, DoorFault),
 }
 
-/// An open connection: the number of its door, and whether a request is being answered on it.
-pub(crate) struct Open {
-    door: usize,
+/// An open connection: the index of its listen address, and whether a request is in progress on it.
+pub(crate) struct OpenConnection {
+    address_index: usize,
     socket: Socket,
-    busy: Arc<AtomicBool>,
+    is_busy: Arc<AtomicBool>,
 }
 
+/// State shared by the connections of a host and its control calls.
 pub(crate) struct Shared {
     options: Options,
     addr: SocketAddr,
     log: Log,
     faults: Mutex<Faults>,
-    inbox: Inbox<Ask>,
-    sockets: Mutex<HashMap<u64, Open>>,
-    next: AtomicU64,
-    doors: Vec<Mutex<Door>>,
-    running: Mutex<bool>,
-    /// The last report, for those that are frozen, and when the process started, in seconds of Unix time.
-    report: Mutex<orca::Report>,
-    started: Mutex<f64>,
+    inbox: Inbox<Command>,
+    connections: Mutex<HashMap<u64, OpenConnection>>,
+    next_id: AtomicU64,
+    addresses: Vec<Mutex<ListenAddress>>,
+    is_running: Mutex<bool>,
+    /// The last load report, repeated while reports are frozen, and the start of the process in seconds of
+    /// Unix time.
+    last_report: Mutex<orca::Report>,
+    started_at: Mutex<f64>,
 }
 
-/// Locks are held for a few instructions, never over I/O; one that panicked left whole data behind.
+/// Locks a mutex and ignores poisoning. Locks are held for a few instructions and never during I/O, and no
+/// update leaves the data inconsistent if its thread panics.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A running engine.
+/// A running engine host.
 pub struct Host {
     shared: Arc<Shared>,
 }
 
 impl Host {
-    /// Starts an engine on its socket.
+    /// Starts an engine and listens on all its addresses.
     pub fn start(options: Options, cold: bool, log: Log) -> std::io::Result<Host> {
-        let mut doors = Vec::new();
+        let mut addresses = Vec::new();
         for place in [Place::Tcp(options.listen)].iter().chain(&options.also) {
-            doors.push(Mutex::new(Door::new(Listener::at(place)?)));
+            addresses.push(Mutex::new(ListenAddress::new(Listener::at(place)?)));
         }
-        let addr = match lock(&doors[0]).place() {
+        let addr = match lock(&addresses[0]).place() {
             Place::Tcp(addr) => *addr,
             Place::Unix(_) => options.listen,
         };
-        let (inbox, events) = owner::queue(QUEUE);
+        let (inbox, commands) = owner::queue(MAX_QUEUED_COMMANDS);
         let clock = Clock::new(1);
         let engine = Engine::new(options.spec.clone(), clock.now(), cold);
         let shared = Arc::new(Shared {
@@ -125,117 +132,122 @@
             log,
             faults: Mutex::default(),
             inbox: inbox.clone(),
-            sockets: Mutex::default(),
-            next: AtomicU64::new(1),
-            doors,
-            running: Mutex::new(false),
-            report: Mutex::default(),
-            started: Mutex::new(started(cold)),
+            connections: Mutex::default(),
+            next_id: AtomicU64::new(1),
+            addresses,
+            is_running: Mutex::new(false),
+            last_report: Mutex::default(),
+            started_at: Mutex::new(start_time(cold)),
             options,
         });
-        let machine = Machine::new(engine, shared.options.name.clone(), shared.log.clone());
-        owner::run(&format!("engine-{}", shared.options.name), clock, events, machine)?;
-        shared.log_up(cold);
-        listen(&shared)?;
+        let driver = EngineDriver::new(engine, shared.options.name.clone(), shared.log.clone());
+        owner::run(&format!("engine-{}", shared.options.name), clock, commands, driver)?;
+        shared.log_start(cold);
+        start_listening(&shared)?;
         Ok(Host { shared })
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
-        lock(&self.shared.sockets).len()
+        lock(&self.shared.connections).len()
     }
 
-    /// Where it listens.
+    /// The listen addresses; the TCP address of `Options::listen` comes first.
     pub fn places(&self) -> Vec<Place> {
-        self.shared.doors.iter().map(|door| lock(door).place().clone()).collect()
+        self.shared.addresses.iter().map(|address| lock(address).place().clone()).collect()
     }
 
+    /// The main TCP address, with the chosen port.
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
+    /// The options that the host was started with.
     pub fn options(&self) -> &Options {
         &self.shared.options
     }
 
-    /// Unix time of the process's start in seconds, 0 for long ago.
+    /// Start of the process in seconds of Unix time; 0 if it was started warm.
     pub fn started(&self) -> f64 {
-        *lock(&self.shared.started)
+        *lock(&self.shared.started_at)
     }
 
+    /// The current socket faults.
     pub fn faults(&self) -> Faults {
         lock(&self.shared.faults).clone()
     }
 
-    /// Carries a control call out.
+    /// Applies a control call.
     pub fn control(&self, control: Control) -> std::io::Result<()> {
         let shared = &self.shared;
         match control {
-            Control::Ail(ail) => {
-                shared.inbox.send(Ask::Ail(ail));
+            Control::Ail(fault) => {
+                shared.inbox.send(Command::SetFault(fault));
             }
             Control::Flush => {
-                shared.inbox.send(Ask::Flush);
+                shared.inbox.send(Command::ClearPrefixCache);
             }
             Control::Faults(faults) => *lock(&shared.faults) = faults,
-            Control::Door(number, fault) => {
-                let running = *lock(&shared.running);
-                if let Some(door) = shared.doors.get(number) {
-                    lock(door).change(shared, number, fault, running)?;
+            Control::Door(index, fault) => {
+                let is_running = *lock(&shared.is_running);
+                if let Some(address) = shared.addresses.get(index) {
+                    lock(address).set_fault(shared, index, fault, is_running)?;
                 }
             }
             Control::Kill => {
-                if std::mem::take(&mut *lock(&shared.running)) {
-                    shared.doors.iter().for_each(|door| lock(door).shut());
-                    shared.inbox.send(Ask::Restart { cold: true });
-                    for socket in lock(&shared.sockets).drain() {
-                        socket.1.socket.shut();
+                if std::mem::take(&mut *lock(&shared.is_running)) {
+                    shared.addresses.iter().for_each(|address| lock(address).stop_listening());
+                    shared.inbox.send(Command::Restart { cold: true });
+                    for connection in lock(&shared.connections).drain() {
+                        connection.1.socket.shut();
                     }
                     shared.log.see(&shared.options.name, Seen::Down);
                 }
             }
             Control::Start { cold } => {
-                if !*lock(&shared.running) {
-                    shared.inbox.send(Ask::Restart { cold });
-                    *lock(&shared.started) = started(cold);
-                    shared.log_up(cold);
-                    listen(shared)?;
+                if !*lock(&shared.is_running) {
+                    shared.inbox.send(Command::Restart { cold });
+                    *lock(&shared.started_at) = start_time(cold);
+                    shared.log_start(cold);
+                    start_listening(shared)?;
                 }
             }
         }
         Ok(())
     }
 
-    /// Ends the engine for good.
+    /// Stops the engine permanently.
     pub fn stop(&self) {
-        // Killing what does not listen is no error.
+        // Killing a host that does not listen is not an error.
         let _ = self.control(Control::Kill);
-        self.shared.inbox.send(Ask::Stop);
+        self.shared.inbox.send(Command::Stop);
     }
 }
 
-fn started(cold: bool) -> f64 {
+/// Start time to report: now for a cold start, 0 for an engine that is treated as having run for long.
+fn start_time(cold: bool) -> f64 {
     if cold { unix_us() as f64 / 1e6 } else { 0.0 }
 }
 
 impl Shared {
-    fn log_up(&self, cold: bool) {
+    fn log_start(&self, cold: bool) {
         let spec = &self.options.spec;
-        let up = Seen::Up {
+        let start = Seen::Up {
             cold,
             cold_from: spec.cold_from,
             cold_for: spec.cold_for,
             fall_multiple: spec.fall_multiple,
             tip_after: spec.tip_after,
         };
-        self.log.see(&self.options.name, up);
+        self.log.see(&self.options.name, start);
     }
 }
 
-fn listen(shared: &Arc<Shared>) -> std::io::Result<()> {
-    *lock(&shared.running) = true;
-    for (number, door) in shared.doors.iter().enumerate() {
-        lock(door).open(shared, number)?;
+/// Listens on all addresses as their faults allow.
+fn start_listening(shared: &Arc<Shared>) -> std::io::Result<()> {
+    *lock(&shared.is_running) = true;
+    for (index, address) in shared.addresses.iter().enumerate() {
+        lock(address).listen(shared, index)?;
     }
     Ok(())
 }
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -1,4 +1,8 @@
-//! One connection to an engine: its requests in their order.
+//! Serves one connection to an engine: receives its requests in order and sends the responses.
+//!
+//! "Read" and "write" alone mean the reading of prompts and the writing of answers. Reading from and writing
+//! to the socket is called receiving and sending here. No more than one request is in progress on a
+//! connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,48 +14,55 @@
 use elderstage_protocol::{engine, http, orca, sse};
 use serde_json::{Value, json};
 
-use super::door::{DoorFault, SLOW};
-use super::machine::{Ask, News};
+use super::door::{DoorFault, SLOW_HANDSHAKE};
+use super::machine::{Command, JobUpdate};
 use super::{Faults, Shared, lock};
 use crate::model::{Job, JobId, Load, RejectReason, Task, block_hashes};
 use crate::script;
 use crate::traffic::Seen;
 
-/// A connection without a request is closed after this time.
-const IDLE: Duration = Duration::from_secs(120);
-/// How often a waiting connection looks whether its peer is still there.
-const LOOK: Duration = Duration::from_millis(100);
-/// How often a connection that is held by a fault looks whether that is over.
-const HOLD: Duration = Duration::from_millis(20);
-/// Tokens of a stream before it stands still by a fault.
-const STALL_AFTER: u64 = 2;
-/// Longest wait for another engine's answer about a state.
-const CLAIM: Duration = Duration::from_secs(5);
-/// A front that takes no bytes for so long has left.
-const STALL: Duration = Duration::from_secs(30);
-/// Path by which engines hand states to each other; the front never uses it.
+/// A connection that sends no request for this time is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// How often a connection that waits for the model checks whether its peer is still connected.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a connection that a fault holds checks whether the fault has ended.
+const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Tokens sent before a stream stalls under [`DoorFault::StallsInBody`].
+const TOKENS_BEFORE_STALL: u64 = 2;
+/// Timeout of a request to another engine about a KV state.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// A front that accepts no bytes for this time counts as disconnected.
+const SOCKET_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Paths by which a writer fetches a state from a reader; fronts never use them.
 const CLAIM_PATH: &str = "/internal/kv/claim";
 const TAKEN_PATH: &str = "/internal/kv/taken";
 
-/// A request's way to its end: the connection can go on, or is over.
-enum Next {
-    Go,
+/// Whether the connection stays open after a request.
+enum AfterRequest {
+    KeepOpen,
     Close,
 }
 
-/// Reads nothing and says nothing until the peer leaves or the door's fault is over.
-fn hold(shared: &Shared, conn: &Conn, door: usize, fault: DoorFault) {
-    while !conn.is_closed() && lock(&shared.doors[door]).fault() == fault {
-        sleep(HOLD);
+/// Receives and sends nothing until the peer closes or the fault of the listen address ends, then closes the
+/// connection.
+fn hold_until_fault_ends(shared: &Shared, conn: &Conn, address_index: usize, fault: DoorFault) {
+    while !conn.is_closed() && lock(&shared.addresses[address_index]).fault() == fault {
+        sleep(FAULT_CHECK_INTERVAL);
     }
     conn.socket().shut();
 }
 
-pub(crate) fn connection(shared: &Arc<Shared>, mut conn: Conn, door: usize, busy: &AtomicBool) {
-    let fault = lock(&shared.doors[door]).fault();
+/// Serves a connection until it is closed, with the faults of its listen address and of the host.
+pub(crate) fn serve_connection(
+    shared: &Arc<Shared>,
+    mut conn: Conn,
+    address_index: usize,
+    is_busy: &AtomicBool,
+) {
+    let fault = lock(&shared.addresses[address_index]).fault();
     match fault {
         DoorFault::Closes => return conn.socket().shut(),
-        DoorFault::Slow => sleep(SLOW),
+        DoorFault::Slow => sleep(SLOW_HANDSHAKE),
         _ => {}
     }
     let faults = lock(&shared.faults).clone();
@@ -62,13 +73,13 @@
     if !faults.handshake.is_zero() {
         sleep(faults.handshake);
     }
-    conn.set_write_timeout(Some(STALL));
+    conn.set_write_timeout(Some(SOCKET_WRITE_TIMEOUT));
     loop {
-        conn.set_read_timeout(Some(IDLE));
+        conn.set_read_timeout(Some(IDLE_TIMEOUT));
         let head = match conn.request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => {
-                let _ = answer(
+                let _ = send_response(
                     &mut conn,
                     error.status(),
                     &[],
@@ -78,21 +89,21 @@
             }
             Err(_) => return,
         };
-        let fault = lock(&shared.doors[door]).fault();
-        let waits = head.headers.get("expect").is_some();
+        let fault = lock(&shared.addresses[address_index]).fault();
+        let expects_continue = head.headers.get("expect").is_some();
         match fault {
-            DoorFault::Unexpected if waits => {
-                if answer(&mut conn, 417, &[], b"").is_err() {
+            DoorFault::Unexpected if expects_continue => {
+                if send_response(&mut conn, 417, &[], b"").is_err() {
                     return;
                 }
                 continue;
             }
             DoorFault::Stalls | DoorFault::Silent => {
-                // A body that was sent is noted as received: the rules judge what was sent.
-                let sent = head.target == engine::COMPLETIONS && !waits;
-                let body = if sent { conn.body(head.framing).ok() } else { None };
-                let rid = body.map(|body| shared.see_order(&head, &body));
-                hold(shared, &conn, door, fault);
+                // A request whose body was sent is logged as received, because the rules check what was sent.
+                let is_body_sent = head.target == engine::COMPLETIONS && !expects_continue;
+                let body = if is_body_sent { conn.body(head.framing).ok() } else { None };
+                let rid = body.map(|body| shared.log_request(&head, &body));
+                hold_until_fault_ends(shared, &conn, address_index, fault);
                 if let Some(rid) = rid {
                     shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
                 }
@@ -105,31 +116,35 @@
             return;
         }
         let Ok(body) = conn.body(head.framing) else { return };
-        let completes = head.target == engine::COMPLETIONS;
-        if fault == DoorFault::StallsAfterContinue && completes {
-            // Noted as received: the body was sent, and the rules judge what was sent.
-            let rid = shared.see_order(&head, &body);
-            hold(shared, &conn, door, fault);
+        let is_completion = head.target == engine::COMPLETIONS;
+        if fault == DoorFault::StallsAfterContinue && is_completion {
+            // Logged as received: the body was sent, and the rules check what was sent.
+            let rid = shared.log_request(&head, &body);
+            hold_until_fault_ends(shared, &conn, address_index, fault);
             shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
             return;
         }
-        if fault == DoorFault::StallsAfterHead && completes {
-            let rid = shared.see_order(&head, &body);
+        if fault == DoorFault::StallsAfterHead && is_completion {
+            let rid = shared.log_request(&head, &body);
             let mut out = Vec::new();
             http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
             let _ = conn.write(&out);
-            hold(shared, &conn, door, fault);
+            hold_until_fault_ends(shared, &conn, address_index, fault);
             shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
             return;
         }
-        let keep = head.keep_alive;
-        let broken = fault == DoorFault::StallsInBody && completes;
-        let request = Request { head: &head, body: &body, stalls: broken.then_some(door) };
-        busy.store(true, Ordering::SeqCst);
-        let done = request_on(shared, &mut conn, &request);
-        busy.store(false, Ordering::SeqCst);
-        match done {
-            Ok(Next::Go) if keep => {}
+        let keep_alive = head.keep_alive;
+        let stalls_in_body = fault == DoorFault::StallsInBody && is_completion;
+        let request = EngineRequest {
+            head: &head,
+            body: &body,
+            stall_address: stalls_in_body.then_some(address_index),
+        };
+        is_busy.store(true, Ordering::SeqCst);
+        let outcome = serve_request(shared, &mut conn, &request);
+        is_busy.store(false, Ordering::SeqCst);
+        match outcome {
+            Ok(AfterRequest::KeepOpen) if keep_alive => {}
             _ => {
                 conn.socket().shut();
                 return;
@@ -138,14 +153,19 @@
     }
 }
 
-fn answer(conn: &mut Conn, status: u16, headers: &[(&str, &str)], body: &[u8]) -> Result<(), NetError> {
+fn send_response(
+    conn: &mut Conn,
+    status: u16,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> Result<(), NetError> {
     let mut out = Vec::with_capacity(256 + body.len());
     http::write_response(status, headers, body, true, &mut out);
     conn.write(&out)
 }
 
-/// Name and zone of the front that asks, from `Via: 1.1 name (zone)`.
-fn via(head: &http::Request) -> (String, String) {
+/// Returns the name and zone of the requesting front, from `Via: 1.1 name (zone)`.
+fn parse_via(head: &http::Request) -> (String, String) {
     let via = head.headers.get("via").unwrap_or_default();
     let mut words = via.split_whitespace().skip(1);
     let name = words.next().unwrap_or("?").to_owned();
@@ -153,143 +173,163 @@
     (name, zone)
 }
 
-/// One request, and whether its stream is to stand still, by the door that it came in by.
-struct Request<'a> {
+/// A received request. `stall_address` is set if its stream is to stall: the index of the listen address with
+/// that fault.
+struct EngineRequest<'a> {
     head: &'a http::Request,
     body: &'a [u8],
-    stalls: Option<usize>,
+    stall_address: Option<usize>,
 }
 
-fn request_on(shared: &Arc<Shared>, conn: &mut Conn, request: &Request<'_>) -> Result<Next, NetError> {
-    let Request { head, body, .. } = *request;
+/// Serves one request.
+fn serve_request(
+    shared: &Arc<Shared>,
+    conn: &mut Conn,
+    request: &EngineRequest<'_>,
+) -> Result<AfterRequest, NetError> {
+    let EngineRequest { head, body, .. } = *request;
     let faults = lock(&shared.faults).clone();
-    let (front, zone) = via(head);
+    let (front, zone) = parse_via(head);
     if faults.cut.contains(&zone) {
-        // Nothing passes between the zones: the peer hears nothing and gives up by itself. What it sent is
-        // noted all the same, since the rules judge what was sent.
+        // The zones are partitioned: the peer gets no response and gives up by itself. Its request is logged
+        // nevertheless, because the rules check what was sent.
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
         match head.target.as_str() {
-            engine::COMPLETIONS => drop(shared.see_order(head, body)),
-            engine::ABORT => shared.see_release(body),
+            engine::COMPLETIONS => drop(shared.log_request(head, body)),
+            engine::ABORT => shared.log_release(body),
             _ => {}
         }
         while conn.is_idle() {
-            sleep(LOOK);
+            sleep(PEER_CHECK_INTERVAL);
         }
         if head.target == engine::COMPLETIONS {
             shared.log.see(&shared.options.name, Seen::Answered { rid, how: "cut".into() });
         }
-        return Ok(Next::Close);
+        return Ok(AfterRequest::Close);
     }
-    let json = [("content-type", "application/json")];
+    let json_headers = [("content-type", "application/json")];
     match (head.method.as_str(), head.target.as_str()) {
         ("GET", engine::HEALTH) => {
-            let report = report(shared, &faults);
+            let report = current_report(shared, &faults);
             let headers = [(orca::HEADER, report.as_str())];
-            answer(conn, 200, &headers, b"")?;
+            send_response(conn, 200, &headers, b"")?;
         }
         ("POST", engine::COMPLETIONS) => {
-            return completion(shared, conn, request, &front, &faults);
+            return serve_completion(shared, conn, request, &front, &faults);
         }
         ("POST", engine::ABORT | CLAIM_PATH | TAKEN_PATH) => {
-            let asked: Value = serde_json::from_slice(body).unwrap_or_default();
-            let Some(rid) = asked.get("rid").and_then(Value::as_str).map(str::to_owned) else {
-                answer(conn, 400, &json, &engine::error_body("bad_request", "expected a rid"))?;
-                return Ok(Next::Go);
+            let json_body: Value = serde_json::from_slice(body).unwrap_or_default();
+            let Some(rid) = json_body.get("rid").and_then(Value::as_str).map(str::to_owned) else {
+                send_response(
+                    conn,
+                    400,
+                    &json_headers,
+                    &engine::error_body("bad_request", "expected a rid"),
+                )?;
+                return Ok(AfterRequest::KeepOpen);
             };
-            let (status, said) = match head.target.as_str() {
+            let (status, reply_body) = match head.target.as_str() {
                 engine::ABORT => {
-                    shared.see_release(body);
-                    let (done, heard) = channel();
-                    shared.inbox.send(Ask::Release { rid, done });
-                    (200, json!({"success": heard.recv().unwrap_or(false)}))
+                    shared.log_release(body);
+                    let (reply, replies) = channel();
+                    shared.inbox.send(Command::Release { rid, reply });
+                    (200, json!({"success": replies.recv().unwrap_or(false)}))
                 }
                 CLAIM_PATH => {
-                    let (done, heard) = channel();
-                    shared.inbox.send(Ask::Claim { rid, done });
-                    match heard.recv().unwrap_or(None) {
+                    let (reply, replies) = channel();
+                    shared.inbox.send(Command::Claim { rid, reply });
+                    match replies.recv().unwrap_or(None) {
                         Some(tokens) => (200, json!({"tokens": tokens})),
                         None => (404, json!({})),
                     }
                 }
                 _ => {
-                    let (done, heard) = channel();
-                    shared.inbox.send(Ask::Taken { rid, done });
-                    (if heard.recv().unwrap_or(false) { 200 } else { 404 }, json!({}))
+                    let (reply, replies) = channel();
+                    shared.inbox.send(Command::Taken { rid, reply });
+                    (if replies.recv().unwrap_or(false) { 200 } else { 404 }, json!({}))
                 }
             };
-            answer(conn, status, &json, said.to_string().as_bytes())?;
+            send_response(conn, status, &json_headers, reply_body.to_string().as_bytes())?;
         }
         (_, engine::HEALTH | engine::COMPLETIONS | engine::ABORT) => {
-            answer(conn, 405, &json, &engine::error_body("method_not_allowed", "wrong method"))?;
+            send_response(
+                conn,
+                405,
+                &json_headers,
+                &engine::error_body("method_not_allowed", "wrong method"),
+            )?;
         }
-        _ => answer(conn, 404, &json, &engine::error_body("not_found", "no such path"))?,
+        _ => send_response(conn, 404, &json_headers, &engine::error_body("not_found", "no such path"))?,
     }
-    Ok(Next::Go)
+    Ok(AfterRequest::KeepOpen)
 }
 
-fn cut_task(body: &[u8]) -> &'static str {
-    let asked: Option<engine::Asked> = serde_json::from_slice(body).ok();
-    let reads =
-        asked.and_then(|asked| asked.kv_transfer_params).is_some_and(|params| params.do_remote_decode);
-    if reads { "read" } else { "write" }
+/// Returns the task name for the log of a completion request that is not served.
+fn task_name(body: &[u8]) -> &'static str {
+    let completion_request: Option<engine::Asked> = serde_json::from_slice(body).ok();
+    let is_read = completion_request
+        .and_then(|completion_request| completion_request.kv_transfer_params)
+        .is_some_and(|params| params.do_remote_decode);
+    if is_read { "read" } else { "write" }
 }
 
-fn report(shared: &Shared, faults: &Faults) -> String {
+/// Returns the formatted load report: the current one, or the last one while reports are frozen.
+fn current_report(shared: &Shared, faults: &Faults) -> String {
     if !faults.frozen {
-        let (done, heard) = channel();
-        shared.inbox.send(Ask::Load { done });
-        if let Ok((load, _)) = heard.recv() {
-            *lock(&shared.report) = to_report(&load, *lock(&shared.started));
+        let (reply, replies) = channel();
+        shared.inbox.send(Command::Load { reply });
+        if let Ok((load, _)) = replies.recv() {
+            *lock(&shared.last_report) = build_report(&load, *lock(&shared.started_at));
         }
     }
-    orca::format(&lock(&shared.report))
+    orca::format(&lock(&shared.last_report))
 }
 
-fn to_report(load: &Load, started: f64) -> orca::Report {
-    let named = [
+fn build_report(load: &Load, started_at: f64) -> orca::Report {
+    let metrics = [
         (orca::RUNNING, load.running as f64),
         (orca::WAITING, load.waiting as f64),
         (orca::KV_USAGE, load.kv_usage),
         (orca::PENDING_TOKENS, load.pending_tokens as f64),
         (orca::LATENCY_MS, load.recent_latency as f64 / 1e3),
-        (orca::STARTED, started),
+        (orca::STARTED, started_at),
     ];
     orca::Report {
         application_utilization: load.slot_usage,
-        named_metrics: named.into_iter().map(|(name, value)| (name.to_owned(), value)).collect(),
+        named_metrics: metrics.into_iter().map(|(name, value)| (name.to_owned(), value)).collect(),
     }
 }
 
-fn completion(
+/// Serves a completion request: logs it, submits it to the model and sends what the model produces.
+fn serve_completion(
     shared: &Arc<Shared>,
     conn: &mut Conn,
-    request: &Request<'_>,
+    request: &EngineRequest<'_>,
     front: &str,
     faults: &Faults,
-) -> Result<Next, NetError> {
-    let Request { head, body, stalls } = *request;
-    let json = [("content-type", "application/json")];
+) -> Result<AfterRequest, NetError> {
+    let EngineRequest { head, body, stall_address } = *request;
+    let json_headers = [("content-type", "application/json")];
     let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
-    let asked: engine::Asked = match serde_json::from_slice(body) {
-        Ok(asked) => asked,
+    let completion_request: engine::Asked = match serde_json::from_slice(body) {
+        Ok(completion_request) => completion_request,
         Err(error) => {
-            answer(conn, 400, &json, &engine::error_body("bad_request", &error.to_string()))?;
-            return Ok(Next::Go);
+            send_response(conn, 400, &json_headers, &engine::error_body("bad_request", &error.to_string()))?;
+            return Ok(AfterRequest::KeepOpen);
         }
     };
-    let params = asked.kv_transfer_params.clone().unwrap_or_default();
+    let params = completion_request.kv_transfer_params.clone().unwrap_or_default();
     let task = match (params.do_remote_decode, params.do_remote_prefill) {
         (true, _) => Task::Read,
         (false, true) => Task::Write,
         _ => Task::ReadAndWrite,
     };
-    let text = script::prompt_text(&asked);
-    let (prompt, turn) = (script::tokens(&text), script::turn(&asked));
-    let work = shared
-        .options
-        .spec
-        .work(if task == Task::Write { 0 } else { prompt }, if task == Task::Read { 0 } else { turn.tokens });
+    let prompt_text = script::prompt_text(&completion_request);
+    let (prompt_tokens, turn) = (script::count_tokens(&prompt_text), script::plan_turn(&completion_request));
+    let work = shared.options.spec.work(
+        if task == Task::Write { 0 } else { prompt_tokens },
+        if task == Task::Read { 0 } else { turn.token_count },
+    );
     let name = &shared.options.name;
     let task_name = match task {
         Task::Read => "read",
@@ -301,58 +341,69 @@
         Seen::Received {
             rid: rid.clone(),
             front: front.into(),
-            class: asked.model.clone(),
+            class: completion_request.model.clone(),
             task: task_name.into(),
             work,
         },
     );
-    let said = |how: &str| shared.log.see(name, Seen::Answered { rid: rid.clone(), how: how.into() });
+    let log_outcome =
+        |outcome: &str| shared.log.see(name, Seen::Answered { rid: rid.clone(), how: outcome.into() });
     if faults.full {
-        said("full");
-        answer(conn, 429, &json, &engine::error_body("rate_limit", "too many requests"))?;
-        return Ok(Next::Go);
+        log_outcome("full");
+        send_response(conn, 429, &json_headers, &engine::error_body("rate_limit", "too many requests"))?;
+        return Ok(AfterRequest::KeepOpen);
     }
-    let id = JobId(shared.next.fetch_add(1, Ordering::Relaxed));
-    let (news, heard) = channel();
-    let block_hashes = block_hashes(text.as_bytes());
+    let id = JobId(shared.next_id.fetch_add(1, Ordering::Relaxed));
+    let (updates_sender, updates) = channel();
+    let block_hashes = block_hashes(prompt_text.as_bytes());
     let job = Job {
         id,
         task,
-        class: asked.model.clone(),
+        class: completion_request.model.clone(),
         block_hashes,
-        prompt_tokens: prompt,
-        answer_tokens: turn.tokens,
+        prompt_tokens,
+        answer_tokens: turn.token_count,
     };
-    shared.inbox.send(Ask::Start { job, rid: rid.clone(), news });
-    let mut work = Work { shared, conn, heard, id, rid: &rid, asked: &asked, turn: &turn, prompt, stalls };
-    let (how, next) = work.follow(&params, faults);
-    said(how);
-    if !matches!(next, Ok(Next::Go)) {
-        shared.inbox.send(Ask::Cancel { id });
+    shared.inbox.send(Command::Start { job, rid: rid.clone(), updates: updates_sender });
+    let mut completion = Completion {
+        shared,
+        conn,
+        updates,
+        id,
+        rid: &rid,
+        completion_request: &completion_request,
+        turn: &turn,
+        prompt_tokens,
+        stall_address,
+    };
+    let (outcome, after_request) = completion.run(&params, faults);
+    log_outcome(outcome);
+    if !matches!(after_request, Ok(AfterRequest::KeepOpen)) {
+        shared.inbox.send(Command::Cancel { id });
     }
-    next
+    after_request
 }
 
-/// A job under way, and the connection that waits for it.
-struct Work<'a> {
+/// A completion request in progress and the connection that waits for it.
+struct Completion<'a> {
     shared: &'a Arc<Shared>,
     conn: &'a mut Conn,
-    heard: Receiver<News>,
+    updates: Receiver<JobUpdate>,
     id: JobId,
     rid: &'a str,
-    asked: &'a engine::Asked,
+    completion_request: &'a engine::Asked,
     turn: &'a script::Turn,
-    prompt: u64,
-    /// The stream stands still, by the fault of this door.
-    stalls: Option<usize>,
+    prompt_tokens: u64,
+    /// Index of the listen address whose fault stalls the stream.
+    stall_address: Option<usize>,
 }
 
-impl Work<'_> {
-    /// The next news; `None` when the peer has left or the engine has died.
-    fn news(&mut self) -> Option<News> {
+impl Completion<'_> {
+    /// Waits for the next update; `None` if the peer has disconnected or the engine has died.
+    fn next_update(&mut self) -> Option<JobUpdate> {
         loop {
-            match self.heard.recv_timeout(LOOK) {
-                Ok(news) => return Some(news),
+            match self.updates.recv_timeout(PEER_CHECK_INTERVAL) {
+                Ok(update) => return Some(update),
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return None,
                 Err(std::sync::mpsc::RecvTimeoutError::Timeout) if self.conn.is_idle() => {}
                 Err(std::sync::mpsc::RecvTimeoutError::Timeout) => return None,
@@ -360,43 +411,48 @@
         }
     }
 
-    fn reject(&mut self, why: RejectReason) -> (&'static str, Result<Next, NetError>) {
-        let (how, status, code) = match why {
+    /// Sends the response of a rejected job.
+    fn reject(&mut self, reason: RejectReason) -> (&'static str, Result<AfterRequest, NetError>) {
+        let (outcome, status, code) = match reason {
             RejectReason::Full => ("full", 429, "rate_limit"),
             RejectReason::WrongRole => ("wrong-role", 400, "wrong_role"),
             RejectReason::NoState => ("no-state", 424, engine::NO_STATE),
             RejectReason::Down => ("down", 500, "engine_dead"),
         };
-        let json = [("content-type", "application/json")];
-        let sent = answer(self.conn, status, &json, &engine::error_body(code, how));
-        (how, sent.map(|()| Next::Go))
+        let json_headers = [("content-type", "application/json")];
+        let sent = send_response(self.conn, status, &json_headers, &engine::error_body(code, outcome));
+        (outcome, sent.map(|()| AfterRequest::KeepOpen))
     }
 
-    fn usage(&self, written: u64, cached: u64) -> engine::Usage {
-        engine::Usage { prompt: self.prompt, completion: written, cached }
+    fn usage(&self, written_tokens: u64, cached_tokens: u64) -> engine::Usage {
+        engine::Usage { prompt: self.prompt_tokens, completion: written_tokens, cached: cached_tokens }
     }
 
-    fn follow(
+    /// Follows the job to its end. Returns the outcome for the log and whether the connection stays open.
+    fn run(
         &mut self,
         params: &engine::KvParams,
         faults: &Faults,
-    ) -> (&'static str, Result<Next, NetError>) {
+    ) -> (&'static str, Result<AfterRequest, NetError>) {
         loop {
-            match self.news() {
-                None => return ("left", Ok(Next::Close)),
-                Some(News::Rejected(why)) => return self.reject(why),
-                Some(News::Fetch) => {
-                    let ok = fetch(self.shared, params);
-                    self.shared.inbox.send(Ask::Fetched { id: self.id, ok });
+            match self.next_update() {
+                None => return ("left", Ok(AfterRequest::Close)),
+                Some(JobUpdate::Rejected(reason)) => return self.reject(reason),
+                Some(JobUpdate::FetchState) => {
+                    let is_available = fetch_state(self.shared, params);
+                    self.shared.inbox.send(Command::StateFetched { id: self.id, is_available });
+                }
+                Some(JobUpdate::ReadDone { cached_tokens }) => {
+                    return ("read", self.send_read_response(cached_tokens));
                 }
-                Some(News::Read { cached_tokens }) => return ("read", self.read(cached_tokens)),
-                Some(News::Token(index)) => return self.stream(index, faults),
-                Some(News::Done { .. }) => return ("error", Ok(Next::Close)),
+                Some(JobUpdate::Token(index)) => return self.stream_answer(index, faults),
+                Some(JobUpdate::AnswerDone { .. }) => return ("error", Ok(AfterRequest::Close)),
             }
         }
     }
 
-    fn read(&mut self, cached: u64) -> Result<Next, NetError> {
+    /// Sends the response of a finished prompt read: where the KV state is held.
+    fn send_read_response(&mut self, cached_tokens: u64) -> Result<AfterRequest, NetError> {
         let kv = engine::KvParams {
             do_remote_prefill: true,
             remote_engine_id: Some(format!(
@@ -409,24 +465,28 @@
             remote_request_id: Some(self.rid.to_owned()),
             ..engine::KvParams::default()
         };
-        let body = engine::read_body(&self.asked.model, self.usage(1, cached), &kv);
-        // Read first: a lock must not be held while the report is waited for.
+        let body = engine::read_body(&self.completion_request.model, self.usage(1, cached_tokens), &kv);
+        // The faults are copied first: no lock is held while this waits for the report.
         let faults = lock(&self.shared.faults).clone();
-        let report = report(self.shared, &faults);
+        let report = current_report(self.shared, &faults);
         let headers = [("content-type", "application/json"), (orca::HEADER, report.as_str())];
-        answer(self.conn, 200, &headers, &body)?;
-        Ok(Next::Go)
+        send_response(self.conn, 200, &headers, &body)?;
+        Ok(AfterRequest::KeepOpen)
     }
 
-    /// Streams the answer from its first token on.
-    fn stream(&mut self, first: u64, faults: &Faults) -> (&'static str, Result<Next, NetError>) {
-        let breaks = {
+    /// Streams the answer, starting with its first token.
+    fn stream_answer(
+        &mut self,
+        first_index: u64,
+        faults: &Faults,
+    ) -> (&'static str, Result<AfterRequest, NetError>) {
+        let break_at = {
             let mut faults = lock(&self.shared.faults);
             let breaks = faults.break_next > 0;
             faults.break_next = faults.break_next.saturating_sub(1);
             breaks.then_some(faults.break_after)
         };
-        let report = report(self.shared, faults);
+        let report = current_report(self.shared, faults);
         let (mut out, mut event) = (Vec::with_capacity(1024), Vec::with_capacity(256));
         let headers = [
             ("content-type", "text/event-stream"),
@@ -434,52 +494,54 @@
             ("cache-control", "no-store"),
         ];
         http::write_stream_head(200, &headers, &mut out);
-        let mut news = Some(News::Token(first));
+        let mut update = Some(JobUpdate::Token(first_index));
         loop {
-            match news {
-                Some(News::Token(index)) => {
-                    if let Some(door) = self.stalls.filter(|_| index == STALL_AFTER) {
+            match update {
+                Some(JobUpdate::Token(index)) => {
+                    if let Some(address_index) = self.stall_address.filter(|_| index == TOKENS_BEFORE_STALL) {
                         let _ = self.conn.write(&out);
-                        hold(self.shared, self.conn, door, DoorFault::StallsInBody);
-                        return ("stalled", Ok(Next::Close));
+                        hold_until_fault_ends(self.shared, self.conn, address_index, DoorFault::StallsInBody);
+                        return ("stalled", Ok(AfterRequest::Close));
                     }
-                    if breaks == Some(index) {
+                    if break_at == Some(index) {
                         let _ = self.conn.write(&out);
-                        return ("broken", Ok(Next::Close));
+                        return ("broken", Ok(AfterRequest::Close));
                     }
                     event.clear();
-                    let data = engine::text_chunk(&self.asked.model, &self.turn.token(index));
+                    let data =
+                        engine::text_chunk(&self.completion_request.model, &self.turn.token_text(index));
                     sse::write(None, &data, &mut event);
                     http::write_chunk(&event, &mut out);
                 }
-                Some(News::Done { cached_tokens }) => {
-                    self.last(cached_tokens, &mut out);
+                Some(JobUpdate::AnswerDone { cached_tokens }) => {
+                    self.write_last_events(cached_tokens, &mut out);
                     return match self.conn.write(&out) {
-                        Ok(()) => ("served", Ok(Next::Go)),
+                        Ok(()) => ("served", Ok(AfterRequest::KeepOpen)),
                         Err(error) => ("left", Err(error)),
                     };
                 }
                 Some(_) => {}
                 None => {
                     let _ = self.conn.write(&out);
-                    return ("left", Ok(Next::Close));
+                    return ("left", Ok(AfterRequest::Close));
                 }
             }
-            // What is there already goes out in one write.
-            news = match self.heard.try_recv() {
-                Ok(news) => Some(news),
+            // All tokens that are available are sent with one socket write.
+            update = match self.updates.try_recv() {
+                Ok(update) => Some(update),
                 Err(_) => {
                     if let Err(error) = self.conn.write(&out) {
                         return ("left", Err(error));
                     }
                     out.clear();
-                    self.news()
+                    self.next_update()
                 }
             };
         }
     }
 
-    fn last(&self, cached: u64, out: &mut Vec<u8>) {
+    /// Appends the tool call, if any, the usage and the end of the stream.
+    fn write_last_events(&self, cached_tokens: u64, out: &mut Vec<u8>) {
         let mut event = Vec::new();
         let finish = match &self.turn.call {
             None => engine::Finish::Stop,
@@ -487,20 +549,21 @@
                 let function = engine::Function { name: name.clone(), arguments: arguments.clone() };
                 let call =
                     engine::ToolCall { id: format!("call-{}", self.id.0), kind: "function".into(), function };
-                sse::write(None, &engine::call_chunk(&self.asked.model, &call), &mut event);
+                sse::write(None, &engine::call_chunk(&self.completion_request.model, &call), &mut event);
                 engine::Finish::ToolCalls
             }
         };
-        let usage = self.usage(self.turn.tokens, cached);
-        sse::write(None, &engine::end_chunk(&self.asked.model, finish, usage), &mut event);
+        let usage = self.usage(self.turn.token_count, cached_tokens);
+        sse::write(None, &engine::end_chunk(&self.completion_request.model, finish, usage), &mut event);
         sse::write(None, engine::DONE, &mut event);
         http::write_chunk(&event, out);
         out.extend_from_slice(http::LAST_CHUNK);
     }
 }
 
-/// Fetches a state from its reader; takes the time that the link takes.
-fn fetch(shared: &Shared, params: &engine::KvParams) -> bool {
+/// Fetches a KV state from its reader. Takes the time that its transfer over the link would take. Returns
+/// whether the state was received.
+fn fetch_state(shared: &Shared, params: &engine::KvParams) -> bool {
     let (Some(host), Some(port), Some(rid)) =
         (&params.remote_host, params.remote_port, &params.remote_request_id)
     else {
@@ -508,49 +571,56 @@
     };
     let Ok(addr) = format!("{host}:{port}").parse::<SocketAddr>() else { return false };
     let via = format!("1.1 {} ({})", shared.options.name, shared.options.zone);
-    let ask = |path: &str| {
-        let to = Endpoint::new(addr, path);
-        exchange("POST", &to, &[("via", &via)], json!({"rid": rid}).to_string().as_bytes(), CLAIM)
+    let post_to_reader = |path: &str| {
+        let endpoint = Endpoint::new(addr, path);
+        exchange(
+            "POST",
+            &endpoint,
+            &[("via", &via)],
+            json!({"rid": rid}).to_string().as_bytes(),
+            CLAIM_TIMEOUT,
+        )
     };
-    let Ok(claimed) = ask(CLAIM_PATH) else { return false };
-    let said: Value = serde_json::from_slice(&claimed.body).unwrap_or_default();
-    let Some(tokens) = said.get("tokens").and_then(Value::as_f64).filter(|_| claimed.head.status == 200)
+    let Ok(response) = post_to_reader(CLAIM_PATH) else { return false };
+    let claim: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+    let Some(tokens) = claim.get("tokens").and_then(Value::as_f64).filter(|_| response.head.status == 200)
     else {
         return false;
     };
-    let slow = lock(&shared.faults).slow_links.max(1.0);
-    let rate = shared.link_rate(params.remote_engine_id.as_deref().unwrap_or_default());
-    sleep(Duration::from_secs_f64(tokens / rate.max(1.0) * slow));
-    ask(TAKEN_PATH).is_ok_and(|answer| answer.head.status == 200)
+    let slowdown = lock(&shared.faults).slow_links.max(1.0);
+    let tokens_per_s = shared.link_tokens_per_s(params.remote_engine_id.as_deref().unwrap_or_default());
+    sleep(Duration::from_secs_f64(tokens / tokens_per_s.max(1.0) * slowdown));
+    post_to_reader(TAKEN_PATH).is_ok_and(|response| response.head.status == 200)
 }
 
 impl Shared {
-    /// Notes an order that was received and goes nowhere.
-    fn see_order(&self, head: &http::Request, body: &[u8]) -> String {
+    /// Logs a completion request that is received but not served. Returns its request id.
+    fn log_request(&self, head: &http::Request, body: &[u8]) -> String {
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
-        let (front, _) = via(head);
-        let (class, task) = ("?".into(), cut_task(body).into());
+        let (front, _) = parse_via(head);
+        let (class, task) = ("?".into(), task_name(body).into());
         self.log.see(&self.options.name, Seen::Received { rid: rid.clone(), front, class, task, work: 0.0 });
         rid
     }
 
-    fn see_release(&self, body: &[u8]) {
-        let asked: Value = serde_json::from_slice(body).unwrap_or_default();
-        if let Some(rid) = asked.get("rid").and_then(Value::as_str) {
+    /// Logs a request to release a state.
+    fn log_release(&self, body: &[u8]) {
+        let json_body: Value = serde_json::from_slice(body).unwrap_or_default();
+        if let Some(rid) = json_body.get("rid").and_then(Value::as_str) {
             self.log.see(&self.options.name, Seen::ReleaseAsked { rid: rid.to_owned() });
         }
     }
 
-    /// Tokens a second from the engine of this name: by the place in its name, `zone.cell.name`.
-    fn link_rate(&self, from: &str) -> f64 {
-        let [near, cell, zone] = self.options.links;
-        let mut place = from.split('.');
-        let same_zone = place.next() == Some(self.options.zone.as_str());
-        let same_cell = place.next() == Some(self.options.cell.to_string().as_str());
+    /// Transfer rate in tokens per second from an engine, by the location in its id `zone.cell.name`.
+    fn link_tokens_per_s(&self, reader_id: &str) -> f64 {
+        let [within_cell, within_zone, between_zones] = self.options.links;
+        let mut parts = reader_id.split('.');
+        let same_zone = parts.next() == Some(self.options.zone.as_str());
+        let same_cell = parts.next() == Some(self.options.cell.to_string().as_str());
         match (same_zone, same_cell) {
-            (true, true) => near,
-            (true, false) => cell,
-            (false, _) => zone,
+            (true, true) => within_cell,
+            (true, false) => within_zone,
+            (false, _) => between_zones,
         }
     }
 }
