--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's agent: whole lists, watches, silence, and moves to another address.
+//! A mock discovery agent: serves whole host lists and watches, and can fall silent or be opened at another
+//! address.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,24 +8,27 @@
 
 use serde_json::{Value, json};
 
-/// An empty line while nothing changes.
-const BEAT: Duration = Duration::from_millis(500);
+/// Ten times the interval at which a watch sends its changes, or an empty line if there are none.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Inner {
+    /// Version of the list.
     seq: u64,
     hosts: Vec<Value>,
-    /// Lines of changes, by version.
+    /// Changes as JSON lines, with their versions.
     changes: Vec<(u64, String)>,
-    watches: Vec<TcpStream>,
-    /// Accepts, and answers nothing.
-    silent: bool,
-    asked: Vec<String>,
-    /// By open watch: the version that it was told last.
-    told: Vec<u64>,
+    /// Connections left unanswered while silent.
+    unanswered: Vec<TcpStream>,
+    /// Accepts connections and sends nothing.
+    is_silent: bool,
+    /// Targets of the requests received.
+    request_targets: Vec<String>,
+    /// The version sent last on each watch, ended watches included.
+    sent_versions: Vec<u64>,
 }
 
-/// An agent on one address; another one of the same list can be opened beside it.
+/// A mock discovery agent on one address. Clones and agents from [`Discovery::beside`] share the list.
 #[derive(Clone)]
 pub struct Discovery {
     pub addr: SocketAddr,
@@ -32,11 +36,12 @@
 }
 
 impl Discovery {
+    /// Starts an agent with this list as version 1.
     pub fn start(hosts: Vec<Value>) -> std::io::Result<Discovery> {
         Discovery::open(Arc::new(Mutex::new(Inner { seq: 1, hosts, ..Inner::default() })))
     }
 
-    /// The same list at another address.
+    /// Starts another agent with the same list at another address.
     pub fn beside(&self) -> std::io::Result<Discovery> {
         Discovery::open(self.inner.clone())
     }
@@ -44,69 +49,76 @@
     fn open(inner: Arc<Mutex<Inner>>) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let discovery = Discovery { addr: listener.local_addr()?, inner };
-        let serving = discovery.clone();
+        let agent = discovery.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let serving = serving.clone();
-                std::thread::spawn(move || serving.serve(stream));
+                let agent = agent.clone();
+                std::thread::spawn(move || agent.serve_connection(stream));
             }
         });
         Ok(discovery)
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn serve(&self, mut stream: TcpStream) {
-        let mut some = [0; 2048];
-        let Ok(n) = stream.read(&mut some) else { return };
-        let text = String::from_utf8_lossy(&some[..n]).into_owned();
-        let target = text.split(' ').nth(1).unwrap_or_default().to_owned();
-        let (from, first) = {
-            let mut inner = self.inner();
-            inner.asked.push(target.clone());
-            if inner.silent {
-                // Held open and never answered.
-                inner.watches.push(stream);
+    /// Serves the one request of a connection: a whole list, or a watch until the peer closes.
+    fn serve_connection(&self, mut stream: TcpStream) {
+        let mut buffer = [0; 2048];
+        let Ok(n) = stream.read(&mut buffer) else { return };
+        let request = String::from_utf8_lossy(&buffer[..n]).into_owned();
+        let target = request.split(' ').nth(1).unwrap_or_default().to_owned();
+        let (version, first_body) = {
+            let mut inner = self.lock();
+            inner.request_targets.push(target.clone());
+            if inner.is_silent {
+                // The connection stays open without a response.
+                inner.unanswered.push(stream);
                 return;
             }
-            let from: u64 = target.rsplit_once("index=").and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
-            let whole = json!({"seq": inner.seq, "whole": true, "hosts": inner.hosts}).to_string();
-            let known = from > 0 && inner.changes.first().is_none_or(|(seq, _)| *seq <= from + 1);
-            let newer: Vec<String> =
-                inner.changes.iter().filter(|(seq, _)| *seq > from).map(|(_, line)| line.clone()).collect();
-            (inner.seq, if known { newer.join("\n") + "\n" } else { whole + "\n" })
+            let client_version: u64 =
+                target.rsplit_once("index=").and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
+            let whole_list = json!({"seq": inner.seq, "whole": true, "hosts": inner.hosts}).to_string();
+            let has_changes =
+                client_version > 0 && inner.changes.first().is_none_or(|(seq, _)| *seq <= client_version + 1);
+            let newer_lines: Vec<String> = inner
+                .changes
+                .iter()
+                .filter(|(seq, _)| *seq > client_version)
+                .map(|(_, line)| line.clone())
+                .collect();
+            (inner.seq, if has_changes { newer_lines.join("\n") + "\n" } else { whole_list + "\n" })
         };
         if !target.contains("stream=1") {
-            let body = first.trim_end();
+            let body = first_body.trim_end();
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
             let _ = stream.write_all(head.as_bytes());
             return;
         }
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        if stream.write_all(format!("{head}{:x}\r\n{first}\r\n", first.len()).as_bytes()).is_err() {
+        if stream.write_all(format!("{head}{:x}\r\n{first_body}\r\n", first_body.len()).as_bytes()).is_err() {
             return;
         }
-        let mut told = from;
-        let nth = {
-            let mut inner = self.inner();
-            inner.told.push(from);
-            inner.told.len() - 1
+        let mut sent_version = version;
+        let watch_index = {
+            let mut inner = self.lock();
+            inner.sent_versions.push(version);
+            inner.sent_versions.len() - 1
         };
         loop {
-            self.inner().told[nth] = told;
-            std::thread::sleep(BEAT / 10);
+            self.lock().sent_versions[watch_index] = sent_version;
+            std::thread::sleep(HEARTBEAT_INTERVAL / 10);
             let lines: Vec<(u64, String)> = {
-                let inner = self.inner();
-                if inner.silent {
+                let inner = self.lock();
+                if inner.is_silent {
                     continue;
                 }
-                inner.changes.iter().filter(|(seq, _)| *seq > told).cloned().collect()
+                inner.changes.iter().filter(|(seq, _)| *seq > sent_version).cloned().collect()
             };
             let mut out = String::new();
             for (seq, line) in lines {
-                told = seq;
+                sent_version = seq;
                 out.push_str(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
             }
             if out.is_empty() {
@@ -118,9 +130,9 @@
         }
     }
 
-    /// Tells a change: entries as a list has them.
+    /// Adds a change of these hosts, given as the entries of a list, and sends it on the watches.
     pub fn change(&self, hosts: Vec<Value>) {
-        let mut inner = self.inner();
+        let mut inner = self.lock();
         inner.seq += 1;
         let seq = inner.seq;
         for host in &hosts {
@@ -130,36 +142,36 @@
         inner.changes.push((seq, json!({"seq": seq, "whole": false, "hosts": hosts}).to_string()));
     }
 
-    /// Tells the watches a line that is no list, as the change of a version.
+    /// Sends an incomplete JSON line on the watches as the change of a new version.
     pub fn garble(&self) {
         self.inject("{\"seq\":");
     }
 
-    /// Tells the watches this line as the change of a version, whatever it says.
+    /// Sends any line on the watches as the change of a new version.
     pub fn inject(&self, line: &str) {
-        let mut inner = self.inner();
+        let mut inner = self.lock();
         inner.seq += 1;
         let seq = inner.seq;
         inner.changes.push((seq, line.to_owned()));
     }
 
-    /// From now on it says nothing, or speaks again.
-    pub fn silence(&self, silent: bool) {
-        let mut inner = self.inner();
-        inner.silent = silent;
-        for watch in inner.watches.drain(..) {
-            let _ = watch.shutdown(Shutdown::Both);
+    /// Makes the agent silent, or ends its silence. Closes the connections left unanswered.
+    pub fn silence(&self, is_silent: bool) {
+        let mut inner = self.lock();
+        inner.is_silent = is_silent;
+        for connection in inner.unanswered.drain(..) {
+            let _ = connection.shutdown(Shutdown::Both);
         }
     }
 
-    /// Watches that were told the newest version, those that have ended since included.
+    /// Returns the number of watches that were sent the newest version, ended watches included.
     pub fn told(&self) -> usize {
-        let inner = self.inner();
-        inner.told.iter().filter(|told| **told >= inner.seq).count()
+        let inner = self.lock();
+        inner.sent_versions.iter().filter(|version| **version >= inner.seq).count()
     }
 
-    /// What was asked for.
+    /// Returns the targets of the requests received.
     pub fn asked(&self) -> Vec<String> {
-        self.inner().asked.clone()
+        self.lock().request_targets.clone()
     }
 }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,7 +1,9 @@
-//! The platform around a front node, scripted: engines that speak its protocol, discovery, and a log of what passed.
+//! A mock of the platform around a front node: engines that speak its protocol, discovery, and a record of
+//! the traffic at the engines.
 //!
-//! A request's own id tells what its engine does, so that a test reads as a list of cases: `spoilt-noise-7` meets an
-//! engine that answers noise. Plain threads and blocking sockets, one thread a connection: simple enough to trust.
+//! The id of a request selects what its engine does, so that a test reads as a list of cases: the engine that
+//! receives `spoilt-noise-7` answers with noise. The mock uses blocking sockets and one thread per
+//! connection, independent of the code under test.
 
 mod discovery;
 mod engine;
@@ -18,51 +20,38 @@
 pub use discovery::Discovery;
 pub use engine::{Engine, Role, whole_answer};
 
-/// One thing that passed at an engine.
+/// An event at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pass {
-    /// The last byte of a request has come. `second`: another one of the same request is out on a connection that is
-    /// still open.
-    Begun {
-        trace: String,
-        connection: u64,
-        body: usize,
-        expires_ms: Option<u64>,
-        second: bool,
-    },
-    /// Its answer went out whole, was spoilt, or its connection ended.
-    Ended {
-        trace: String,
-        connection: u64,
-        how: How,
-    },
-    /// A release has come.
-    Released {
-        trace: String,
-    },
+    /// A request was received completely. `second`: another attempt of the same request is in progress on a
+    /// connection that is still open.
+    Begun { trace: String, connection: u64, body: usize, expires_ms: Option<u64>, second: bool },
+    /// The attempt ended: its answer was sent completely or malformed, or its connection ended.
+    Ended { trace: String, connection: u64, how: How },
+    /// A release of a state was received.
+    Released { trace: String },
+    /// A load probe was received.
     Probed,
-    /// A second answer was written, so long after the first.
-    SecondAnswer {
-        after: Duration,
-    },
-    /// A request that no client can have sent.
-    Unknown {
-        what: String,
-    },
+    /// A second answer was sent, this long after the first.
+    SecondAnswer { after: Duration },
+    /// A request was received that no client can have caused.
+    Unknown { what: String },
 }
 
 /// How an attempt ended at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum How {
+    /// The prompt was read and its state is held.
     Read,
+    /// The answer was sent completely.
     Served,
-    /// Told as such: it has not run.
+    /// The engine refused the attempt and said that it has not run.
     NeverRan,
-    /// Anything else: it may have run.
+    /// Any other end: the attempt may have run.
     MayHaveRun,
 }
 
-/// What passed, when and where.
+/// An event with its time and engine.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub at: Instant,
@@ -71,121 +60,132 @@
     pub pass: Pass,
 }
 
-/// Linux's flags for a look that takes nothing and does not wait.
-const PEEK_NOW: i32 = 0x02 | 0x40;
+/// `MSG_PEEK | MSG_DONTWAIT` on Linux: looks at received bytes without consuming them or blocking.
+const PEEK_NONBLOCKING: i32 = 0x02 | 0x40;
 
+/// Whether the peer has not closed this connection.
 fn is_open(stream: &TcpStream) -> bool {
-    let looked = SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], PEEK_NOW);
-    looked.map_or_else(|error| error.kind() == std::io::ErrorKind::WouldBlock, |n| n > 0)
+    let peeked = SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], PEEK_NONBLOCKING);
+    peeked.map_or_else(|error| error.kind() == std::io::ErrorKind::WouldBlock, |n| n > 0)
 }
 
-/// What the engines hold and have seen, shared by all of them.
+/// Events and held states of all engines of a platform.
 #[derive(Clone, Default)]
 pub struct Traffic(Arc<Mutex<Inner>>);
 
 #[derive(Default)]
 struct Inner {
     seen: Vec<Seen>,
-    /// Requests whose read state waits, by reader.
-    held: BTreeMap<String, BTreeSet<String>>,
-    /// Connections that carry a request, by its id.
-    out: BTreeMap<String, Vec<(u64, TcpStream)>>,
-    /// How often each id was asked for, over all engines.
-    asked: BTreeMap<String, u32>,
+    /// Readers that hold a state, by request.
+    held_states: BTreeMap<String, BTreeSet<String>>,
+    /// Connections on which a request is in progress, by its id.
+    open_requests: BTreeMap<String, Vec<(u64, TcpStream)>>,
+    /// Number of attempts by role and request id, over all engines.
+    attempts: BTreeMap<String, u32>,
 }
 
 impl Traffic {
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, engine: &str, role: Role, pass: Pass) {
-        self.inner().seen.push(Seen { at: Instant::now(), engine: engine.to_owned(), role, pass });
+    fn record(&self, engine: &str, role: Role, pass: Pass) {
+        self.lock().seen.push(Seen { at: Instant::now(), engine: engine.to_owned(), role, pass });
     }
 
-    /// A request begins on a connection; tells whether it is out on another one that is still open. A peer's close is
-    /// seen on the socket itself: the thread that serves it may not have come to it yet.
-    fn begin(&self, trace: &str, connection: u64, stream: &TcpStream) -> bool {
-        let mut inner = self.inner();
-        let out = inner.out.entry(trace.to_owned()).or_default();
-        let second = out.iter().any(|(_, other)| is_open(other));
+    /// Records that a request is in progress on a connection. Returns whether it is also in progress on
+    /// another connection that is still open. Checks the socket itself for a close by the peer, because the
+    /// thread that serves it may not have noticed yet.
+    fn begin_request(&self, trace: &str, connection: u64, stream: &TcpStream) -> bool {
+        let mut inner = self.lock();
+        let connections = inner.open_requests.entry(trace.to_owned()).or_default();
+        let is_second = connections.iter().any(|(_, other)| is_open(other));
         if let Ok(stream) = stream.try_clone() {
-            out.push((connection, stream));
+            connections.push((connection, stream));
         }
-        second
+        is_second
     }
 
-    fn end(&self, trace: &str, connection: u64) {
-        let mut inner = self.inner();
-        if let Some(out) = inner.out.get_mut(trace) {
-            out.retain(|(of, _)| *of != connection);
+    /// Records that a request is no longer in progress on a connection.
+    fn end_request(&self, trace: &str, connection: u64) {
+        let mut inner = self.lock();
+        if let Some(connections) = inner.open_requests.get_mut(trace) {
+            connections.retain(|(id, _)| *id != connection);
         }
     }
 
-    fn hold(&self, engine: &str, trace: &str) {
-        self.inner().held.entry(trace.to_owned()).or_default().insert(engine.to_owned());
+    /// Records that an engine holds the state of a request.
+    fn hold_state(&self, engine: &str, trace: &str) {
+        self.lock().held_states.entry(trace.to_owned()).or_default().insert(engine.to_owned());
     }
 
-    /// Lets go of what is held for a request, wherever; tells whether anything was.
-    fn let_go(&self, trace: &str) -> bool {
-        self.inner().held.remove(trace).is_some()
+    /// Releases the state of a request on all engines. Returns whether one was held.
+    fn release_state(&self, trace: &str) -> bool {
+        self.lock().held_states.remove(trace).is_some()
     }
 
-    /// How often it has been asked for at a reader and at a writer, this time included.
-    fn count(&self, trace: &str, role: Role) -> u32 {
-        let mut inner = self.inner();
-        let n = inner.asked.entry(format!("{role:?} {trace}")).or_default();
-        *n += 1;
-        *n
+    /// Counts an attempt of a request at engines of this role; returns the number of attempts including this
+    /// one.
+    fn count_attempt(&self, trace: &str, role: Role) -> u32 {
+        let mut inner = self.lock();
+        let count = inner.attempts.entry(format!("{role:?} {trace}")).or_default();
+        *count += 1;
+        *count
     }
 
+    /// Returns all events so far.
     pub fn seen(&self) -> Vec<Seen> {
-        self.inner().seen.clone()
+        self.lock().seen.clone()
     }
 
-    /// Requests for which a state is held.
+    /// Returns the requests whose state is held.
     pub fn held(&self) -> Vec<String> {
-        self.inner().held.keys().cloned().collect()
+        self.lock().held_states.keys().cloned().collect()
     }
 
-    /// Attempts at writers that may have run or ran, of one request.
+    /// Returns how the attempts of a request at writers ended, in order.
     pub fn attempts(&self, trace: &str) -> Vec<How> {
-        let ended = |seen: &Seen| match &seen.pass {
-            Pass::Ended { trace: of, how, .. } if of == trace && seen.role == Role::Writer => Some(*how),
+        let how_ended = |seen: &Seen| match &seen.pass {
+            Pass::Ended { trace: ended, how, .. } if ended == trace && seen.role == Role::Writer => {
+                Some(*how)
+            }
             _ => None,
         };
-        self.inner().seen.iter().filter_map(ended).collect()
+        self.lock().seen.iter().filter_map(how_ended).collect()
     }
 
-    /// What the engines saw against the rules: two attempts of one request out together, or one sent again after it
-    /// may have run where it may not be repeated. `once` tells that of an id.
-    pub fn judge(&self, once: impl Fn(&str) -> bool) -> Vec<String> {
-        let (mut ran, mut broken) = (BTreeSet::new(), Vec::new());
+    /// Checks the traffic and returns the violations: two attempts of one request in progress together, or a
+    /// request sent again after it may have run although it must not be repeated. `is_once` tells whether an
+    /// id must not be repeated.
+    pub fn judge(&self, is_once: impl Fn(&str) -> bool) -> Vec<String> {
+        let (mut may_have_run, mut violations) = (BTreeSet::new(), Vec::new());
         for seen in self.seen() {
             match seen.pass {
                 Pass::Begun { trace, connection, second, .. } => {
                     if second {
-                        broken.push(format!("{trace}: on connection {connection} while another is out"));
+                        violations.push(format!(
+                            "{trace}: sent on connection {connection} while another attempt is in progress"
+                        ));
                     }
-                    if once(&trace) && ran.contains(&trace) {
-                        broken.push(format!("{trace}: sent again after it may have run"));
+                    if is_once(&trace) && may_have_run.contains(&trace) {
+                        violations.push(format!("{trace}: sent again after it may have run"));
                     }
                 }
                 Pass::Ended { trace, how, .. } => {
-                    // However an attempt at a reader ends, it has had no effect.
+                    // An attempt at a reader has no effect, however it ends.
                     if seen.role == Role::Writer && matches!(how, How::Served | How::MayHaveRun) {
-                        ran.insert(trace);
+                        may_have_run.insert(trace);
                     }
                 }
-                Pass::Unknown { what } => broken.push(format!("an engine got {what}")),
+                Pass::Unknown { what } => violations.push(format!("an engine received {what}")),
                 Pass::Released { .. } | Pass::Probed | Pass::SecondAnswer { .. } => {}
             }
         }
-        broken
+        violations
     }
 }
 
-/// A platform with its engines and discovery.
+/// A running mock platform: engines, discovery and the record of their traffic.
 pub struct Platform {
     pub traffic: Traffic,
     pub engines: Vec<Engine>,
@@ -193,7 +193,7 @@
 }
 
 impl Platform {
-    /// So many readers and writers, all in one place.
+    /// Starts this many readers and writers, all at one site.
     pub fn start(readers: usize, writers: usize) -> std::io::Result<Platform> {
         let traffic = Traffic::default();
         let mut engines = Vec::new();
@@ -207,7 +207,8 @@
         Ok(Platform { traffic, engines, discovery })
     }
 
-    /// The hosts of a list, each in the state that is told.
+    /// Returns the engines as hosts of a discovery list, each with the health that `health` returns for its
+    /// name.
     pub fn list(engines: &[Engine], health: impl Fn(&str) -> &'static str) -> Vec<Value> {
         let host = |engine: &Engine| {
             json!({"host": engine.name, "dial": engine.addr.to_string(), "site": "here",
@@ -217,9 +218,10 @@
         engines.iter().map(host).collect()
     }
 
-    /// A configuration for a node. Class `plain` may be repeated, class `once` may not.
-    pub fn config(&self, listen: SocketAddr, discovery: SocketAddr, known: bool) -> Value {
-        let hosts = if known { Platform::list(&self.engines, |_| "SERVING") } else { Vec::new() };
+    /// Returns a node configuration. Requests of class `plain` may be repeated, those of class `once` may
+    /// not. With `lists_servers` the configuration lists the engines already.
+    pub fn config(&self, listen: SocketAddr, discovery: SocketAddr, lists_servers: bool) -> Value {
+        let hosts = if lists_servers { Platform::list(&self.engines, |_| "SERVING") } else { Vec::new() };
         let class = |name: &str, semantics: &str| {
             json!({"name": name, "semantics": semantics, "aim-us": 1_000_000, "give-up-us": 4_000_000,
                 "late-value": 0.1, "worth": 1.0, "streamed": true})
@@ -242,11 +244,11 @@
                     "cold-from": 0.3, "cold-us": 5_000_000, "fall-multiple": 4.0, "tip-after-us": 2_000_000}}})
     }
 
-    /// Waits until it holds, for at most so long; tells whether it did.
-    pub fn until(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
-        let end = Instant::now() + time;
-        while !holds() {
-            if Instant::now() >= end {
+    /// Waits until the condition holds, at most for `timeout`. Returns whether it held.
+    pub fn until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+        let deadline = Instant::now() + timeout;
+        while !condition() {
+            if Instant::now() >= deadline {
                 return false;
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The scripted platform's own checker sees what it is there to see.
+//! Tests of the checker of the mock platform: it reports two attempts in progress at once and accepts a retry
+//! after the first connection has closed.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,9 +10,9 @@
 const LONG: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_second_copy_is_seen_and_a_next_attempt_is_none() {
+fn judge_reports_concurrent_attempts_but_not_a_retry() {
     let platform = Platform::start(0, 2).unwrap();
-    let begun =
+    let begun_count =
         || platform.traffic.seen().iter().filter(|seen| matches!(seen.pass, Pass::Begun { .. })).count();
     let send = |writer: usize, trace: &str| {
         let mut stream = TcpStream::connect(platform.engines[writer].addr).unwrap();
@@ -22,13 +23,20 @@
         stream
     };
     let first = send(0, "writer-silent-1");
-    assert!(Platform::until(LONG, || begun() == 1));
+    assert!(Platform::until(LONG, || begun_count() == 1));
     drop(first);
     let second = send(1, "writer-silent-1");
-    assert!(Platform::until(LONG, || begun() == 2));
-    assert!(platform.traffic.judge(|_| false).is_empty(), "the first was closed before");
+    assert!(Platform::until(LONG, || begun_count() == 2));
+    assert!(
+        platform.traffic.judge(|_| false).is_empty(),
+        "the second attempt was reported although the first had closed"
+    );
     let third = send(0, "writer-silent-1");
-    assert!(Platform::until(LONG, || begun() == 3));
-    assert_eq!(platform.traffic.judge(|_| false).len(), 1, "two at once");
+    assert!(Platform::until(LONG, || begun_count() == 3));
+    assert_eq!(
+        platform.traffic.judge(|_| false).len(),
+        1,
+        "two attempts at once were not reported exactly once"
+    );
     drop((second, third));
 }
