--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,16 @@
-//! Stand-ins for what a front talks to: engines and a tool server, each with faults and a traffic log.
+//! Mock servers for rehearsals and tests: engines, a tool server and the platform around a node, with faults
+//! and a log of the traffic.
 //!
-//! - [`model`]: one engine model, free of I/O and clocks: slots, waiting line, KV memory, speeds, kept texts, cold
-//!   start, falling over, faults. Any host can drive it; [`host`] does so on sockets.
-//! - [`script`]: what a stand-in answers, told by the prompt.
-//! - [`host`]: an engine on a socket, speaking the engines' API.
-//! - [`platform`]: the platform around a front node, scripted: engines and discovery.
-//! - [`tool`]: a tool server on a socket, speaking MCP.
-//! - [`traffic`]: what was seen, as JSON lines.
+//! - [`model`]: a model of one engine without I/O and clock: slots, queue, KV memory, speeds, prefix cache,
+//!   cold start, crash under load, faults. [`host`] drives it on sockets.
+//! - [`script`]: the answers of engines, controlled by markers in the prompt.
+//! - [`host`]: an engine that serves the engines' HTTP API.
+//! - [`platform`]: a mock of the platform around a front node: engines and discovery.
+//! - [`tool`]: a tool server that speaks MCP.
+//! - [`peer`]: a peer that responds with given bytes.
+//! - [`traffic`]: the log of what was seen, as JSON lines.
 //!
-//! These are models, not measurements of real engines.
+//! The engines are models. Their speeds are not measurements of real engines.
 
 pub mod host;
 pub mod model;
--- a/crates/standin/src/peer.rs
+++ b/crates/standin/src/peer.rs
@@ -1,5 +1,5 @@
-//! A scripted peer: answers each connection's first request with given bytes, for testing what a front makes of
-//! malformed answers.
+//! A scripted peer: responds to the first request of each connection with given bytes. Tests use it to check
+//! how a front handles malformed responses.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,14 +9,16 @@
 
 use crate::host::lock;
 
-/// What the peer does once it has read a request.
+/// What the peer does once it has received a request.
 #[derive(Clone, Debug)]
 pub struct Script {
+    /// The bytes to send.
     pub bytes: Vec<u8>,
-    /// Closes the connection after the bytes; otherwise it stays open without a word.
+    /// Closes the connection after the bytes; otherwise it stays open and nothing more is sent.
     pub close: bool,
 }
 
+/// A running scripted peer; it stops listening when dropped.
 pub struct Peer {
     addr: SocketAddr,
     stop: Stop,
@@ -24,14 +26,15 @@
 }
 
 impl Peer {
+    /// Starts a peer at this address.
     pub fn start(listen: SocketAddr, script: Script) -> std::io::Result<Peer> {
         let listener = Listener::bind(listen)?;
         let (addr, stop) = (listener.addr(), listener.stopper());
         let script = Arc::new(Mutex::new(script));
-        let shared = script.clone();
+        let current_script = script.clone();
         go(move || {
-            let each = move |mut conn: Conn| {
-                let script = lock(&shared).clone();
+            let on_connection = move |mut conn: Conn| {
+                let script = lock(&current_script).clone();
                 go(move || {
                     conn.set_read_timeout(Some(Duration::from_secs(20)));
                     let Ok(head) = conn.request() else { return };
@@ -44,15 +47,17 @@
                     conn.socket().shut();
                 });
             };
-            listener.serve(each, |_| {});
+            listener.serve(on_connection, |_| {});
         });
         Ok(Peer { addr, stop, script })
     }
 
+    /// The address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
+    /// Replaces the script for new connections.
     pub fn script(&self, script: Script) {
         *lock(&self.script) = script;
     }
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -1,4 +1,5 @@
-//! A tool server on a socket, speaking MCP: `stock` looks something up, `place_order` has a lasting effect.
+//! A mock tool server that speaks MCP over HTTP. The tool `stock` only returns data; `place_order` has a
+//! lasting effect.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,39 +15,43 @@
 use crate::host::lock;
 use crate::traffic::{Log, Seen};
 
-const IDLE: Duration = Duration::from_secs(120);
-const LOOK: Duration = Duration::from_millis(50);
+/// A connection that sends no request for this time is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// How often a hung call checks whether its peer is still connected.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The tools, and which have a lasting effect.
+/// Names of the tools, and whether each has a lasting effect.
 pub const TOOLS: [(&str, bool); 2] = [("stock", false), ("place_order", true)];
 
-/// What is wrong with a tool server.
+/// A fault of a tool server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ToolFault {
     #[default]
     None,
-    /// Runs the call, and answers so much later.
+    /// Runs the call and responds after this delay.
     Slow(Duration),
-    /// Takes calls, never runs or answers them.
+    /// Accepts calls and neither runs them nor responds.
     Hang,
-    /// Runs the call, and answers what is no JSON.
+    /// Runs the call and responds with invalid JSON.
     Garbled,
-    /// Runs the call, and closes the connection in place of an answer.
+    /// Runs the call and closes the connection without a response.
     Lost,
-    /// Answers each call with an internal error of JSON-RPC, without saying whether it ran (it did not).
+    /// Does not run the call and responds with the JSON-RPC internal error, which does not tell whether the
+    /// call ran.
     Error,
 }
 
+/// State shared by the connections of a tool server.
 struct Shared {
     name: String,
     addr: SocketAddr,
     log: Log,
     fault: Mutex<ToolFault>,
-    sockets: Mutex<HashMap<u64, Socket>>,
-    listening: Mutex<Option<Stop>>,
-    next: AtomicU64,
-    orders: AtomicU64,
-    sse: bool,
+    connections: Mutex<HashMap<u64, Socket>>,
+    listener_stop: Mutex<Option<Stop>>,
+    next_id: AtomicU64,
+    order_count: AtomicU64,
+    answers_by_stream: bool,
 }
 
 /// A running tool server.
@@ -55,7 +60,8 @@
 }
 
 impl ToolServer {
-    /// Starts one. `sse`: answers calls by a stream, as Streamable HTTP allows, in place of one JSON body.
+    /// Starts a tool server. With `sse` it responds to calls with an event stream, as Streamable HTTP allows,
+    /// instead of a JSON body.
     pub fn start(name: &str, listen: SocketAddr, sse: bool, log: Log) -> std::io::Result<ToolServer> {
         let listener = Listener::bind(listen)?;
         let shared = Arc::new(Shared {
@@ -63,206 +69,221 @@
             addr: listener.addr(),
             log,
             fault: Mutex::default(),
-            sockets: Mutex::default(),
-            listening: Mutex::new(None),
-            next: AtomicU64::new(1),
-            orders: AtomicU64::new(0),
-            sse,
+            connections: Mutex::default(),
+            listener_stop: Mutex::new(None),
+            next_id: AtomicU64::new(1),
+            order_count: AtomicU64::new(0),
+            answers_by_stream: sse,
         });
-        run(&shared, listener);
+        start_listening(&shared, listener);
         Ok(ToolServer { shared })
     }
 
+    /// The address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
+    /// Number of orders placed so far.
     pub fn orders(&self) -> u64 {
-        self.shared.orders.load(Ordering::SeqCst)
+        self.shared.order_count.load(Ordering::SeqCst)
     }
 
+    /// Sets the fault; it applies to later calls.
     pub fn fault(&self, fault: ToolFault) {
         *lock(&self.shared.fault) = fault;
     }
 
-    /// The process dies; what it has done stays done.
+    /// The process dies: its connections close. The orders placed so far still count.
     pub fn kill(&self) {
-        if let Some(stop) = lock(&self.shared.listening).take() {
+        if let Some(stop) = lock(&self.shared.listener_stop).take() {
             stop.stop();
-            for socket in lock(&self.shared.sockets).drain() {
-                socket.1.shut();
+            for connection in lock(&self.shared.connections).drain() {
+                connection.1.shut();
             }
         }
     }
 
+    /// Listens again at the same address if it was killed.
     pub fn revive(&self) -> std::io::Result<()> {
-        if lock(&self.shared.listening).is_none() {
-            run(&self.shared, Listener::bind(self.shared.addr)?);
+        if lock(&self.shared.listener_stop).is_none() {
+            start_listening(&self.shared, Listener::bind(self.shared.addr)?);
         }
         Ok(())
     }
 }
 
-fn run(shared: &Arc<Shared>, listener: Listener) {
-    *lock(&shared.listening) = Some(listener.stopper());
+/// Accepts connections and serves each in its own coroutine.
+fn start_listening(shared: &Arc<Shared>, listener: Listener) {
+    *lock(&shared.listener_stop) = Some(listener.stopper());
     let shared = shared.clone();
     go(move || {
-        let accept = {
+        let on_connection = {
             let shared = shared.clone();
             move |conn: Conn| {
-                let number = shared.next.fetch_add(1, Ordering::Relaxed);
-                lock(&shared.sockets).insert(number, conn.socket());
+                let connection_id = shared.next_id.fetch_add(1, Ordering::Relaxed);
+                lock(&shared.connections).insert(connection_id, conn.socket());
                 let shared = shared.clone();
                 go(move || {
-                    connection(&shared, conn);
-                    lock(&shared.sockets).remove(&number);
+                    serve_connection(&shared, conn);
+                    lock(&shared.connections).remove(&connection_id);
                 });
             }
         };
-        listener.serve(accept, |_| {});
+        listener.serve(on_connection, |_| {});
     });
 }
 
-fn connection(shared: &Arc<Shared>, mut conn: Conn) {
+/// Serves the requests of a connection in order.
+fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
     loop {
-        conn.set_read_timeout(Some(IDLE));
+        conn.set_read_timeout(Some(IDLE_TIMEOUT));
         let Ok(head) = conn.request() else { return };
         if conn.take_body(&head).is_err() {
             return;
         }
         let Ok(body) = conn.body(head.framing) else { return };
-        if !matches!(request(shared, &mut conn, &head, &body), Ok(true)) {
+        if !matches!(serve_request(shared, &mut conn, &head, &body), Ok(true)) {
             conn.socket().shut();
             return;
         }
     }
 }
 
-fn answer(conn: &mut Conn, status: u16, headers: &[(&str, &str)], body: &[u8]) -> Result<(), NetError> {
+/// Sends an HTTP response.
+fn send_response(
+    conn: &mut Conn,
+    status: u16,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> Result<(), NetError> {
     let mut out = Vec::new();
     http::write_response(status, headers, body, true, &mut out);
     conn.write(&out)
 }
 
-/// Answers one HTTP request; `false` ends the connection.
-fn request(
+/// Serves one HTTP request. Returns whether the connection stays open.
+fn serve_request(
     shared: &Arc<Shared>,
     conn: &mut Conn,
     head: &http::Request,
     body: &[u8],
 ) -> Result<bool, NetError> {
-    let json = [("content-type", "application/json")];
+    let json_headers = [("content-type", "application/json")];
     if head.method != "POST" {
-        answer(conn, 405, &[], b"")?;
+        send_response(conn, 405, &[], b"")?;
         return Ok(true);
     }
-    let said = match jsonrpc::parse(body) {
+    let reply = match jsonrpc::parse(body) {
         Err(invalid) => jsonrpc::response(invalid.id.as_ref(), Err(invalid.error)),
         Ok(Message::Notification { .. } | Message::Response { .. }) => {
-            answer(conn, 202, &[], b"")?;
+            send_response(conn, 202, &[], b"")?;
             return Ok(true);
         }
         Ok(Message::Request { id, method, params }) => match method.as_str() {
             "initialize" => {
-                let asked = params.get("protocolVersion").and_then(Value::as_str).unwrap_or_default();
-                let result = mcp::initialize_result(mcp::negotiate(asked), "stand-in-tools", "0.1.0");
-                let session = format!("{}-{}", shared.name, shared.next.fetch_add(1, Ordering::Relaxed));
-                let headers = [json[0], (mcp::SESSION_HEADER, session.as_str())];
-                answer(conn, 200, &headers, jsonrpc::response(Some(&id), Ok(result)).as_bytes())?;
+                let protocol_version =
+                    params.get("protocolVersion").and_then(Value::as_str).unwrap_or_default();
+                let result =
+                    mcp::initialize_result(mcp::negotiate(protocol_version), "stand-in-tools", "0.1.0");
+                let session = format!("{}-{}", shared.name, shared.next_id.fetch_add(1, Ordering::Relaxed));
+                let headers = [json_headers[0], (mcp::SESSION_HEADER, session.as_str())];
+                send_response(conn, 200, &headers, jsonrpc::response(Some(&id), Ok(result)).as_bytes())?;
                 return Ok(true);
             }
             "ping" => jsonrpc::response(Some(&id), Ok(json!({}))),
             "tools/list" => {
-                let tool = |(name, effect): (&str, bool)| mcp::Tool {
+                let describe = |(name, has_effect): (&str, bool)| mcp::Tool {
                     name: name.into(),
                     description: "A stand-in.".into(),
-                    read_only: !effect,
+                    read_only: !has_effect,
                 };
-                jsonrpc::response(Some(&id), Ok(mcp::tools_result(&TOOLS.map(tool))))
+                jsonrpc::response(Some(&id), Ok(mcp::tools_result(&TOOLS.map(describe))))
             }
-            "tools/call" => return call(shared, conn, head, &id, params),
+            "tools/call" => return serve_call(shared, conn, head, &id, params),
             _ => {
                 let error = RpcError::new(jsonrpc::METHOD_NOT_FOUND, format!("no method {method}"));
                 jsonrpc::response(Some(&id), Err(error))
             }
         },
     };
-    answer(conn, 200, &json, said.as_bytes())?;
+    send_response(conn, 200, &json_headers, reply.as_bytes())?;
     Ok(true)
 }
 
-fn call(
+/// Serves a tool call. Returns whether the connection stays open.
+fn serve_call(
     shared: &Arc<Shared>,
     conn: &mut Conn,
     head: &http::Request,
     id: &Id,
     params: serde_json::Map<String, Value>,
 ) -> Result<bool, NetError> {
-    let json = [("content-type", "application/json")];
+    let json_headers = [("content-type", "application/json")];
     let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
     let call = match mcp::call(params) {
         Ok(call) => call,
         Err(error) => {
-            answer(conn, 200, &json, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
+            send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
             return Ok(true);
         }
     };
-    let Some((_, effect)) = TOOLS.into_iter().find(|(name, _)| *name == call.name) else {
+    let Some((_, has_effect)) = TOOLS.into_iter().find(|(name, _)| *name == call.name) else {
         let error = RpcError::new(jsonrpc::INVALID_PARAMS, format!("no tool {}", call.name));
-        answer(conn, 200, &json, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
+        send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
         return Ok(true);
     };
-    let see = |what| shared.log.see(&shared.name, what);
-    let answered = |how: &str| see(Seen::ToolAnswered { rid: rid.clone(), how: how.into() });
-    see(Seen::ToolReceived { rid: rid.clone(), tool: call.name.clone(), effect });
+    let log_event = |event| shared.log.see(&shared.name, event);
+    let log_outcome = |outcome: &str| log_event(Seen::ToolAnswered { rid: rid.clone(), how: outcome.into() });
+    log_event(Seen::ToolReceived { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
     let fault = lock(&shared.fault).clone();
     match fault {
         ToolFault::Hang => {
             while conn.is_idle() {
-                sleep(LOOK);
+                sleep(PEER_CHECK_INTERVAL);
             }
-            answered("hung");
+            log_outcome("hung");
             return Ok(false);
         }
         ToolFault::Error => {
             let error = RpcError::new(jsonrpc::INTERNAL_ERROR, "out of order");
-            answered("error");
-            answer(conn, 200, &json, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
+            log_outcome("error");
+            send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
             return Ok(true);
         }
         _ => {}
     }
-    see(Seen::ToolRan { rid: rid.clone(), tool: call.name.clone(), effect });
-    let text = if effect {
-        format!("order {} placed", shared.orders.fetch_add(1, Ordering::SeqCst) + 1)
+    log_event(Seen::ToolRan { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
+    let result_text = if has_effect {
+        format!("order {} placed", shared.order_count.fetch_add(1, Ordering::SeqCst) + 1)
     } else {
         "12 in stock".to_owned()
     };
     match fault {
-        ToolFault::Slow(time) => sleep(time),
+        ToolFault::Slow(delay) => sleep(delay),
         ToolFault::Garbled => {
-            answered("garbled");
-            answer(conn, 200, &json, b"{\"jsonrpc\": \"2.0\", \"id\": ")?;
+            log_outcome("garbled");
+            send_response(conn, 200, &json_headers, b"{\"jsonrpc\": \"2.0\", \"id\": ")?;
             return Ok(true);
         }
         ToolFault::Lost => {
-            answered("lost");
+            log_outcome("lost");
             return Ok(false);
         }
         _ => {}
     }
-    let said = jsonrpc::response(Some(id), Ok(mcp::text_result(&text, false)));
-    let sent = if shared.sse {
+    let reply = jsonrpc::response(Some(id), Ok(mcp::text_result(&result_text, false)));
+    let sent = if shared.answers_by_stream {
         let mut event = Vec::new();
-        sse::write(Some("message"), &said, &mut event);
+        sse::write(Some("message"), &reply, &mut event);
         let mut out = Vec::new();
         http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
         http::write_chunk(&event, &mut out);
         out.extend_from_slice(http::LAST_CHUNK);
         conn.write(&out)
     } else {
-        answer(conn, 200, &json, said.as_bytes())
+        send_response(conn, 200, &json_headers, reply.as_bytes())
     };
-    answered(if sent.is_ok() { "answered" } else { "left" });
+    log_outcome(if sent.is_ok() { "answered" } else { "left" });
     sent.map(|()| true)
 }
