--- a/crates/standin/src/host/machine.rs
+++ b/crates/standin/src/host/machine.rs
@@ -29,7 +29,7 @@
 /// What connections and control calls ask of the driver.
 pub(crate) enum Command {
     /// Submit a job; its progress is sent to `updates`.
-    Start {
+    Submit {
         job: Job,
         rid: String,
         updates: Sender<JobUpdate>,
@@ -44,17 +44,17 @@
         id: JobId,
     },
     /// Release a held state, or cancel the read that would produce it.
-    Release {
+    ReleaseState {
         rid: String,
         reply: Sender<bool>,
     },
     /// A writer asks for a state. Replies with its size in tokens if it is held.
-    Claim {
+    ClaimState {
         rid: String,
         reply: Sender<Option<u64>>,
     },
     /// The writer has received the state.
-    Taken {
+    StateTaken {
         rid: String,
         reply: Sender<bool>,
     },
@@ -223,7 +223,7 @@
         self.expire_states(now);
         let mut events = Vec::new();
         match command {
-            Command::Start { job, rid, updates } => {
+            Command::Submit { job, rid, updates } => {
                 if job.task == Task::Read {
                     if self.aborted_requests.contains(&rid) {
                         let _ = updates.send(JobUpdate::Rejected(RejectReason::Full));
@@ -238,14 +238,14 @@
                 self.engine.finish_state_fetch(now, id, is_available, &mut events)
             }
             Command::Cancel { id } => self.cancel_job(now, id),
-            Command::Release { rid, reply } => {
+            Command::ReleaseState { rid, reply } => {
                 let _ = reply.send(self.release_request(now, &rid));
             }
-            Command::Claim { rid, reply } => {
+            Command::ClaimState { rid, reply } => {
                 let state = self.reads_by_request.get(&rid).filter(|(id, _)| self.engine.holds_state(*id));
                 let _ = reply.send(state.map(|(_, tokens)| *tokens));
             }
-            Command::Taken { rid, reply } => {
+            Command::StateTaken { rid, reply } => {
                 let is_taken =
                     self.reads_by_request.get(&rid).is_some_and(|(id, _)| self.engine.release_state(*id));
                 if is_taken {
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -232,12 +232,12 @@
                 engine::ABORT => {
                     shared.log_release(body);
                     let (reply, replies) = channel();
-                    shared.inbox.send(Command::Release { rid, reply });
+                    shared.inbox.send(Command::ReleaseState { rid, reply });
                     (200, json!({"success": replies.recv().unwrap_or(false)}))
                 }
                 CLAIM_PATH => {
                     let (reply, replies) = channel();
-                    shared.inbox.send(Command::Claim { rid, reply });
+                    shared.inbox.send(Command::ClaimState { rid, reply });
                     match replies.recv().unwrap_or(None) {
                         Some(tokens) => (200, json!({"tokens": tokens})),
                         None => (404, json!({})),
@@ -245,7 +245,7 @@
                 }
                 _ => {
                     let (reply, replies) = channel();
-                    shared.inbox.send(Command::Taken { rid, reply });
+                    shared.inbox.send(Command::StateTaken { rid, reply });
                     (if replies.recv().unwrap_or(false) { 200 } else { 404 }, json!({}))
                 }
             };
@@ -364,7 +364,7 @@
         prompt_tokens,
         answer_tokens: turn.token_count,
     };
-    shared.inbox.send(Command::Start { job, rid: rid.clone(), updates: updates_sender });
+    shared.inbox.send(Command::Submit { job, rid: rid.clone(), updates: updates_sender });
     let mut completion = Completion {
         shared,
         conn,
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! The id of a request selects what its engine does, so that a test reads as a list of cases: the engine that
 //! receives `spoilt-noise-7` answers with noise. The mock uses blocking sockets and one thread per
-//! connection, independent of the code under test.
+//! connection: simple enough that its record of the traffic can be trusted.
 
 mod discovery;
 mod engine;
