--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -19,7 +19,7 @@
 use crate::day::{Day, Front, Step};
 use crate::fleet::Fleet;
 use crate::report::Report;
-use crate::rules::{Figures, Repeat, judge};
+use crate::rules::{Figures, RepeatPolicy, judge};
 
 /// A front's start, and its end beyond its time to drain, take no longer.
 const START: Duration = Duration::from_secs(10);
@@ -197,17 +197,17 @@
 /// The rules' figures, as the fronts have them.
 pub fn figures(config: &Config) -> Figures {
     let repeat = |repeat| match repeat {
-        RepeatName::Safe => Repeat::Safe,
-        RepeatName::Unsafe => Repeat::Unsafe,
-        RepeatName::Keyed { memory, .. } => Repeat::Keyed { memory },
+        RepeatName::Safe => RepeatPolicy::Safe,
+        RepeatName::Unsafe => RepeatPolicy::Unsafe,
+        RepeatName::Keyed { memory, .. } => RepeatPolicy::Keyed { memory_us: memory },
     };
     Figures {
         classes: config.classes.iter().map(|class| (class.name.clone(), repeat(class.repeat))).collect(),
-        answer_slack: config.rules.answer_slack,
-        drain_grace: config.rules.drain_grace,
-        let_go: config.rules.let_go,
-        connect: config.rules.connect,
-        list_delay: 150_000,
+        answer_slack_us: config.rules.answer_slack,
+        drain_grace_us: config.rules.drain_grace,
+        release_deadline_us: config.rules.let_go,
+        connect_timeout_us: config.rules.connect,
+        list_delay_us: 150_000,
     }
 }
 
@@ -429,14 +429,16 @@
         let mut after_tool: HashSet<String> = HashSet::new();
         while let Ok(record) = tapped.recv() {
             match &record.what {
-                Seen::ToolReceived { rid, .. } => self.clients.tool_called(crate::rules::client(rid)),
+                Seen::ToolReceived { rid, .. } => {
+                    self.clients.tool_called(crate::rules::client_request_id(rid))
+                }
                 Seen::ToolRan { rid, effect: true, .. }
                     if self.kill_after_tool.load(Ordering::SeqCst) > 0 =>
                 {
-                    after_tool.insert(crate::rules::client(rid).to_owned());
+                    after_tool.insert(crate::rules::client_request_id(rid).to_owned());
                 }
                 Seen::Received { rid, task, .. }
-                    if task != "read" && after_tool.remove(crate::rules::client(rid)) =>
+                    if task != "read" && after_tool.remove(crate::rules::client_request_id(rid)) =>
                 {
                     self.kill_writer(&record.who);
                 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -9,7 +9,7 @@
 
 use crate::clients::Tally;
 use crate::day::{Day, Ended};
-use crate::rules::{Verdict, client};
+use crate::rules::{Verdict, client_request_id};
 
 /// Broken rules that a table shows, each.
 const SHOWN: usize = 5;
@@ -54,7 +54,7 @@
         for record in records {
             if let Seen::Received { rid, work: amount, .. } = &record.what {
                 work += amount;
-                lost += if served.contains(client(rid)) { 0.0 } else { *amount };
+                lost += if served.contains(client_request_id(rid)) { 0.0 } else { *amount };
             }
         }
         let wasted = if work > 0.0 { lost / work } else { 0.0 };
@@ -101,8 +101,10 @@
             (route.clone(), value)
         });
         let rules = self.verdicts.iter().map(|verdict| {
-            let broken = verdict.broken.iter().map(|b| json!({"at_us": b.at, "of": b.of, "how": b.how}));
-            json!({"rule": verdict.rule, "judged": verdict.judged, "broken": broken.collect::<Vec<_>>()})
+            let broken = verdict.broken.iter().map(|violation| {
+                json!({"at_us": violation.at_us, "of": violation.subject, "how": violation.description})
+            });
+            json!({"rule": verdict.rule, "judged": verdict.cases_judged, "broken": broken.collect::<Vec<_>>()})
         });
         json!({
             "rehearsal": self.name,
@@ -171,18 +173,18 @@
         writeln!(f, "{requests}\n")?;
         let mut rules = table(&["rule", "judged", "broken", "verdict"]);
         for verdict in &self.verdicts {
-            let said = match (verdict.broken.is_empty(), verdict.judged) {
+            let said = match (verdict.broken.is_empty(), verdict.cases_judged) {
                 (true, 0) => "not tried",
                 (true, _) => "kept",
                 (false, _) => "BROKEN",
             };
-            let cells = [right(verdict.judged), right(verdict.broken.len()), Cell::new(said)];
+            let cells = [right(verdict.cases_judged), right(verdict.broken.len()), Cell::new(said)];
             rules.add_row([Cell::new(verdict.rule)].into_iter().chain(cells));
         }
         writeln!(f, "{rules}")?;
         for verdict in &self.verdicts {
-            for broken in verdict.broken.iter().take(SHOWN) {
-                writeln!(f, "  {}: {}: {}", verdict.rule, broken.of, broken.how)?;
+            for violation in verdict.broken.iter().take(SHOWN) {
+                writeln!(f, "  {}: {}: {}", verdict.rule, violation.subject, violation.description)?;
             }
         }
         writeln!(
--- a/crates/rehearsal/src/rules/cold.rs
+++ b/crates/rehearsal/src/rules/cold.rs
@@ -1,4 +1,7 @@
-//! No cold server is pushed over: what all fronts together send it stays under a multiple of what it can do.
+//! Checks that all fronts together send a cold server no more work in a window than a multiple of what it can
+//! process at its present speed.
+//!
+//! Work that arrives before the fronts can have read that the server is running does not break the rule.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,76 +9,85 @@
 
 use super::{Figures, Verdict};
 
-/// Room for chance: a window may pass its budget by this share.
-const CHANCE: f64 = 0.1;
-/// The rule is broken if this share of the work came from fronts that had been told of the start.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+/// Arrivals are random: the work in a window may exceed its budget by this share.
+const BUDGET_TOLERANCE: f64 = 0.1;
+/// Excess work breaks the rule only if at least this share of it arrived after the fronts had been told of the start.
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-struct Cold {
-    since: u64,
-    cold_from: f64,
-    cold_for: u64,
-    multiple: f64,
-    window: u64,
-    told: Option<u64>,
-    /// Work of the present window, with its time.
-    work: VecDeque<(u64, f64)>,
-    broken: bool,
+struct ColdServer {
+    started_at: u64,
+    /// Share of the warm speed at the start.
+    initial_speed: f64,
+    warmup_us: u64,
+    max_multiple: f64,
+    window_us: u64,
+    /// When the fronts have read that the server is running.
+    informed_at: Option<u64>,
+    /// Time and amount of the work in the current window.
+    recent_work: VecDeque<(u64, f64)>,
+    has_violation: bool,
 }
 
+/// Checks the rule on all records.
 pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
     let mut verdict = Verdict::new("no cold server pushed over");
-    let mut cold: BTreeMap<&str, Cold> = BTreeMap::new();
+    let mut cold_servers: BTreeMap<&str, ColdServer> = BTreeMap::new();
     for record in records {
-        let who = record.who.as_str();
+        let source = record.who.as_str();
         match &record.what {
             Seen::Up { cold: true, cold_from, cold_for, fall_multiple, tip_after } => {
-                verdict.judged += 1;
-                let server = Cold {
-                    since: record.at,
-                    cold_from: *cold_from,
-                    cold_for: *cold_for,
-                    multiple: *fall_multiple,
-                    window: *tip_after,
-                    told: None,
-                    work: VecDeque::new(),
-                    broken: false,
+                verdict.cases_judged += 1;
+                let server = ColdServer {
+                    started_at: record.at,
+                    initial_speed: *cold_from,
+                    warmup_us: *cold_for,
+                    max_multiple: *fall_multiple,
+                    window_us: *tip_after,
+                    informed_at: None,
+                    recent_work: VecDeque::new(),
+                    has_violation: false,
                 };
-                cold.insert(who, server);
+                cold_servers.insert(source, server);
             }
             Seen::Up { cold: false, .. } | Seen::Down => {
-                cold.remove(who);
+                cold_servers.remove(source);
             }
             Seen::Listed { servers } => {
-                for (server, state) in servers {
-                    if let Some(cold) = cold.get_mut(server.as_str())
+                for (name, state) in servers {
+                    if let Some(server) = cold_servers.get_mut(name.as_str())
                         && state == "running"
                     {
-                        cold.told.get_or_insert(record.at + figures.list_delay);
+                        server.informed_at.get_or_insert(record.at + figures.list_delay_us);
                     }
                 }
             }
-            Seen::FellOver => verdict.broke(record.at, who, "it fell over"),
+            Seen::FellOver => verdict.add_violation(record.at, source, "the server fell over"),
             Seen::Received { work, .. } => {
-                let Some(server) = cold.get_mut(who) else { continue };
-                let age = record.at.saturating_sub(server.since);
-                if age > server.cold_for {
+                let Some(server) = cold_servers.get_mut(source) else { continue };
+                let age = record.at.saturating_sub(server.started_at);
+                if age > server.warmup_us {
                     continue;
                 }
-                server.work.push_back((record.at, *work));
-                while server.work.front().is_some_and(|(at, _)| at + server.window < record.at) {
-                    server.work.pop_front();
+                server.recent_work.push_back((record.at, *work));
+                while server.recent_work.front().is_some_and(|(at, _)| at + server.window_us < record.at) {
+                    server.recent_work.pop_front();
                 }
-                let warmth =
-                    server.cold_from + (1.0 - server.cold_from) * age as f64 / server.cold_for.max(1) as f64;
-                let budget = server.multiple * warmth * server.window as f64 * (1.0 + CHANCE);
-                let sent: f64 = server.work.iter().map(|(_, work)| work).sum();
-                let told = server.work.iter().filter(|(at, _)| server.told.is_some_and(|told| *at >= told));
-                let told: f64 = told.map(|(_, work)| work).sum();
-                if sent > budget && told >= TOLD_SHARE * sent && !server.broken {
-                    server.broken = true;
-                    let how = format!("sent {:.1} times its budget while cold", sent / budget);
-                    verdict.broke(record.at, who, how);
+                let speed = server.initial_speed
+                    + (1.0 - server.initial_speed) * age as f64 / server.warmup_us.max(1) as f64;
+                let budget = server.max_multiple * speed * server.window_us as f64 * (1.0 + BUDGET_TOLERANCE);
+                let total_work: f64 = server.recent_work.iter().map(|(_, work)| work).sum();
+                let informed_work = server
+                    .recent_work
+                    .iter()
+                    .filter(|(at, _)| server.informed_at.is_some_and(|informed_at| *at >= informed_at));
+                let informed_work: f64 = informed_work.map(|(_, work)| work).sum();
+                if total_work > budget
+                    && informed_work >= INFORMED_SHARE * total_work
+                    && !server.has_violation
+                {
+                    server.has_violation = true;
+                    let description = format!("sent {:.1} times its budget while cold", total_work / budget);
+                    verdict.add_violation(record.at, source, description);
                 }
             }
             _ => {}
--- a/crates/rehearsal/src/rules/effects.rs
+++ b/crates/rehearsal/src/rules/effects.rs
@@ -1,120 +1,125 @@
-//! No effect happens twice, and a refusal is given only where trying again is harmless.
+//! Checks that no effect happens twice, and that a request is refused only where the client can safely send it again.
+//!
+//! A request of an unsafe class must not be sent to a writer again after an attempt that may have run. A keyed one may
+//! be, as long as the engines still remember its key. Tool calls with an effect are never repeated unless the tool
+//! server proves that the call did not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderstage_standin::traffic::{Record, Seen};
 
-use super::{Figures, Repeat, Verdict, client, never_ran, turn};
+use super::{Figures, RepeatPolicy, Verdict, client_request_id, proves_not_run, turn_id};
 
-/// Answers of a tool server that prove that a call did not run. It gives none of them so far.
+/// The answer of a tool server that proves that a call did not run. The stand-in never gives it yet.
 const TOOL_NOT_RUN: &str = "not-run";
 
 #[derive(Default)]
 struct Turn {
-    /// Attempts at writers: when each came, and whether it is proved not to have run.
+    /// Attempts at writers: when each was received, its request id, and whether it is proven not to have run.
     attempts: Vec<(u64, String, bool)>,
 }
 
+/// Checks the rule on all records.
 pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
     let mut verdict = Verdict::new("no effect twice");
-    let mut classes: BTreeMap<&str, Repeat> = BTreeMap::new();
+    let mut policies: BTreeMap<&str, RepeatPolicy> = BTreeMap::new();
     let mut turns: BTreeMap<&str, Turn> = BTreeMap::new();
-    // By call: tries of a tool with an effect, and the effects that it had.
-    let mut calls: BTreeMap<&str, Vec<(u64, String, bool)>> = BTreeMap::new();
-    let mut ran: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut had_effect: BTreeSet<&str> = BTreeSet::new();
-    let mut refused: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut reached: BTreeSet<&str> = BTreeSet::new();
+    // By tool call with an effect: its attempts, as in `Turn::attempts`, and the number of effects that it had.
+    let mut call_attempts: BTreeMap<&str, Vec<(u64, String, bool)>> = BTreeMap::new();
+    let mut effect_counts: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut requests_with_effect: BTreeSet<&str> = BTreeSet::new();
+    let mut refused_at: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut received_ids: BTreeSet<&str> = BTreeSet::new();
     for record in records {
-        // One attempt is one send, over whichever addresses of whichever server.
+        // An attempt is sent once, whatever the number of servers and addresses that it could go to.
         if let Seen::Received { rid, .. } = &record.what
-            && !reached.insert(rid)
+            && !received_ids.insert(rid)
         {
-            verdict.broke(record.at, rid, "one attempt was received twice");
+            verdict.add_violation(record.at, rid, "one attempt was received twice");
         }
         match &record.what {
             Seen::Sent { rid, class, .. } => {
-                classes.insert(rid, figures.classes.get(class).copied().unwrap_or(Repeat::Unsafe));
+                policies.insert(rid, figures.classes.get(class).copied().unwrap_or(RepeatPolicy::Unsafe));
             }
             Seen::Received { rid, task, .. } if task != "read" => {
-                turns.entry(turn(rid)).or_default().attempts.push((record.at, rid.clone(), false));
+                turns.entry(turn_id(rid)).or_default().attempts.push((record.at, rid.clone(), false));
             }
-            Seen::Answered { rid, how } if never_ran(how) => {
-                if let Some(turn) = turns.get_mut(turn(rid))
-                    && let Some(attempt) = turn.attempts.iter_mut().rev().find(|(_, of, _)| of == rid)
+            Seen::Answered { rid, how } if proves_not_run(how) => {
+                if let Some(turn) = turns.get_mut(turn_id(rid))
+                    && let Some(attempt) = turn.attempts.iter_mut().rev().find(|(_, id, _)| id == rid)
                 {
                     attempt.2 = true;
                 }
             }
             Seen::ToolReceived { rid, effect: true, .. } => {
-                calls.entry(call(rid)).or_default().push((record.at, rid.clone(), false));
+                call_attempts.entry(tool_call_id(rid)).or_default().push((record.at, rid.clone(), false));
             }
             Seen::ToolAnswered { rid, how } if how == TOOL_NOT_RUN => {
-                if let Some(tries) = calls.get_mut(call(rid))
-                    && let Some(one) = tries.iter_mut().rev().find(|(_, of, _)| of == rid)
+                if let Some(attempts) = call_attempts.get_mut(tool_call_id(rid))
+                    && let Some(attempt) = attempts.iter_mut().rev().find(|(_, id, _)| id == rid)
                 {
-                    one.2 = true;
+                    attempt.2 = true;
                 }
             }
             Seen::ToolRan { rid, effect: true, .. } => {
-                *ran.entry(call(rid)).or_default() += 1;
-                had_effect.insert(client(rid));
-                if ran.get(call(rid)).is_some_and(|times| *times > 1) {
-                    verdict.broke(record.at, rid, "a tool call had its effect twice");
+                *effect_counts.entry(tool_call_id(rid)).or_default() += 1;
+                requests_with_effect.insert(client_request_id(rid));
+                if effect_counts.get(tool_call_id(rid)).is_some_and(|count| *count > 1) {
+                    verdict.add_violation(record.at, rid, "a tool call had its effect twice");
                 }
             }
             Seen::Final { rid, outcome, .. } if outcome == "refused" => {
-                refused.insert(rid, record.at);
+                refused_at.insert(rid, record.at);
             }
             _ => {}
         }
     }
-    for (of, turn) in &turns {
-        let class = classes.get(client(of)).copied().unwrap_or(Repeat::Unsafe);
-        verdict.judged += 1;
-        let mut may_have_run: Option<u64> = None;
-        for (at, rid, proved) in &turn.attempts {
-            if let Some(first) = may_have_run {
-                match class {
-                    Repeat::Safe => {}
-                    Repeat::Keyed { memory } if *at <= first + memory => {}
-                    Repeat::Keyed { .. } => {
-                        verdict.broke(*at, rid, "sent again after the engines had forgotten its key");
+    for (turn_id, turn) in &turns {
+        let policy = policies.get(client_request_id(turn_id)).copied().unwrap_or(RepeatPolicy::Unsafe);
+        verdict.cases_judged += 1;
+        let mut may_have_run_at: Option<u64> = None;
+        for (at, rid, is_proven_not_run) in &turn.attempts {
+            if let Some(first_at) = may_have_run_at {
+                match policy {
+                    RepeatPolicy::Safe => {}
+                    RepeatPolicy::Keyed { memory_us } if *at <= first_at + memory_us => {}
+                    RepeatPolicy::Keyed { .. } => {
+                        verdict.add_violation(*at, rid, "sent again after the engines had forgotten its key");
                     }
-                    Repeat::Unsafe => {
-                        verdict.broke(*at, rid, "sent again after an attempt that may have run");
+                    RepeatPolicy::Unsafe => {
+                        verdict.add_violation(*at, rid, "sent again after an attempt that may have run");
                     }
                 }
             }
-            if !proved {
-                may_have_run = may_have_run.or(Some(*at));
+            if !is_proven_not_run {
+                may_have_run_at = may_have_run_at.or(Some(*at));
             }
         }
-        let request = client(of);
-        if class == Repeat::Unsafe
-            && may_have_run.is_some()
-            && let Some(at) = refused.get(request)
+        let request_id = client_request_id(turn_id);
+        if policy == RepeatPolicy::Unsafe
+            && may_have_run_at.is_some()
+            && let Some(at) = refused_at.get(request_id)
         {
-            verdict.broke(*at, request, "refused although an attempt may have run");
+            verdict.add_violation(*at, request_id, "refused although an attempt may have run");
         }
     }
-    for tries in calls.values() {
-        verdict.judged += 1;
-        for pair in tries.windows(2) {
+    for attempts in call_attempts.values() {
+        verdict.cases_judged += 1;
+        for pair in attempts.windows(2) {
             if !pair[0].2 {
-                verdict.broke(pair[1].0, &pair[1].1, "a tool call with an effect was made again");
+                verdict.add_violation(pair[1].0, &pair[1].1, "a tool call with an effect was made again");
             }
         }
     }
-    for (rid, at) in &refused {
-        if had_effect.contains(rid) {
-            verdict.broke(*at, rid, "refused although a tool had its effect");
+    for (rid, at) in &refused_at {
+        if requests_with_effect.contains(rid) {
+            verdict.add_violation(*at, rid, "refused although a tool had its effect");
         }
     }
     verdict
 }
 
-/// The call of a tool request id, `c17/1/t0` of `c17/1/t0.2`.
-fn call(rid: &str) -> &str {
+/// The part of a tool request id that names the call, without the attempt: `c17/1/t0` of `c17/1/t0.2`.
+fn tool_call_id(rid: &str) -> &str {
     rid.rfind('.').map_or(rid, |at| &rid[..at])
 }
--- a/crates/rehearsal/src/rules/mod.rs
+++ b/crates/rehearsal/src/rules/mod.rs
@@ -1,7 +1,8 @@
-//! The five rules, judged from what was seen on the sockets and nothing else.
+//! Checks the five rules of a rehearsal on the recorded traffic.
 //!
-//! The checker knows the traffic of clients, engines and tool servers, the lists that were handed out, when fronts
-//! were started, told to drain or killed, and the figures of the configuration. It asks no front anything.
+//! The checks use only what was seen on the sockets of clients, engines and tool servers, the server lists that were
+//! handed out, when fronts were started, told to drain or killed, and the configured limits. They never ask a front
+//! for its own view, so that a fault of a front cannot hide itself.
 
 mod answered;
 mod cold;
@@ -13,59 +14,70 @@
 
 use elderstage_standin::traffic::{Record, Seen};
 
-/// What a repeat of a class may do.
+/// Whether a request of a class may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
+    /// A repeat is always allowed.
     Safe,
-    /// Repeats are dropped by the engines for so long after the first send that may have run, in microseconds.
+    /// Engines drop repeats by their key for this time after the first attempt that may have run.
     Keyed {
-        memory: u64,
+        /// In microseconds.
+        memory_us: u64,
     },
+    /// A repeat is never allowed.
     Unsafe,
 }
 
-/// The figures of the rules; times in microseconds.
+/// The configured limits that the rules are checked against. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    pub classes: BTreeMap<String, Repeat>,
-    pub answer_slack: u64,
-    pub drain_grace: u64,
-    pub let_go: u64,
-    /// How long an attempt may be out without being seen: the time to connect.
-    pub connect: u64,
-    /// How late a list may be read by a front that follows a file.
-    pub list_delay: u64,
+    /// Repeat policy of each class, by the class's name.
+    pub classes: BTreeMap<String, RepeatPolicy>,
+    /// How much later than the class's timeout an answer may come.
+    pub answer_slack_us: u64,
+    /// How long a server may still get new work after it is listed as draining or gone.
+    pub drain_grace_us: u64,
+    /// How long a state may wait for its release while no attempt is in flight.
+    pub release_deadline_us: u64,
+    /// Time to connect: an attempt may be in flight for this long before an engine sees it.
+    pub connect_timeout_us: u64,
+    /// How late a front that follows a list file may read a new list.
+    pub list_delay_us: u64,
 }
 
-/// One way in which a rule was broken.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Break {
-    pub at: u64,
-    /// The request or server that it is about.
-    pub of: String,
-    pub how: String,
+pub struct Violation {
+    /// Microseconds of Unix time.
+    pub at_us: u64,
+    /// Id of the request or name of the server concerned.
+    pub subject: String,
+    /// What happened.
+    pub description: String,
 }
 
-/// What became of one rule.
+/// The result of the check of one rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// The rule's name in reports.
     pub rule: &'static str,
-    /// Cases that were judged; a rule that was never put to the test proves nothing.
-    pub judged: u64,
-    pub broken: Vec<Break>,
+    /// Number of cases that the check applied to. With 0 cases, the absence of violations proves nothing.
+    pub cases_judged: u64,
+    /// All violations, in no particular order.
+    pub broken: Vec<Violation>,
 }
 
 impl Verdict {
     fn new(rule: &'static str) -> Verdict {
-        Verdict { rule, judged: 0, broken: Vec::new() }
+        Verdict { rule, cases_judged: 0, broken: Vec::new() }
     }
 
-    fn broke(&mut self, at: u64, of: &str, how: impl Into<String>) {
-        self.broken.push(Break { at, of: of.into(), how: how.into() });
+    fn add_violation(&mut self, at_us: u64, subject: &str, description: impl Into<String>) {
+        self.broken.push(Violation { at_us, subject: subject.into(), description: description.into() });
     }
 }
 
-/// Judges all five rules. Records must be in the order of their times.
+/// Checks all five rules. The records must be ordered by time.
 pub fn judge(records: &[Record], figures: &Figures) -> [Verdict; 5] {
     [
         answered::judge(records, figures),
@@ -76,36 +88,36 @@
     ]
 }
 
-/// The client's request of an engine's or tool's request id, `c17` of `c17/2/0`.
-pub(crate) fn client(rid: &str) -> &str {
+/// The id of the client's request, as part of an engine's or tool's request id: `c17` of `c17/2/0`.
+pub(crate) fn client_request_id(rid: &str) -> &str {
     rid.split('/').next().unwrap_or(rid)
 }
 
-/// The turn of an engine's or tool's request id, `c17/2` of `c17/2/0`.
-pub(crate) fn turn(rid: &str) -> &str {
+/// The id of the turn, as part of an engine's or tool's request id: `c17/2` of `c17/2/0`.
+pub(crate) fn turn_id(rid: &str) -> &str {
     rid.rfind('/').map_or(rid, |at| &rid[..at])
 }
 
-/// Answers of an engine that prove that nothing ran.
-pub(crate) fn never_ran(how: &str) -> bool {
+/// Whether an engine's answer proves that the attempt did not run.
+pub(crate) fn proves_not_run(how: &str) -> bool {
     matches!(how, "full" | "no-state")
 }
 
-/// When each front was killed outright.
-pub(crate) fn killed(records: &[Record]) -> BTreeMap<&str, Vec<u64>> {
-    let mut killed: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
+/// The times at which each front was killed without a drain.
+pub(crate) fn kill_times(records: &[Record]) -> BTreeMap<&str, Vec<u64>> {
+    let mut kill_times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
         if let Seen::Front { front, what } = &record.what
             && what == "killed"
         {
-            killed.entry(front).or_default().push(record.at);
+            kill_times.entry(front).or_default().push(record.at);
         }
     }
-    killed
+    kill_times
 }
 
-/// The front that each request of a client went to.
-pub(crate) fn fronts(records: &[Record]) -> BTreeMap<&str, (&str, u64)> {
+/// By client request: the front that it was sent to, and when.
+pub(crate) fn fronts_by_request(records: &[Record]) -> BTreeMap<&str, (&str, u64)> {
     let mut fronts = BTreeMap::new();
     for record in records {
         if let Seen::Sent { rid, front, .. } = &record.what {
--- a/crates/rehearsal/src/rules/pinned.rs
+++ b/crates/rehearsal/src/rules/pinned.rs
@@ -1,85 +1,92 @@
-//! Nothing is left pinned: a state that waits while no attempt of its request is out is taken or let go of in time.
+//! Checks that no prefilled state stays held: while no attempt of its turn is in flight, it is taken or released
+//! within the release deadline plus the connect timeout.
+//!
+//! The time without an attempt starts anew whenever an attempt ends. States whose front was killed are exempt.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderstage_standin::traffic::{Record, Seen};
 
-use super::{Figures, Verdict, client, fronts, killed, turn};
+use super::{Figures, Verdict, client_request_id, fronts_by_request, kill_times, turn_id};
 
-struct Held {
-    since: u64,
-    /// When no attempt of the turn was out any more.
-    idle: Option<u64>,
+struct HeldState {
+    held_since: u64,
+    /// Since when no attempt of the turn is in flight.
+    idle_since: Option<u64>,
 }
 
+/// Checks the rule on all records.
 pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
     let mut verdict = Verdict::new("nothing left pinned");
-    let (killed, fronts) = (killed(records), fronts(records));
-    // What a front held when it was killed is not its to let go of.
-    let excused = |rid: &str, at: u64| {
-        fronts.get(client(rid)).is_none_or(|(front, sent)| {
-            killed.get(front).is_some_and(|times| times.iter().any(|time| (*sent..=at).contains(time)))
+    let (kill_times, fronts) = (kill_times(records), fronts_by_request(records));
+    // A front that was killed cannot release what it held.
+    let is_exempt = |rid: &str, at: u64| {
+        fronts.get(client_request_id(rid)).is_none_or(|(front, sent_at)| {
+            kill_times.get(front).is_some_and(|times| times.iter().any(|time| (*sent_at..=at).contains(time)))
         })
     };
-    let limit = figures.let_go + figures.connect;
-    let mut held: BTreeMap<&str, Held> = BTreeMap::new();
-    // Attempts that are out, by turn.
-    let mut out: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-    let mut judge_one = |rid: &str, held: Held, at: u64| {
-        verdict.judged += 1;
-        let idle = held.idle.unwrap_or(at);
-        if at.saturating_sub(idle) > limit && !excused(rid, at) {
-            let how = format!("its state waited {} ms with no attempt out", (at - idle) / 1000);
-            verdict.broke(at, rid, how);
+    let limit_us = figures.release_deadline_us + figures.connect_timeout_us;
+    let mut held_states: BTreeMap<&str, HeldState> = BTreeMap::new();
+    // Attempts in flight, by turn.
+    let mut in_flight: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
+    let mut judge_state = |rid: &str, state: HeldState, at: u64| {
+        verdict.cases_judged += 1;
+        let idle_since = state.idle_since.unwrap_or(at);
+        if at.saturating_sub(idle_since) > limit_us && !is_exempt(rid, at) {
+            let description =
+                format!("its state waited {} ms with no attempt in flight", (at - idle_since) / 1000);
+            verdict.add_violation(at, rid, description);
         }
     };
     for record in records {
         match &record.what {
             Seen::Received { rid, task, .. } if task != "read" => {
-                out.entry(turn(rid)).or_default().insert(rid);
-                // The present wait is over once an attempt is out.
-                let waiting: Vec<&str> = held.keys().copied().filter(|of| turn(of) == turn(rid)).collect();
-                for of in waiting {
-                    if let Some(state) = held.get_mut(of)
-                        && let Some(idle) = state.idle.take()
-                        && record.at.saturating_sub(idle) > limit
+                in_flight.entry(turn_id(rid)).or_default().insert(rid);
+                // The attempt ends the current idle time of the turn's states.
+                let waiting: Vec<&str> =
+                    held_states.keys().copied().filter(|id| turn_id(id) == turn_id(rid)).collect();
+                for id in waiting {
+                    if let Some(state) = held_states.get_mut(id)
+                        && let Some(idle_since) = state.idle_since.take()
+                        && record.at.saturating_sub(idle_since) > limit_us
                     {
-                        let since = state.since;
-                        judge_one(of, Held { since, idle: Some(idle) }, record.at);
+                        let held_since = state.held_since;
+                        judge_state(id, HeldState { held_since, idle_since: Some(idle_since) }, record.at);
                     }
                 }
             }
             Seen::Answered { rid, .. } => {
-                let busy = out.get_mut(turn(rid)).is_some_and(|attempts| {
+                let has_attempts = in_flight.get_mut(turn_id(rid)).is_some_and(|attempts| {
                     attempts.remove(rid.as_str());
                     !attempts.is_empty()
                 });
-                if !busy {
-                    for (of, state) in &mut held {
-                        if turn(of) == turn(rid) {
-                            state.idle.get_or_insert(record.at);
+                if !has_attempts {
+                    for (id, state) in &mut held_states {
+                        if turn_id(id) == turn_id(rid) {
+                            state.idle_since.get_or_insert(record.at);
                         }
                     }
                 }
             }
             Seen::StateHeld { rid } => {
-                let idle = out.get(turn(rid)).is_none_or(BTreeSet::is_empty).then_some(record.at);
-                held.insert(rid, Held { since: record.at, idle });
+                let idle_since =
+                    in_flight.get(turn_id(rid)).is_none_or(BTreeSet::is_empty).then_some(record.at);
+                held_states.insert(rid, HeldState { held_since: record.at, idle_since });
             }
             Seen::StateTaken { rid }
             | Seen::StateReleased { rid }
             | Seen::ReleaseAsked { rid }
             | Seen::StateLost { rid } => {
-                if let Some(state) = held.remove(rid.as_str()) {
-                    judge_one(rid, state, record.at);
+                if let Some(state) = held_states.remove(rid.as_str()) {
+                    judge_state(rid, state, record.at);
                 }
             }
             _ => {}
         }
     }
     let end = records.last().map_or(0, |record| record.at);
-    for (rid, state) in held {
-        judge_one(rid, state, end);
+    for (rid, state) in held_states {
+        judge_state(rid, state, end);
     }
     verdict
 }
