--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,4 +1,7 @@
-//! Scripted clients: MCP over Streamable HTTP, each request planned ahead from the day's seed.
+//! The clients of a rehearsal: they speak MCP over Streamable HTTP and log what they send and receive.
+//!
+//! All requests are planned ahead from the day's seed, so that the same seed gives the same prompts, times and client
+//! behaviors. Whether an answer keeps the rules is checked elsewhere, in [`crate::rules`].
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,71 +21,82 @@
 
 use crate::day::Load;
 
-/// Name under which clients log.
-const WHO: &str = "clients";
-/// Past the longest time to a final answer, a client waits so much more before it calls the answer missing.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Longest advice that clients follow.
-const ADVICE: Duration = Duration::from_secs(2);
-/// Three significant digits are what a table shows.
-const DIGITS: u8 = 3;
-/// Conversation turns that a session's text holds at most.
-const SESSION_BYTES: usize = 12_000;
+/// The source of the clients' records in the traffic log.
+const LOG_SOURCE: &str = "clients";
+/// A client waits this much longer than the route's timeout before it counts the answer as missing.
+const ANSWER_GRACE: Duration = Duration::from_secs(3);
+/// Longest delay before a retry that clients accept from a front.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Significant digits of histograms: as many as the report's tables show.
+const HISTOGRAM_DIGITS: u8 = 3;
+/// A session's prompt that is longer than this starts anew.
+const MAX_SESSION_BYTES: usize = 12_000;
 
+/// Locks a mutex, also one that a thread held when it panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How a client behaves.
+/// How a client behaves while it waits for the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    Patient,
+pub enum ClientBehavior {
+    /// Reads the answer to its end.
+    ReadToEnd,
     /// Closes its connection after this time.
-    Leave(Duration),
-    /// Cancels by a notification after this time.
+    Disconnect(Duration),
+    /// Sends an MCP cancellation after this time.
     Cancel(Duration),
-    /// Cancels when the tool server has got its call.
-    CancelInCall,
-    /// Reads nothing for this time, after its first text.
-    Slow(Duration),
+    /// Sends an MCP cancellation when the tool server has received a call of the request.
+    CancelDuringToolCall,
+    /// Stops reading for this time after the first piece of text.
+    PauseReading(Duration),
 }
 
-/// One request, planned.
+/// A client's request as planned from the day's seed.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct PlannedRequest {
+    /// Number of the request within the day, from 0.
     pub number: u64,
-    /// Since the start of the day.
-    pub at: Duration,
+    /// When it is sent, since the start of the day.
+    pub starts_at: Duration,
+    /// Route that it calls as an MCP tool.
     pub route: String,
+    /// Text of the prompt, with the stand-ins' directives at its end.
     pub prompt: String,
+    /// Conversation that it continues, if any.
     pub session: Option<String>,
-    pub manner: Manner,
+    /// How the client behaves.
+    pub behavior: ClientBehavior,
 }
 
-/// Plans a day's requests.
-pub fn plan(load: &Load, seed: u64) -> Vec<Planned> {
+/// Plans the requests of a day: the same load and seed always give the same plan.
+pub fn plan_requests(load: &Load, seed: u64) -> Vec<PlannedRequest> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let total: f64 = load.mix.iter().map(|mix| mix.share).sum();
-    let mut at = 0.0;
+    let total_share: f64 = load.mix.iter().map(|mix| mix.share).sum();
+    let mut starts_at = 0.0;
     let mut planned = Vec::new();
     let mut texts: HashMap<u64, String> = HashMap::new();
     for number in 0..load.requests {
-        at += -rng.random_range(f64::EPSILON..1.0).ln() / load.rate;
-        let mut left = rng.random_range(0.0..total.max(f64::EPSILON));
+        starts_at += -rng.random_range(f64::EPSILON..1.0).ln() / load.requests_per_s;
+        let mut remaining = rng.random_range(0.0..total_share.max(f64::EPSILON));
         let mix = load.mix.iter().find(|mix| {
-            left -= mix.share;
-            left < 0.0
+            remaining -= mix.share;
+            remaining < 0.0
         });
         let Some(mix) = mix.or(load.mix.last()) else { break };
-        let between = |rng: &mut ChaCha8Rng, (from, to): (f64, f64)| {
+        let log_uniform = |rng: &mut ChaCha8Rng, (from, to): (f64, f64)| {
             if to > from { (rng.random_range(from.ln()..to.ln())).exp() } else { from }
         };
-        let (bytes, words) = (between(&mut rng, load.prompt) as usize, between(&mut rng, load.words) as u64);
-        let calls = mix.tool.as_ref().filter(|(_, share)| rng.random_bool(share.clamp(0.0, 1.0)));
-        let session =
-            rng.random_bool(load.sessions.0.clamp(0.0, 1.0)).then(|| rng.random_range(0..load.sessions.1));
+        let (bytes, words) = (
+            log_uniform(&mut rng, load.prompt_bytes) as usize,
+            log_uniform(&mut rng, load.answer_words) as u64,
+        );
+        let tool_call = mix.tool.as_ref().filter(|(_, share)| rng.random_bool(share.clamp(0.0, 1.0)));
+        let session = rng
+            .random_bool(load.session_share.0.clamp(0.0, 1.0))
+            .then(|| rng.random_range(0..load.session_share.1));
         let mut prompt = session.and_then(|session| texts.get(&session).cloned()).unwrap_or_default();
-        if prompt.len() > SESSION_BYTES {
+        if prompt.len() > MAX_SESSION_BYTES {
             prompt.clear();
         }
         while prompt.len() < bytes {
@@ -92,58 +106,67 @@
             texts.insert(session, prompt.clone());
         }
         prompt.push_str(&format!("[words {words}]"));
-        if let Some((tool, _)) = calls {
+        if let Some((tool, _)) = tool_call {
             prompt.push_str(&format!("[call {tool}]"));
         }
-        let soon = |rng: &mut ChaCha8Rng| Duration::from_millis(rng.random_range(1..1_500));
+        let delay = |rng: &mut ChaCha8Rng| Duration::from_millis(rng.random_range(1..1_500));
         let draw: f64 = rng.random();
-        let in_call = if calls.is_some() { load.cancel_in_call } else { 0.0 };
-        let bounds = [load.leave, load.cancel, in_call, load.slow];
-        let mut upto = 0.0;
-        let manner = bounds.iter().position(|share| {
-            upto += share;
-            draw < upto
+        let cancel_in_call_share = if tool_call.is_some() { load.cancel_in_call_share } else { 0.0 };
+        let shares = [load.disconnect_share, load.cancel_share, cancel_in_call_share, load.pause_share];
+        let mut cumulative = 0.0;
+        let behavior = shares.iter().position(|share| {
+            cumulative += share;
+            draw < cumulative
         });
-        let manner = match manner {
-            Some(0) => Manner::Leave(soon(&mut rng)),
-            Some(1) => Manner::Cancel(soon(&mut rng)),
-            Some(2) => Manner::CancelInCall,
-            Some(3) => Manner::Slow(soon(&mut rng)),
-            _ => Manner::Patient,
+        let behavior = match behavior {
+            Some(0) => ClientBehavior::Disconnect(delay(&mut rng)),
+            Some(1) => ClientBehavior::Cancel(delay(&mut rng)),
+            Some(2) => ClientBehavior::CancelDuringToolCall,
+            Some(3) => ClientBehavior::PauseReading(delay(&mut rng)),
+            _ => ClientBehavior::ReadToEnd,
         };
-        planned.push(Planned {
+        planned.push(PlannedRequest {
             number,
-            at: Duration::from_secs_f64(at),
+            starts_at: Duration::from_secs_f64(starts_at),
             route: mix.route.clone(),
             prompt,
             session: session.map(|session| format!("s{session}")),
-            manner,
+            behavior,
         });
     }
     planned
 }
 
-/// What became of the requests of one route.
+/// Counts and latencies of the requests of one route. Each retry counts as a request.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct RouteTally {
+    /// Requests that were sent.
     pub sent: u64,
+    /// Requests that got a complete answer.
     pub served: u64,
+    /// Requests that the front refused.
     pub refused: u64,
+    /// Requests that the front answered with any other error.
     pub failed: u64,
+    /// Requests whose client disconnected or cancelled.
     pub left: u64,
+    /// Requests whose connection broke, or whose answer was malformed.
     pub lost: u64,
+    /// Requests without a final answer within the route's timeout and a grace.
     pub missing: u64,
-    /// Milliseconds to the first text and to the end, of what was served.
-    pub first: Histogram<u64>,
-    pub total: Histogram<u64>,
+    /// Microseconds to the first text of the served requests.
+    pub first_text_us: Histogram<u64>,
+    /// Microseconds to the end of the served requests.
+    pub total_us: Histogram<u64>,
 }
 
-impl Tally {
-    fn new() -> Tally {
-        // Bounds are good for an hour in microseconds; both are constants that the library accepts.
-        let histogram =
-            || Histogram::new_with_bounds(1, 3_600_000_000, DIGITS).unwrap_or_else(|_| unreachable!());
-        Tally {
+impl RouteTally {
+    fn new() -> RouteTally {
+        // Up to an hour in microseconds. Both bounds are constants that the library accepts.
+        let histogram = || {
+            Histogram::new_with_bounds(1, 3_600_000_000, HISTOGRAM_DIGITS).unwrap_or_else(|_| unreachable!())
+        };
+        RouteTally {
             sent: 0,
             served: 0,
             refused: 0,
@@ -151,51 +174,67 @@
             left: 0,
             lost: 0,
             missing: 0,
-            first: histogram(),
-            total: histogram(),
+            first_text_us: histogram(),
+            total_us: histogram(),
         }
     }
 }
 
-/// A front as clients see it.
+/// A front that clients may send requests to.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct FrontTarget {
+    /// The front's name.
     pub name: String,
+    /// Address that it listens on.
     pub addr: SocketAddr,
+    /// MCP session that was opened at its start, if it gave one.
     pub session: Option<String>,
-    pub open: bool,
+    /// Whether clients send new requests to it.
+    pub is_enabled: bool,
 }
 
-/// What a route's clients are told: its class, and the longest time to a final answer.
+/// What clients know of a route: its class and the longest time to a final answer.
 #[derive(Clone, Debug)]
-pub struct Promise {
+pub struct RouteTimeout {
+    /// Name of the route's class.
     pub class: String,
+    /// Longest time to a final answer.
     pub total: Duration,
 }
 
-/// Everything that clients share.
+/// State that all clients share.
 pub struct Clients {
+    /// The traffic log.
     pub log: Log,
-    pub doors: Mutex<Vec<Door>>,
-    pub promises: BTreeMap<String, Promise>,
+    /// The fronts, in the order of the script.
+    pub fronts: Mutex<Vec<FrontTarget>>,
+    /// Class and timeout of each route.
+    pub route_timeouts: BTreeMap<String, RouteTimeout>,
+    /// How often a client retries a refused request.
     pub retries: u32,
-    pub tallies: Mutex<BTreeMap<String, Tally>>,
+    /// Results by route.
+    pub tallies: Mutex<BTreeMap<String, RouteTally>>,
+    /// Clients that still run.
     pub active: AtomicUsize,
+    /// Idle connections by address of the front.
     idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
-    /// Requests that are out, for those that cancel: the front, the session and the JSON-RPC id.
-    out: Mutex<HashMap<String, Out>>,
+    /// Requests in flight by request id, with what a cancellation needs.
+    in_flight: Mutex<HashMap<String, InFlightRequest>>,
 }
 
-/// A request that is out.
-struct Out {
+/// A request in flight: where a cancellation goes, and what it names.
+struct InFlightRequest {
     addr: SocketAddr,
     session: Option<String>,
+    /// JSON-RPC id.
     id: i64,
-    manner: Manner,
+    behavior: ClientBehavior,
 }
 
-enum End {
+/// How a request ended for its client.
+enum RequestEnd {
     Served,
+    /// With the front's advice when to retry, in milliseconds.
     Refused(Option<u64>),
     Failed,
     Left,
@@ -204,20 +243,21 @@
 }
 
 impl Clients {
-    pub fn new(log: Log, promises: BTreeMap<String, Promise>, retries: u32) -> Arc<Clients> {
+    /// Creates the shared state. The fronts are added as they start.
+    pub fn new(log: Log, route_timeouts: BTreeMap<String, RouteTimeout>, retries: u32) -> Arc<Clients> {
         Arc::new(Clients {
             log,
-            doors: Mutex::default(),
-            promises,
+            fronts: Mutex::default(),
+            route_timeouts,
             retries,
             tallies: Mutex::default(),
             active: AtomicUsize::new(0),
             idle: Mutex::default(),
-            out: Mutex::default(),
+            in_flight: Mutex::default(),
         })
     }
 
-    /// Opens a session at a front, as any MCP client does first.
+    /// Sends the MCP `initialize` request to a front and returns the session that it gives, if any.
     pub fn initialize(addr: SocketAddr) -> Result<Option<String>, NetError> {
         let to = Endpoint::new(addr, "/mcp");
         let body = mcp::initialize_request(&Id::Number(0), "rehearsal", "0.1.0");
@@ -227,51 +267,56 @@
         Ok(answer.head.headers.get(mcp::SESSION_HEADER).map(str::to_owned))
     }
 
-    /// Runs one planned request to its end, with its retries. Runs in a coroutine.
-    pub fn run(&self, planned: &Planned) {
+    /// Runs a planned request and its retries to the end. Must be called in a coroutine.
+    pub fn run_request(&self, planned: &PlannedRequest) {
         for retry in 0..=self.retries {
             let rid = if retry == 0 {
                 format!("c{}", planned.number)
             } else {
                 format!("c{}r{retry}", planned.number)
             };
-            // Another front each time, as a balancer would have it; closed ones are passed over.
-            let door = {
-                let doors = lock(&self.doors);
-                let open: Vec<&Door> = doors.iter().filter(|door| door.open).collect();
-                let at = planned.number as usize + retry as usize;
-                if open.is_empty() { None } else { Some(open[at % open.len()].clone()) }
+            // Each request and each retry goes to the next front, as a load balancer would do it.
+            let front = {
+                let fronts = lock(&self.fronts);
+                let enabled: Vec<&FrontTarget> = fronts.iter().filter(|front| front.is_enabled).collect();
+                let index = planned.number as usize + retry as usize;
+                if enabled.is_empty() { None } else { Some(enabled[index % enabled.len()].clone()) }
             };
-            let Some(door) = door else {
+            let Some(front) = front else {
                 sleep(Duration::from_millis(200));
                 continue;
             };
-            let Some(end) = self.once(planned, &rid, &door) else {
-                // Nothing was sent: the front could not be reached.
+            let Some(end) = self.try_once(planned, &rid, &front) else {
+                // The front could not be reached, so nothing was sent.
                 sleep(Duration::from_millis(100));
                 continue;
             };
             let mut tallies = lock(&self.tallies);
-            let tally = tallies.entry(planned.route.clone()).or_insert_with(Tally::new);
+            let tally = tallies.entry(planned.route.clone()).or_insert_with(RouteTally::new);
             tally.sent += 1;
             match end {
-                End::Served => tally.served += 1,
-                End::Refused(_) => tally.refused += 1,
-                End::Failed => tally.failed += 1,
-                End::Left => tally.left += 1,
-                End::Lost => tally.lost += 1,
-                End::Missing => tally.missing += 1,
+                RequestEnd::Served => tally.served += 1,
+                RequestEnd::Refused(_) => tally.refused += 1,
+                RequestEnd::Failed => tally.failed += 1,
+                RequestEnd::Left => tally.left += 1,
+                RequestEnd::Lost => tally.lost += 1,
+                RequestEnd::Missing => tally.missing += 1,
             }
             drop(tallies);
             match end {
-                End::Refused(advice) if retry < self.retries => {
-                    sleep(advice.map_or(Duration::from_millis(100), Duration::from_millis).min(ADVICE));
+                RequestEnd::Refused(retry_after_ms) if retry < self.retries => {
+                    sleep(
+                        retry_after_ms
+                            .map_or(Duration::from_millis(100), Duration::from_millis)
+                            .min(MAX_RETRY_DELAY),
+                    );
                 }
                 _ => return,
             }
         }
     }
 
+    /// Takes an idle connection to a front, or opens a new one.
     fn connect(&self, addr: SocketAddr) -> Result<Conn, NetError> {
         loop {
             let idle = lock(&self.idle).get_mut(&addr).and_then(Vec::pop);
@@ -284,10 +329,10 @@
         open(addr, Duration::from_secs(1))
     }
 
-    /// One try. `None` where nothing was sent.
-    fn once(&self, planned: &Planned, rid: &str, door: &Door) -> Option<End> {
-        let mut conn = self.connect(door.addr).ok()?;
-        let promise = self.promises.get(&planned.route)?;
+    /// Sends the request once. `None` if nothing was sent.
+    fn try_once(&self, planned: &PlannedRequest, rid: &str, front: &FrontTarget) -> Option<RequestEnd> {
+        let mut conn = self.connect(front.addr).ok()?;
+        let timeout = self.route_timeouts.get(&planned.route)?;
         let id = planned.number as i64 * 16 + i64::from(rid.ends_with("r1"));
         let mut arguments = json!({"prompt": planned.prompt});
         if let Some(session) = &planned.session {
@@ -300,28 +345,35 @@
             ("accept", "application/json, text/event-stream"),
             ("x-request-id", rid),
         ];
-        if let Some(session) = &door.session {
+        if let Some(session) = &front.session {
             headers.push((mcp::SESSION_HEADER, session));
         }
-        let begun = Instant::now();
-        let total = promise.total.as_micros() as u64;
-        let see = |what| self.log.see(WHO, what);
-        let out = Out { addr: door.addr, session: door.session.clone(), id, manner: planned.manner };
-        lock(&self.out).insert(rid.into(), out);
-        see(Seen::Sent { rid: rid.into(), class: promise.class.clone(), front: door.name.clone(), total });
-        let to = Endpoint::new(door.addr, "/mcp");
+        let started = Instant::now();
+        let total = timeout.total.as_micros() as u64;
+        let log = |event| self.log.see(LOG_SOURCE, event);
+        let request = InFlightRequest {
+            addr: front.addr,
+            session: front.session.clone(),
+            id,
+            behavior: planned.behavior,
+        };
+        lock(&self.in_flight).insert(rid.into(), request);
+        log(Seen::Sent { rid: rid.into(), class: timeout.class.clone(), front: front.name.clone(), total });
+        let to = Endpoint::new(front.addr, "/mcp");
         let sent = send(&mut conn, "POST", &to, &headers, body.as_bytes());
         let end = match sent {
-            Ok(()) => self.follow(planned, rid, &mut conn, begun, promise),
-            Err(_) => End::Lost,
+            Ok(()) => self.read_answer(planned, rid, &mut conn, started, timeout),
+            Err(_) => RequestEnd::Lost,
         };
-        lock(&self.out).remove(rid);
+        lock(&self.in_flight).remove(rid);
         match &end {
-            End::Lost => see(Seen::Lost { rid: rid.into() }),
-            End::Left | End::Missing => {}
-            End::Served | End::Refused(_) | End::Failed if planned.manner == Manner::Patient => {
+            RequestEnd::Lost => log(Seen::Lost { rid: rid.into() }),
+            RequestEnd::Left | RequestEnd::Missing => {}
+            RequestEnd::Served | RequestEnd::Refused(_) | RequestEnd::Failed
+                if planned.behavior == ClientBehavior::ReadToEnd =>
+            {
                 conn.set_deadline(None);
-                lock(&self.idle).entry(door.addr).or_default().push(conn);
+                lock(&self.idle).entry(front.addr).or_default().push(conn);
                 return Some(end);
             }
             _ => {}
@@ -330,24 +382,25 @@
         Some(end)
     }
 
-    fn follow(
+    /// Reads the answer stream until the final answer, and disconnects, cancels or pauses as planned.
+    fn read_answer(
         &self,
-        planned: &Planned,
+        planned: &PlannedRequest,
         rid: &str,
         conn: &mut Conn,
-        begun: Instant,
-        promise: &Promise,
-    ) -> End {
-        let see = |what| self.log.see(WHO, what);
-        let last = begun + promise.total + PATIENCE;
-        let (mut until, mut cancelled) = match planned.manner {
-            Manner::Leave(after) | Manner::Cancel(after) => (begun + after, false),
-            _ => (last, false),
+        started: Instant,
+        timeout: &RouteTimeout,
+    ) -> RequestEnd {
+        let log = |event| self.log.see(LOG_SOURCE, event);
+        let deadline = started + timeout.total + ANSWER_GRACE;
+        let (mut read_until, mut is_cancelled) = match planned.behavior {
+            ClientBehavior::Disconnect(after) | ClientBehavior::Cancel(after) => (started + after, false),
+            _ => (deadline, false),
         };
         let (mut parser, mut events, mut bytes) = (sse::Parser::default(), Vec::new(), Vec::new());
         let (mut body, mut first, mut text) = (None, None, String::new());
         loop {
-            conn.set_deadline(Some(until));
+            conn.set_deadline(Some(read_until));
             bytes.clear();
             let read = match &mut body {
                 None => conn.response().map(|head| {
@@ -358,113 +411,125 @@
             };
             match read {
                 Ok(true) => {}
-                // The stream has ended without a response: right for what was cancelled.
-                Ok(false) if cancelled || self.was_cancelled(rid) => return End::Left,
-                Ok(false) => return End::Lost,
-                Err(NetError::TimedOut) if until < last => match planned.manner {
-                    Manner::Leave(_) => {
-                        see(Seen::Left { rid: rid.into() });
-                        return End::Left;
+                // The stream of a cancelled request ends without a response.
+                Ok(false) if is_cancelled || self.was_cancelled(rid) => return RequestEnd::Left,
+                Ok(false) => return RequestEnd::Lost,
+                Err(NetError::TimedOut) if read_until < deadline => match planned.behavior {
+                    ClientBehavior::Disconnect(_) => {
+                        log(Seen::Left { rid: rid.into() });
+                        return RequestEnd::Left;
                     }
                     _ => {
                         self.cancel(rid);
-                        (until, cancelled) = (last, true);
+                        (read_until, is_cancelled) = (deadline, true);
                         continue;
                     }
                 },
-                Err(NetError::TimedOut) => return End::Missing,
-                Err(_) => return if cancelled { End::Left } else { End::Lost },
+                Err(NetError::TimedOut) => return RequestEnd::Missing,
+                Err(_) => return if is_cancelled { RequestEnd::Left } else { RequestEnd::Lost },
             }
             if parser.push(&bytes, &mut events).is_err() {
-                return End::Lost;
+                return RequestEnd::Lost;
             }
             for event in events.drain(..) {
                 match jsonrpc::parse(event.data.as_bytes()) {
                     Ok(Message::Notification { params, .. }) => {
                         if first.is_none() {
-                            first = Some(begun.elapsed());
-                            see(Seen::First { rid: rid.into() });
-                            if let Manner::Slow(time) = planned.manner {
+                            first = Some(started.elapsed());
+                            log(Seen::First { rid: rid.into() });
+                            if let ClientBehavior::PauseReading(time) = planned.behavior {
                                 sleep(time);
                             }
                         }
                         text.push_str(params.get("message").and_then(|m| m.as_str()).unwrap_or_default());
                     }
                     Ok(Message::Response { result, .. }) => {
-                        return self.end(planned, rid, begun, first, &text, result);
+                        return self.record_answer(planned, rid, started, first, &text, result);
                     }
-                    _ => return End::Lost,
+                    _ => return RequestEnd::Lost,
                 }
             }
         }
     }
 
-    fn end(
+    /// Logs and counts the final answer.
+    fn record_answer(
         &self,
-        planned: &Planned,
+        planned: &PlannedRequest,
         rid: &str,
-        begun: Instant,
+        started: Instant,
         first: Option<Duration>,
         text: &str,
         result: Result<serde_json::Value, jsonrpc::RpcError>,
-    ) -> End {
+    ) -> RequestEnd {
         let (outcome, retry_after_ms, end) = match &result {
             Ok(result) => {
-                // The pieces must make up the whole.
-                let whole = mcp::tool_text(result).map(|result| result.text).unwrap_or_default();
-                if whole == text { ("served", None, End::Served) } else { ("torn", None, End::Lost) }
+                // The streamed pieces must add up to the text of the result.
+                let full_text = mcp::tool_text(result).map(|result| result.text).unwrap_or_default();
+                if full_text == text {
+                    ("served", None, RequestEnd::Served)
+                } else {
+                    ("torn", None, RequestEnd::Lost)
+                }
             }
             Err(error) => {
                 let data = error.data.as_ref();
                 let outcome = data.and_then(|data| data.get("outcome")).and_then(|o| o.as_str());
                 let advice = data.and_then(|data| data.get("retryAfterMs")).and_then(|a| a.as_u64());
                 match outcome {
-                    Some("refused") => ("refused", advice, End::Refused(advice)),
-                    _ => ("failed", None, End::Failed),
+                    Some("refused") => ("refused", advice, RequestEnd::Refused(advice)),
+                    _ => ("failed", None, RequestEnd::Failed),
                 }
             }
         };
-        self.log.see(WHO, Seen::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms });
-        if matches!(end, End::Served) {
+        self.log.see(LOG_SOURCE, Seen::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms });
+        if matches!(end, RequestEnd::Served) {
             let mut tallies = lock(&self.tallies);
-            let tally = tallies.entry(planned.route.clone()).or_insert_with(Tally::new);
-            tally.first.saturating_record(first.unwrap_or_else(|| begun.elapsed()).as_micros() as u64);
-            tally.total.saturating_record(begun.elapsed().as_micros() as u64);
+            let tally = tallies.entry(planned.route.clone()).or_insert_with(RouteTally::new);
+            tally
+                .first_text_us
+                .saturating_record(first.unwrap_or_else(|| started.elapsed()).as_micros() as u64);
+            tally.total_us.saturating_record(started.elapsed().as_micros() as u64);
         }
         end
     }
 
+    /// Whether the request was cancelled by [`Clients::on_tool_call`].
     fn was_cancelled(&self, rid: &str) -> bool {
-        !lock(&self.out).contains_key(rid)
+        !lock(&self.in_flight).contains_key(rid)
     }
 
-    /// Sends the notification that cancels a request.
+    /// Sends the MCP notification that cancels a request.
     fn cancel(&self, rid: &str) {
-        let Some(Out { addr, session, id, .. }) = lock(&self.out).remove(rid) else { return };
+        let Some(InFlightRequest { addr, session, id, .. }) = lock(&self.in_flight).remove(rid) else {
+            return;
+        };
         let Some(session) = session else { return };
-        self.log.see(WHO, Seen::Left { rid: rid.into() });
+        self.log.see(LOG_SOURCE, Seen::Left { rid: rid.into() });
         let body = jsonrpc::notification("notifications/cancelled", json!({"requestId": id}));
         let to = Endpoint::new(addr, "/mcp");
         let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
-        // A front that has died has no use for it.
+        // The front may have died meanwhile, and its requests with it.
         let _ = exchange("POST", &to, &headers, body.as_bytes(), Duration::from_secs(1));
     }
 
-    /// The tool server has got a call of this request: whoever meant to cancel then does so.
-    pub fn tool_called(self: &Arc<Self>, rid: &str) {
-        let waits = lock(&self.out).get(rid).is_some_and(|out| out.manner == Manner::CancelInCall);
-        if waits {
+    /// Cancels the request if its client is to cancel during a tool call. Called when a tool server receives a call.
+    pub fn on_tool_call(self: &Arc<Self>, rid: &str) {
+        let cancels = lock(&self.in_flight)
+            .get(rid)
+            .is_some_and(|request| request.behavior == ClientBehavior::CancelDuringToolCall);
+        if cancels {
             let (clients, rid) = (self.clone(), rid.to_owned());
             elderstage_net::go(move || clients.cancel(&rid));
         }
     }
 
-    /// Runs a planned request in a coroutine of its own.
-    pub fn begin(self: &Arc<Self>, planned: Planned) {
+    /// Starts a planned request in a coroutine of its own.
+    pub fn start_request(self: &Arc<Self>, planned: PlannedRequest) {
         self.active.fetch_add(1, Ordering::SeqCst);
         let clients = self.clone();
         elderstage_net::go(move || {
-            clients.run(&planned);
+            clients.run_request(&planned);
             clients.active.fetch_sub(1, Ordering::SeqCst);
         });
     }
--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -1,4 +1,7 @@
-//! A scripted day: the fleet, the load, and what goes wrong when. Written in the configuration's language.
+//! The script of a rehearsal: the fleet, the load of the clients, and the faults with their times.
+//!
+//! Scripts are written in the syntax of the configuration. This module only parses and checks them; nothing is
+//! started here. A parsed day names only engines, fronts and zones that it defines.
 
 use std::time::Duration;
 
@@ -10,112 +13,140 @@
 
 use crate::fleet::{CLASSES, Engine, Kind, Site};
 
-/// Shortest period of a fault that flaps, in microseconds: a listener takes some milliseconds to come and go.
-const SHORTEST_PERIOD: u64 = 50_000;
+/// Shortest period of a flapping fault. A listener takes some milliseconds to close and to open again.
+const MIN_FLAP_PERIOD_US: u64 = 50_000;
 
-/// What is done to the fleet or a front at one time.
+/// A change to the fleet or a front at one time. The `Debug` form is written into the traffic log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
+    /// An engine stops working on its requests.
     Hang(String),
+    /// An engine works slower by this factor.
     Slow(String, f64),
-    /// An engine answers nothing of one class (by model name).
+    /// An engine answers no request of one class (by model name).
     Unanswered(String, String),
-    /// What ails an engine's model ends.
+    /// An engine's fault (hang, slow or unanswered) ends.
     Well(String),
+    /// An engine drops its kept prompts.
     Flush(String),
+    /// An engine's process dies.
     Kill(String),
-    Start {
-        engine: String,
-        cold: bool,
-    },
+    /// An engine's process starts, cold or warm.
+    Start { engine: String, cold: bool },
+    /// An engine refuses all requests as too many, or stops doing so.
     Full(String, bool),
+    /// An engine closes every new connection at once, as with a full connection table, or stops doing so.
     TableFull(String, bool),
+    /// An engine's load reports stop changing, or change again.
     Freeze(String, bool),
+    /// An engine serves a new connection only after this time.
     Handshake(String, Duration),
-    /// What is wrong with one way into an engine, or into all of them.
-    Address {
-        engine: Option<String>,
-        way: Family,
-        fault: DoorFault,
-    },
+    /// Sets the fault of one address of an engine, or of all engines that have this kind of address.
+    Address { engine: Option<String>, way: Family, fault: DoorFault },
     /// No traffic passes between this zone and the others.
     Cut(String, bool),
-    Break {
-        engine: String,
-        streams: u32,
-        after: u64,
-    },
+    /// An engine breaks its next answer streams, each after some tokens.
+    Break { engine: String, streams: u32, after: u64 },
+    /// The transfer of states between engines is slower by this factor.
     SlowLinks(f64),
+    /// Sets the fault of the tool server.
     Tool(ToolFault),
+    /// The tool server dies.
     ToolKill,
+    /// The tool server comes back.
     ToolStart,
-    /// The list says this of a server: running, draining or gone.
+    /// Sets the state of a server in the server list: running, draining or gone.
     List(String, &'static str),
+    /// A front is told to drain (SIGTERM).
     FrontTerm(String),
+    /// A front is killed (SIGKILL).
     FrontKill(String),
+    /// A front is started again.
     FrontStart(String),
-    /// The next writers that go on with an order after its tool call die then: so many.
+    /// This many more engines die when they receive a write that continues a request after a tool call with an
+    /// effect.
     KillAfterTool(u32),
 }
 
-/// A route's part of the load.
+/// The part of one route in the load.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Mix {
+pub struct RouteShare {
+    /// Name of the route.
     pub route: String,
+    /// Weight of the route, relative to the sum over all routes.
     pub share: f64,
-    /// Tool that prompts ask for, and how many of them do.
+    /// Tool that prompts ask for, and the share of prompts that do.
     pub tool: Option<(String, f64)>,
 }
 
+/// The clients' requests of a day. Shares are between 0 and 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
+    /// Number of requests.
     pub requests: u64,
-    /// Arrivals a second, Poisson.
-    pub rate: f64,
-    pub mix: Vec<Mix>,
-    /// Bytes of a prompt, and words of an answer: from, to.
-    pub prompt: (f64, f64),
-    pub words: (f64, f64),
-    /// Share of requests that go on with one of so many sessions.
-    pub sessions: (f64, u64),
-    pub leave: f64,
-    pub cancel: f64,
-    /// Of the requests that call a tool, the share that cancel during the call.
-    pub cancel_in_call: f64,
+    /// Rate of the Poisson arrivals.
+    pub requests_per_s: f64,
+    /// The routes that are called.
+    pub mix: Vec<RouteShare>,
+    /// Bytes of a prompt: from, to.
+    pub prompt_bytes: (f64, f64),
+    /// Words of an answer: from, to.
+    pub answer_words: (f64, f64),
+    /// Share of requests that continue a session, and the number of sessions.
+    pub session_share: (f64, u64),
+    /// Share of clients that close their connection after a random time.
+    pub disconnect_share: f64,
+    /// Share of clients that cancel after a random time.
+    pub cancel_share: f64,
+    /// Share of the clients whose request calls a tool that cancel during the call.
+    pub cancel_in_call_share: f64,
     /// Share of clients that stop reading for a while.
-    pub slow: f64,
+    pub pause_share: f64,
+    /// How often a client retries a refused request.
     pub retries: u32,
 }
 
-/// An end that a script bounds.
+/// An outcome of requests whose number a script can limit. The `Debug` form is written into reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum LimitedOutcome {
+    /// The front refused the request.
     Refused,
+    /// The front answered with any other error.
     Failed,
+    /// The connection broke, or the answer was malformed.
     Lost,
 }
 
+/// A front to start.
 #[derive(Clone, Debug)]
 pub struct Front {
+    /// Its name.
     pub name: String,
+    /// The zone that it runs in.
     pub zone: String,
 }
 
+/// A parsed script.
 #[derive(Clone, Debug)]
 pub struct Day {
+    /// Name in reports.
     pub name: String,
+    /// Seed of the plan of requests.
     pub seed: u64,
+    /// The engines, and the configuration that goes with them.
     pub site: Site,
+    /// The fronts to start.
     pub fronts: Vec<Front>,
+    /// The clients' requests.
     pub load: Load,
-    /// What may become of at most so many requests: refused, failed or lost.
-    pub most: Vec<(Ended, u64)>,
-    /// In the order of their times.
+    /// Largest number of requests that may end with each outcome.
+    pub outcome_limits: Vec<(LimitedOutcome, u64)>,
+    /// The steps, sorted by their times since the start of the day.
     pub steps: Vec<(Duration, Step)>,
 }
 
 impl Day {
-    /// Plays only so many requests, with all times in proportion.
+    /// Reduces the day to this number of requests and scales the times of all steps in proportion.
     pub fn shorten(&mut self, requests: u64) {
         let part = requests as f64 / self.load.requests.max(1) as f64;
         self.load.requests = requests;
@@ -125,22 +156,23 @@
     }
 }
 
-struct Reader<'a> {
+/// Parses directives and collects all errors, so that a script is reported on in one go.
+struct ScriptParser<'a> {
     file: &'a str,
     errors: Vec<ConfigError>,
 }
 
-impl Reader<'_> {
-    fn wrong(&mut self, at: At, what: impl Into<String>) {
-        self.errors.push(ConfigError::new(self.file, at, what));
+impl ScriptParser<'_> {
+    fn add_error(&mut self, at: At, message: impl Into<String>) {
+        self.errors.push(ConfigError::new(self.file, at, message));
     }
 
     fn number(&mut self, directive: &Directive, index: usize) -> f64 {
         match directive.values.get(index).and_then(|text| number(text)) {
             Some(value) if value >= 0.0 => value,
             _ => {
-                let what = format!("{}: expected a number as value {}", directive.name, index + 1);
-                self.wrong(directive.at, what);
+                let message = format!("{}: expected a number as value {}", directive.name, index + 1);
+                self.add_error(directive.at, message);
                 0.0
             }
         }
@@ -150,8 +182,8 @@
         match directive.values.get(index).and_then(|text| time(text)) {
             Some(value) => value,
             None => {
-                let what = format!("{}: expected a time as value {}", directive.name, index + 1);
-                self.wrong(directive.at, what);
+                let message = format!("{}: expected a time as value {}", directive.name, index + 1);
+                self.add_error(directive.at, message);
                 0
             }
         }
@@ -161,8 +193,8 @@
         match directive.values.get(index) {
             Some(word) => word.clone(),
             None => {
-                let what = format!("{}: expected a word as value {}", directive.name, index + 1);
-                self.wrong(directive.at, what);
+                let message = format!("{}: expected a word as value {}", directive.name, index + 1);
+                self.add_error(directive.at, message);
                 String::new()
             }
         }
@@ -177,7 +209,7 @@
                     "prefill" => spec.role = Role::Prefill,
                     "decode" => spec.role = Role::Decode,
                     "mixed" => spec.role = Role::Mixed,
-                    _ => self.wrong(line.at, "role: expected prefill, decode or mixed"),
+                    _ => self.add_error(line.at, "role: expected prefill, decode or mixed"),
                 },
                 "slots" => spec.slots = self.number(line, 0) as usize,
                 "queue" => spec.queue = self.number(line, 0) as usize,
@@ -191,7 +223,7 @@
                 "cold-for" => spec.cold_for = self.time(line, 0),
                 "fall-multiple" => spec.fall_multiple = self.number(line, 0),
                 "tip-after" => spec.tip_after = self.time(line, 0),
-                other => self.wrong(line.at, format!("unknown directive {other} in kind {name}")),
+                other => self.add_error(line.at, format!("unknown directive {other} in kind {name}")),
             }
         }
         Kind { name, spec }
@@ -200,125 +232,142 @@
     fn load(&mut self, directive: &Directive) -> Load {
         let mut load = Load {
             requests: 1000,
-            rate: 100.0,
+            requests_per_s: 100.0,
             mix: Vec::new(),
-            prompt: (200.0, 4000.0),
-            words: (8.0, 40.0),
-            sessions: (0.0, 1),
-            leave: 0.0,
-            cancel: 0.0,
-            cancel_in_call: 0.0,
-            slow: 0.0,
+            prompt_bytes: (200.0, 4000.0),
+            answer_words: (8.0, 40.0),
+            session_share: (0.0, 1),
+            disconnect_share: 0.0,
+            cancel_share: 0.0,
+            cancel_in_call_share: 0.0,
+            pause_share: 0.0,
             retries: 1,
         };
         for line in directive.body.iter().flatten() {
             match line.name.as_str() {
                 "requests" => load.requests = self.number(line, 0) as u64,
-                "rate" => load.rate = self.number(line, 0).max(0.001),
-                "prompt" => load.prompt = (self.number(line, 0).max(1.0), self.number(line, 1).max(1.0)),
-                "words" => load.words = (self.number(line, 0).max(1.0), self.number(line, 1).max(1.0)),
-                "sessions" => load.sessions = (self.number(line, 0), self.number(line, 1).max(1.0) as u64),
-                "leave" => load.leave = self.number(line, 0),
-                "cancel" => load.cancel = self.number(line, 0),
-                "cancel-in-call" => load.cancel_in_call = self.number(line, 0),
-                "slow" => load.slow = self.number(line, 0),
+                "rate" => load.requests_per_s = self.number(line, 0).max(0.001),
+                "prompt" => {
+                    load.prompt_bytes = (self.number(line, 0).max(1.0), self.number(line, 1).max(1.0))
+                }
+                "words" => load.answer_words = (self.number(line, 0).max(1.0), self.number(line, 1).max(1.0)),
+                "sessions" => {
+                    load.session_share = (self.number(line, 0), self.number(line, 1).max(1.0) as u64)
+                }
+                "leave" => load.disconnect_share = self.number(line, 0),
+                "cancel" => load.cancel_share = self.number(line, 0),
+                "cancel-in-call" => load.cancel_in_call_share = self.number(line, 0),
+                "slow" => load.pause_share = self.number(line, 0),
                 "retries" => load.retries = self.number(line, 0) as u32,
                 "mix" => {
                     let tool = line.values.get(2).cloned().map(|tool| (tool, self.number(line, 3)));
-                    load.mix.push(Mix { route: self.word(line, 0), share: self.number(line, 1), tool });
+                    load.mix.push(RouteShare {
+                        route: self.word(line, 0),
+                        share: self.number(line, 1),
+                        tool,
+                    });
                 }
-                other => self.wrong(line.at, format!("unknown directive {other} in load")),
+                other => self.add_error(line.at, format!("unknown directive {other} in load")),
             }
         }
         if load.mix.is_empty() {
-            self.wrong(directive.at, "load: expected a mix");
+            self.add_error(directive.at, "load: expected a mix");
         }
         load
     }
 
-    /// `expect failed 0`: at most so many.
-    fn expect(&mut self, directive: &Directive) -> Option<(Ended, u64)> {
+    /// Parses `expect failed 0`, the largest number of requests that may end so.
+    fn expect(&mut self, directive: &Directive) -> Option<(LimitedOutcome, u64)> {
         let ended = match self.word(directive, 0).as_str() {
-            "refused" => Ended::Refused,
-            "failed" => Ended::Failed,
-            "lost" => Ended::Lost,
+            "refused" => LimitedOutcome::Refused,
+            "failed" => LimitedOutcome::Failed,
+            "lost" => LimitedOutcome::Lost,
             _ => {
-                self.wrong(directive.at, "expect: expected refused, failed or lost, and a number");
+                self.add_error(directive.at, "expect: expected refused, failed or lost, and a number");
                 return None;
             }
         };
         Some((ended, self.number(directive, 1) as u64))
     }
 
-    /// Ways into an engine, after its cell; IPv4 where none is named.
-    fn ways(&mut self, directive: &Directive) -> Vec<Family> {
-        let mut ways = Vec::new();
+    /// The kinds of address of an engine, which follow its cell. IPv4 if none is named.
+    fn address_families(&mut self, directive: &Directive) -> Vec<Family> {
+        let mut families = Vec::new();
         for word in directive.values.iter().skip(4) {
-            match family(word) {
-                Some(way) if !ways.contains(&way) => ways.push(way),
-                _ => {
-                    self.wrong(directive.at, "engine: expected unix, ipv6 or ipv4, each once, after the cell")
-                }
+            match parse_family(word) {
+                Some(family) if !families.contains(&family) => families.push(family),
+                _ => self.add_error(
+                    directive.at,
+                    "engine: expected unix, ipv6 or ipv4, each once, after the cell",
+                ),
             }
         }
-        if ways.is_empty() { vec![Family::V4] } else { ways }
+        if families.is_empty() { vec![Family::V4] } else { families }
     }
 
-    /// `at 2s address w1 ipv6 flaps 500ms silent for 5s`: off and on, half of each period.
-    fn flaps(&mut self, directive: &Directive, begins: u64, steps: &mut Vec<(Duration, Step)>) -> bool {
+    /// Parses `at 2s address w1 ipv6 flaps 500ms silent for 5s`: the fault is on for the first half of each period.
+    /// Returns false for any other step.
+    fn flapping_fault(
+        &mut self,
+        directive: &Directive,
+        start: u64,
+        steps: &mut Vec<(Duration, Step)>,
+    ) -> bool {
         let words: Vec<&str> = directive.values.iter().skip(1).map(String::as_str).collect();
-        let ["address", engine, way, "flaps", period, fault, "for", lasts] = words.as_slice() else {
+        let ["address", engine, way, "flaps", period, fault, "for", duration] = words.as_slice() else {
             return false;
         };
-        let (Some(way), Some(period), Some(fault), Some(lasts)) =
-            (family(way), time(period), door_fault(fault), time(lasts))
+        let (Some(way), Some(period), Some(fault), Some(duration)) =
+            (parse_family(way), time(period), parse_address_fault(fault), time(duration))
         else {
             return false;
         };
         let engine = (*engine != "*").then(|| (*engine).to_owned());
         let step = |fault| Step::Address { engine: engine.clone(), way, fault };
-        let period = period.max(SHORTEST_PERIOD);
-        for begin in (begins..begins + lasts).step_by(period as usize) {
+        let period = period.max(MIN_FLAP_PERIOD_US);
+        for begin in (start..start + duration).step_by(period as usize) {
             steps.push((Duration::from_micros(begin), step(fault)));
             steps.push((Duration::from_micros(begin + period / 2), step(DoorFault::None)));
         }
         true
     }
 
-    /// `at 2s hang w1 for 3s`: the step, and the one that ends it.
-    fn at(&mut self, directive: &Directive, steps: &mut Vec<(Duration, Step)>) {
-        let begins = self.time(directive, 0);
-        if self.flaps(directive, begins, steps) {
+    /// Parses `at 2s hang w1 for 3s`: adds the step, and the step that ends it.
+    fn timed_step(&mut self, directive: &Directive, steps: &mut Vec<(Duration, Step)>) {
+        let start = self.time(directive, 0);
+        if self.flapping_fault(directive, start, steps) {
             return;
         }
         let mut words = directive.values.iter().skip(1).cloned().collect::<Vec<_>>();
-        let mut lasts = None;
+        let mut duration = None;
         if words.len() >= 2 && words[words.len() - 2] == "for" {
-            lasts = time(&words[words.len() - 1]);
-            if lasts.is_none() {
-                self.wrong(directive.at, "at: expected a time after for");
+            duration = time(&words[words.len() - 1]);
+            if duration.is_none() {
+                self.add_error(directive.at, "at: expected a time after for");
             }
             words.truncate(words.len() - 2);
         }
         let texts: Vec<&str> = words.iter().map(String::as_str).collect();
-        let Some((step, end)) = step(&texts) else {
-            let what = format!("at: expected something to do, not \"{}\"", texts.join(" "));
-            return self.wrong(directive.at, what);
+        let Some((step, end_step)) = parse_step(&texts) else {
+            let message = format!("at: expected a step, found \"{}\"", texts.join(" "));
+            return self.add_error(directive.at, message);
         };
-        steps.push((Duration::from_micros(begins), step));
-        match (lasts, end) {
-            (Some(lasts), Some(end)) => steps.push((Duration::from_micros(begins + lasts), end)),
-            (Some(_), None) => self.wrong(directive.at, "at: this takes no for"),
+        steps.push((Duration::from_micros(start), step));
+        match (duration, end_step) {
+            (Some(duration), Some(end_step)) => {
+                steps.push((Duration::from_micros(start + duration), end_step))
+            }
+            (Some(_), None) => self.add_error(directive.at, "at: this step takes no duration (for)"),
             _ => {}
         }
     }
 }
 
-fn family(word: &str) -> Option<Family> {
+fn parse_family(word: &str) -> Option<Family> {
     [Family::Unix, Family::V6, Family::V4].into_iter().find(|family| family.to_string() == word)
 }
 
-fn door_fault(word: &str) -> Option<DoorFault> {
+fn parse_address_fault(word: &str) -> Option<DoorFault> {
     Some(match word {
         "well" => DoorFault::None,
         "refuses" => DoorFault::Refuses,
@@ -337,44 +386,47 @@
     })
 }
 
-/// A step, and the one that ends it where it may last for a time.
-fn step(words: &[&str]) -> Option<(Step, Option<Step>)> {
-    let own = |text: &str| text.to_owned();
-    let wait = |text: &str| time(text).map(Duration::from_micros);
+/// Parses a step. Returns also the step that ends it, if it can have a duration.
+fn parse_step(words: &[&str]) -> Option<(Step, Option<Step>)> {
+    let name = |text: &str| text.to_owned();
+    let duration = |text: &str| time(text).map(Duration::from_micros);
     Some(match words {
-        ["hang", engine] => (Step::Hang(own(engine)), Some(Step::Well(own(engine)))),
-        ["slow", engine, times] => (Step::Slow(own(engine), number(times)?), Some(Step::Well(own(engine)))),
+        ["hang", engine] => (Step::Hang(name(engine)), Some(Step::Well(name(engine)))),
+        ["slow", engine, times] => (Step::Slow(name(engine), number(times)?), Some(Step::Well(name(engine)))),
         ["unanswered", engine, class] => {
-            (Step::Unanswered(own(engine), own(class)), Some(Step::Well(own(engine))))
+            (Step::Unanswered(name(engine), name(class)), Some(Step::Well(name(engine))))
+        }
+        ["flush", engine] => (Step::Flush(name(engine)), None),
+        ["kill", engine] => {
+            (Step::Kill(name(engine)), Some(Step::Start { engine: name(engine), cold: true }))
         }
-        ["flush", engine] => (Step::Flush(own(engine)), None),
-        ["kill", engine] => (Step::Kill(own(engine)), Some(Step::Start { engine: own(engine), cold: true })),
-        ["start", engine] => (Step::Start { engine: own(engine), cold: false }, None),
-        ["start", engine, "cold"] => (Step::Start { engine: own(engine), cold: true }, None),
-        ["full", engine] => (Step::Full(own(engine), true), Some(Step::Full(own(engine), false))),
+        ["start", engine] => (Step::Start { engine: name(engine), cold: false }, None),
+        ["start", engine, "cold"] => (Step::Start { engine: name(engine), cold: true }, None),
+        ["full", engine] => (Step::Full(name(engine), true), Some(Step::Full(name(engine), false))),
         ["table-full", engine] => {
-            (Step::TableFull(own(engine), true), Some(Step::TableFull(own(engine), false)))
+            (Step::TableFull(name(engine), true), Some(Step::TableFull(name(engine), false)))
         }
         ["freeze-reports", engine] => {
-            (Step::Freeze(own(engine), true), Some(Step::Freeze(own(engine), false)))
-        }
-        ["handshake", engine, time] => {
-            (Step::Handshake(own(engine), wait(time)?), Some(Step::Handshake(own(engine), Duration::ZERO)))
+            (Step::Freeze(name(engine), true), Some(Step::Freeze(name(engine), false)))
         }
+        ["handshake", engine, time] => (
+            Step::Handshake(name(engine), duration(time)?),
+            Some(Step::Handshake(name(engine), Duration::ZERO)),
+        ),
         ["address", engine, way, fault] => {
-            let engine = (*engine != "*").then(|| own(engine));
-            let (way, fault) = (family(way)?, door_fault(fault)?);
-            let end = Step::Address { engine: engine.clone(), way, fault: DoorFault::None };
-            (Step::Address { engine, way, fault }, Some(end))
+            let engine = (*engine != "*").then(|| name(engine));
+            let (way, fault) = (parse_family(way)?, parse_address_fault(fault)?);
+            let end_step = Step::Address { engine: engine.clone(), way, fault: DoorFault::None };
+            (Step::Address { engine, way, fault }, Some(end_step))
         }
-        ["cut", zone] => (Step::Cut(own(zone), true), Some(Step::Cut(own(zone), false))),
+        ["cut", zone] => (Step::Cut(name(zone), true), Some(Step::Cut(name(zone), false))),
         ["break", engine, streams, "after", tokens] => {
             let (streams, after) = (streams.parse().ok()?, tokens.parse().ok()?);
-            (Step::Break { engine: own(engine), streams, after }, None)
+            (Step::Break { engine: name(engine), streams, after }, None)
         }
         ["slow-links", times] => (Step::SlowLinks(number(times)?), Some(Step::SlowLinks(1.0))),
         ["tool", "slow", time] => {
-            (Step::Tool(ToolFault::Slow(wait(time)?)), Some(Step::Tool(ToolFault::None)))
+            (Step::Tool(ToolFault::Slow(duration(time)?)), Some(Step::Tool(ToolFault::None)))
         }
         ["tool", "dead"] => (Step::ToolKill, Some(Step::ToolStart)),
         ["tool", fault] => {
@@ -390,18 +442,18 @@
         }
         ["list", server, state] => {
             let state = ["running", "draining", "gone"].into_iter().find(|name| name == state)?;
-            (Step::List(own(server), state), Some(Step::List(own(server), "running")))
+            (Step::List(name(server), state), Some(Step::List(name(server), "running")))
         }
-        ["front-term", front] => (Step::FrontTerm(own(front)), Some(Step::FrontStart(own(front)))),
-        ["front-kill", front] => (Step::FrontKill(own(front)), Some(Step::FrontStart(own(front)))),
-        ["front-start", front] => (Step::FrontStart(own(front)), None),
+        ["front-term", front] => (Step::FrontTerm(name(front)), Some(Step::FrontStart(name(front)))),
+        ["front-kill", front] => (Step::FrontKill(name(front)), Some(Step::FrontStart(name(front)))),
+        ["front-start", front] => (Step::FrontStart(name(front)), None),
         ["kill-after-tool", times] => (Step::KillAfterTool(times.parse().ok()?), None),
         _ => return None,
     })
 }
 
-/// A directive as it was written, for the configuration that fronts get.
-fn text(directive: &Directive, out: &mut String) {
+/// Writes a directive in the configuration's syntax, for the configuration that fronts get.
+fn write_directive(directive: &Directive, out: &mut String) {
     out.push_str(&directive.name);
     for value in &directive.values {
         out.push_str(&format!(
@@ -413,88 +465,92 @@
         None => out.push('\n'),
         Some(body) => {
             out.push_str(" {\n");
-            body.iter().for_each(|line| text(line, out));
+            body.iter().for_each(|line| write_directive(line, out));
             out.push_str("}\n");
         }
     }
 }
 
-/// Reads a script. `file` is its name in messages.
+/// Parses a script. `file` is its name in error messages.
 pub fn parse(file: &str, source: &str) -> Result<Day, Errors> {
     let all = directives(file, source)?;
-    let mut reader = Reader { file, errors: Vec::new() };
-    let r = &mut reader;
+    let mut parser = ScriptParser { file, errors: Vec::new() };
+    let p = &mut parser;
     let (mut name, mut seed, mut zones) = (String::from("rehearsal"), 1, Vec::new());
     let (mut kinds, mut engines, mut fronts) = (Vec::<Kind>::new(), Vec::new(), Vec::new());
-    let (mut rest, mut load, mut steps) = (String::new(), None, Vec::new());
-    let mut most = Vec::new();
-    let mut links = [300_000.0, 150_000.0, 60_000.0];
+    let (mut extra_directives, mut load, mut steps) = (String::new(), None, Vec::new());
+    let mut outcome_limits = Vec::new();
+    let mut link_tokens_per_s = [300_000.0, 150_000.0, 60_000.0];
     for directive in &all {
         match directive.name.as_str() {
-            "rehearsal" => name = r.word(directive, 0),
-            "seed" => seed = r.number(directive, 0) as u64,
+            "rehearsal" => name = p.word(directive, 0),
+            "seed" => seed = p.number(directive, 0) as u64,
             "zones" => zones.clone_from(&directive.values),
-            "links" => links = [0, 1, 2].map(|index| r.number(directive, index).max(1.0)),
-            "kind" => kinds.push(r.kind(directive)),
+            "links" => link_tokens_per_s = [0, 1, 2].map(|index| p.number(directive, index).max(1.0)),
+            "kind" => kinds.push(p.kind(directive)),
             "engine" => {
-                let (name, of, zone) = (r.word(directive, 0), r.word(directive, 1), r.word(directive, 2));
-                let cell = if directive.values.len() > 3 { r.number(directive, 3) as u32 } else { 0 };
-                let ways = r.ways(directive);
-                match kinds.iter().position(|kind| kind.name == of) {
+                let (name, kind_name, zone) =
+                    (p.word(directive, 0), p.word(directive, 1), p.word(directive, 2));
+                let cell = if directive.values.len() > 3 { p.number(directive, 3) as u32 } else { 0 };
+                let ways = p.address_families(directive);
+                match kinds.iter().position(|kind| kind.name == kind_name) {
                     Some(kind) => engines.push(Engine { name, kind, zone, cell, ways }),
-                    None => r.wrong(directive.at, format!("engine {name}: no kind {of} stands above")),
+                    None => p.add_error(
+                        directive.at,
+                        format!("engine {name}: kind {kind_name} is not defined above"),
+                    ),
                 }
             }
-            "front" => fronts.push(Front { name: r.word(directive, 0), zone: r.word(directive, 1) }),
-            "rules" | "class" | "route" => text(directive, &mut rest),
-            "load" => load = Some(r.load(directive)),
-            "expect" => most.extend(r.expect(directive)),
-            "at" => r.at(directive, &mut steps),
-            other => r.wrong(directive.at, format!("unknown directive {other}")),
+            "front" => fronts.push(Front { name: p.word(directive, 0), zone: p.word(directive, 1) }),
+            "rules" | "class" | "route" => write_directive(directive, &mut extra_directives),
+            "load" => load = Some(p.load(directive)),
+            "expect" => outcome_limits.extend(p.expect(directive)),
+            "at" => p.timed_step(directive, &mut steps),
+            other => p.add_error(directive.at, format!("unknown directive {other}")),
         }
     }
     if !all.iter().any(|directive| directive.name == "class") {
-        rest.push_str(CLASSES);
+        extra_directives.push_str(CLASSES);
     }
-    for (what, missing) in
+    for (expected, is_missing) in
         [("an engine", engines.is_empty()), ("a front", fronts.is_empty()), ("a load", load.is_none())]
     {
-        if missing {
-            r.wrong(At::default(), format!("expected {what}"));
+        if is_missing {
+            p.add_error(At::default(), format!("expected {expected}"));
         }
     }
     for (_, step) in &steps {
-        let (engine, front, zone) = names(step);
+        let (engine, front, zone) = named_targets(step);
         if let Some(name) = engine.filter(|name| !engines.iter().any(|e| e.name == **name)) {
-            r.wrong(At::default(), format!("no engine is called {name}"));
+            p.add_error(At::default(), format!("no engine is called {name}"));
         }
         if let Some(name) = front.filter(|name| !fronts.iter().any(|f| f.name == **name)) {
-            r.wrong(At::default(), format!("no front is called {name}"));
+            p.add_error(At::default(), format!("no front is called {name}"));
         }
         if let Some(name) = zone.filter(|name| !zones.contains(name)) {
-            r.wrong(At::default(), format!("no zone is called {name}"));
+            p.add_error(At::default(), format!("no zone is called {name}"));
         }
     }
     steps.sort_by_key(|(at, _)| *at);
     match load {
-        Some(load) if reader.errors.is_empty() => Ok(Day {
+        Some(load) if parser.errors.is_empty() => Ok(Day {
             name,
             seed,
-            site: Site { zones, kinds, engines, rest, links },
+            site: Site { zones, kinds, engines, rest: extra_directives, link_tokens_per_s },
             fronts,
             load,
-            most,
+            outcome_limits,
             steps,
         }),
         _ => {
-            reader.errors.sort_by_key(|error| (error.at.line, error.at.column));
-            Err(Errors(reader.errors))
+            parser.errors.sort_by_key(|error| (error.at.line, error.at.column));
+            Err(Errors(parser.errors))
         }
     }
 }
 
 /// The engine, front or zone that a step names.
-fn names(step: &Step) -> (Option<&String>, Option<&String>, Option<&String>) {
+fn named_targets(step: &Step) -> (Option<&String>, Option<&String>, Option<&String>) {
     match step {
         Step::Hang(engine)
         | Step::Slow(engine, _)
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,4 +1,7 @@
-//! A fleet of stand-ins on loopback, and the configuration that a front takes to use it.
+//! A fleet of stand-in engines and a tool server on loopback, and the configuration of a front that uses it.
+//!
+//! The fleet lives in this process. Fronts are started elsewhere, from the configuration and the server list that
+//! this module writes. All TCP ports are assigned by the operating system, so that fleets do not collide.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,52 +16,64 @@
 use elderstage_standin::tool::ToolServer;
 use elderstage_standin::traffic::Log;
 
-/// A kind of engine.
+/// A kind of engine: all engines of a kind have the same model and capacity.
 #[derive(Clone, Debug)]
 pub struct Kind {
+    /// Its name in the configuration.
     pub name: String,
+    /// Capacity and speed of the stand-in.
     pub spec: Spec,
 }
 
 /// One engine to start.
 #[derive(Clone, Debug)]
 pub struct Engine {
+    /// Its name in the server list.
     pub name: String,
+    /// Index of its kind in [`Site::kinds`].
     pub kind: usize,
+    /// The zone that it runs in.
     pub zone: String,
+    /// Its cell within the zone.
     pub cell: u32,
-    /// How it is reached, in the order of preference.
+    /// Kinds of its addresses, in the order of preference.
     pub ways: Vec<Family>,
 }
 
-/// What fronts are to know beside the servers.
+/// The description of a fleet, from which it is started and its fronts are configured.
 #[derive(Clone, Debug)]
 pub struct Site {
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Kinds of engines.
     pub kinds: Vec<Kind>,
+    /// Engines to start.
     pub engines: Vec<Engine>,
-    /// Further directives: classes, rules, routes; tools are added.
+    /// Further directives of the configuration: classes, rules and routes. The tools' directives are added to them.
     pub rest: String,
-    /// Tokens of state a second: inside a cell, a zone, and between zones.
-    pub links: [f64; 3],
+    /// Tokens of state that move a second: inside a cell, between cells of a zone, and between zones.
+    pub link_tokens_per_s: [f64; 3],
 }
 
 /// A running fleet.
 pub struct Fleet {
+    /// What it was started from.
     pub site: Site,
+    /// The engines by name.
     pub hosts: BTreeMap<String, Host>,
+    /// The tool server.
     pub tools: ToolServer,
-    /// What the list says of each server.
+    /// State of each server in the first server list.
     pub listed: BTreeMap<String, &'static str>,
-    /// Takes the Unix sockets.
+    /// Directory of the Unix sockets.
     dir: PathBuf,
 }
 
-/// Ports are asked for, not fixed.
+/// A loopback address whose port is assigned by the operating system.
 pub const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// A folder of its own for a fleet's Unix sockets: short, since their paths are.
-fn folder() -> std::io::Result<PathBuf> {
+/// Creates a directory for the fleet's Unix sockets. Its path is short because the length of socket paths is limited.
+fn create_socket_dir() -> std::io::Result<PathBuf> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("elderstage-{}-{number}", std::process::id()));
@@ -66,11 +81,12 @@
     Ok(dir)
 }
 
-/// Places beside the IPv4 address, which every engine has: other engines fetch states by it.
-fn further(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Place>> {
+/// The places of an engine besides its IPv4 address. Every engine has that one, because other engines fetch states
+/// through it.
+fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Place>> {
     let mut places = Vec::new();
-    for way in &engine.ways {
-        match way {
+    for family in &engine.ways {
+        match family {
             Family::V4 => {}
             Family::V6 => places.push(Place::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
             Family::Unix => places.push(Place::Unix(dir.join(format!("{}.sock", engine.name)))),
@@ -80,9 +96,10 @@
 }
 
 impl Fleet {
+    /// Starts all engines of a site and the tool server. Their traffic goes to the log.
     pub fn start(site: Site, log: &Log) -> std::io::Result<Fleet> {
         let mut hosts = BTreeMap::new();
-        let dir = folder()?;
+        let dir = create_socket_dir()?;
         for engine in &site.engines {
             let options = Options {
                 name: engine.name.clone(),
@@ -90,8 +107,8 @@
                 listen: ANY_PORT,
                 zone: engine.zone.clone(),
                 cell: engine.cell,
-                links: site.links,
-                also: further(engine, &dir)?,
+                links: site.link_tokens_per_s,
+                also: additional_places(engine, &dir)?,
             };
             hosts.insert(engine.name.clone(), Host::start(options, false, log.clone())?);
         }
@@ -100,30 +117,32 @@
         Ok(Fleet { site, hosts, tools, listed, dir })
     }
 
-    /// Number of the place by which an engine is reached so, for [`Control::Door`].
-    pub fn door(&self, engine: &str, way: Family) -> Option<usize> {
-        self.hosts.get(engine)?.places().iter().position(|place| place.family() == way)
+    /// Index of the engine's first place of this family, as [`Control::Door`] takes it.
+    pub fn place_index(&self, engine: &str, family: Family) -> Option<usize> {
+        self.hosts.get(engine)?.places().iter().position(|place| place.family() == family)
     }
 
-    /// Changes what is wrong with one way into an engine, or into all that have it.
-    pub fn fault(&self, engine: Option<&str>, way: Family, fault: DoorFault) -> std::io::Result<()> {
+    /// Sets the fault of one kind of address, at one engine or at all engines that have it.
+    pub fn fault(&self, engine: Option<&str>, family: Family, fault: DoorFault) -> std::io::Result<()> {
         for (name, host) in &self.hosts {
             if engine.is_none_or(|engine| engine == name)
-                && let Some(door) = self.door(name, way)
+                && let Some(index) = self.place_index(name, family)
             {
-                host.control(Control::Door(door, fault))?;
+                host.control(Control::Door(index, fault))?;
             }
         }
         Ok(())
     }
 
+    /// The engine's addresses in the order of preference, as the server list has them.
     fn addresses(&self, engine: &Engine) -> String {
         let places = self.hosts.get(&engine.name).map(Host::places).unwrap_or_default();
-        let of = |way: &Family| places.iter().find(|place| place.family() == *way).map(ToString::to_string);
-        engine.ways.iter().filter_map(of).collect::<Vec<_>>().join(" ")
+        let address =
+            |family: &Family| places.iter().find(|place| place.family() == *family).map(ToString::to_string);
+        engine.ways.iter().filter_map(address).collect::<Vec<_>>().join(" ")
     }
 
-    /// The list of servers as a file.
+    /// The text of the server list with these states. A server without a state is listed as gone.
     pub fn servers(&self, listed: &BTreeMap<String, &'static str>) -> String {
         let mut text = String::new();
         for engine in &self.site.engines {
@@ -145,10 +164,10 @@
         text
     }
 
-    /// A front's configuration. `front` are the directives of its section.
-    pub fn config(&self, front: &str, servers_file: &str) -> String {
+    /// The text of a front's configuration. `front_section` holds the directives of its `front` section.
+    pub fn config(&self, front_section: &str, servers_file: &str) -> String {
         let mut text = format!("zones {}\n", self.site.zones.join(" "));
-        let _ = writeln!(text, "front {{\n{front}\n}}");
+        let _ = writeln!(text, "front {{\n{front_section}\n}}");
         for kind in &self.site.kinds {
             let role = match kind.spec.role {
                 Role::Prefill => "prefill",
@@ -172,15 +191,16 @@
         text
     }
 
+    /// Stops all engines and the tool server.
     pub fn stop(&self) {
         self.hosts.values().for_each(Host::stop);
         self.tools.kill();
-        // It holds nothing but the sockets of this run.
+        // The directory holds only the sockets of this run.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-/// Two classes and their routes: questions, which are safe to repeat, and orders, which must not run twice.
+/// Directives of two classes and their routes: `ask`, which is safe to repeat, and `order`, which must not run twice.
 pub const CLASSES: &str = r#"
 class ask {
     repeat safe
@@ -212,7 +232,7 @@
 }
 "#;
 
-/// The fleet of `elderstage demo`: one zone, two readers, two writers and a mixed engine.
+/// The site of `elderstage demo`: one zone with two readers, two writers and a mixed engine.
 pub fn demo() -> Site {
     let kind = |name: &str, spec| Kind { name: name.into(), spec };
     let engine = |name: &str, kind| Engine {
@@ -231,6 +251,6 @@
         ],
         engines: vec![engine("r1", 0), engine("r2", 0), engine("w1", 1), engine("w2", 1), engine("m1", 2)],
         rest: CLASSES.into(),
-        links: [300_000.0, 150_000.0, 60_000.0],
+        link_tokens_per_s: [300_000.0, 150_000.0, 60_000.0],
     }
 }
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -90,7 +90,7 @@
         kinds: Vec::new(),
         engines: Vec::new(),
         rest,
-        links: [50_000_000.0; 3],
+        link_tokens_per_s: [50_000_000.0; 3],
     };
     for (kind, (role, count, spec)) in kinds.into_iter().enumerate() {
         site.kinds.push(Kind { name: format!("k{kind}"), spec: Spec { role, ..spec } });
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -1,4 +1,8 @@
-//! Plays a day: stand-ins in this process, fronts as processes, clients, faults at their times; then the judging.
+//! Runs a day and reports on it.
+//!
+//! The stand-ins and the clients run in this process, each front in a process of its own. The steps of the script are
+//! applied at their times, while all traffic is logged. After the last request, the fronts are told to drain and the
+//! log is checked against the rules. No process is left behind, whatever fails.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -15,194 +19,210 @@
 use elderstage_standin::traffic::{Log, Record, Seen};
 use thiserror::Error;
 
-use crate::clients::{Clients, Door, Promise, lock, plan};
+use crate::clients::{Clients, FrontTarget, RouteTimeout, lock, plan_requests};
 use crate::day::{Day, Front, Step};
 use crate::fleet::Fleet;
 use crate::report::Report;
 use crate::rules::{Figures, RepeatPolicy, judge};
 
-/// A front's start, and its end beyond its time to drain, take no longer.
-const START: Duration = Duration::from_secs(10);
-const END: Duration = Duration::from_secs(8);
-/// A balancer goes on sending to a front that drains for so long.
-const NOTICE: Duration = Duration::from_millis(300);
-/// An engine that was killed by the writer's fault comes back after this time.
-const BACK: Duration = Duration::from_secs(2);
-/// How often ended fronts are looked for.
-const REAP: Duration = Duration::from_millis(10);
-/// After the last answer, what is still under way at the engines comes to its end.
-const SETTLE: Duration = Duration::from_millis(800);
+/// Longest time that a front takes to start.
+const FRONT_START_TIMEOUT: Duration = Duration::from_secs(10);
+/// How much longer than its drain timeout a front may take to exit, and how much longer than its route's timeout a
+/// client may take.
+const EXIT_GRACE: Duration = Duration::from_secs(8);
+/// How long a load balancer goes on sending to a front that drains.
+const BALANCER_DELAY: Duration = Duration::from_millis(300);
+/// When an engine that was killed after a tool call is started again.
+const ENGINE_RESTART_DELAY: Duration = Duration::from_secs(2);
+/// How often the fronts are checked for their exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Wait after the last answer, in which the engines finish their remaining work.
+const SETTLE_TIME: Duration = Duration::from_millis(800);
 
+/// Why a day could not be played.
 #[derive(Debug, Error)]
 pub enum PlayError {
+    /// An operation on a file, a process or a stand-in failed.
     #[error("{what}: {error}")]
     Io { what: String, error: std::io::Error },
-    #[error("the fronts' configuration does not load:\n{0}")]
+    /// The script gives a configuration that fronts do not accept.
+    #[error("the fronts' configuration is invalid:\n{0}")]
     Config(elderstage_config::Errors),
-    #[error("front {0} did not start; its log is {1}")]
-    NoFront(String, PathBuf),
+    /// A front did not start in time: its name, and the path of its log.
+    #[error("front {0} did not start; see its log {1}")]
+    FrontNotStarted(String, PathBuf),
 }
 
+/// Converts an I/O error; `what` names the file or the part that failed.
 fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> PlayError {
     let what = what.into();
     move |error| PlayError::Io { what, error }
 }
 
-/// Where and how a day is played.
+/// The surroundings of a run.
 pub struct Options<'a> {
-    /// The `elderstage` program, run as the fronts.
+    /// The `elderstage` program, which is run for each front.
     pub program: &'a Path,
-    /// Takes the files of the run.
+    /// Directory for the files of the run.
     pub dir: &'a Path,
-    /// Told how many of the requests have been begun.
+    /// Called with the number of requests started so far.
     pub progress: &'a dyn Fn(u64),
 }
 
-struct Process {
+/// The process of a front.
+struct FrontProcess {
     child: Child,
     name: String,
 }
 
-/// All that the hands of a day work on.
-struct Stage {
+/// State of a run, shared by its threads.
+struct RunState {
     fleet: Fleet,
+    /// State of each server in the current server list.
     listed: Mutex<BTreeMap<String, &'static str>>,
     log: Log,
     clients: Arc<Clients>,
     dir: PathBuf,
     program: PathBuf,
     fronts: Vec<Front>,
-    running: Mutex<Vec<Process>>,
+    running: Mutex<Vec<FrontProcess>>,
+    /// How many engines are still to be killed after a tool call.
     kill_after_tool: AtomicU32,
-    clean: AtomicBool,
-    over: AtomicBool,
+    /// Whether all fronts exited in an orderly way and every step succeeded so far.
+    is_clean: AtomicBool,
+    /// Ends the thread that watches for exits.
+    is_finished: AtomicBool,
 }
 
-/// Plays a day and judges it.
+/// Runs a day to its end and reports on it.
 pub fn play(day: &Day, options: &Options<'_>) -> Result<Report, PlayError> {
     elderstage_net::init(2);
-    let (tap, tapped) = unbounded();
+    let (record_sender, records_seen) = unbounded();
     let traffic = options.dir.join("traffic.jsonl");
-    let (log, writer) = Log::start(Some(&traffic), Some(tap)).map_err(io(traffic.display().to_string()))?;
+    let (log, writer) =
+        Log::start(Some(&traffic), Some(record_sender)).map_err(io(traffic.display().to_string()))?;
     let fleet = Fleet::start(day.site.clone(), &log).map_err(io("stand-ins"))?;
     let text = fleet.config(&format!("    zone {}", day.fronts[0].zone), "servers.conf");
     let config = elderstage_config::parse("front.conf", &text).map_err(PlayError::Config)?;
-    let stage = Arc::new(Stage {
+    let state = Arc::new(RunState {
         listed: Mutex::new(fleet.listed.clone()),
-        clients: Clients::new(log.clone(), promises(&config), day.load.retries),
+        clients: Clients::new(log.clone(), route_timeouts(&config), day.load.retries),
         log,
         dir: options.dir.to_owned(),
         program: options.program.to_owned(),
         fronts: day.fronts.clone(),
         running: Mutex::default(),
         kill_after_tool: AtomicU32::new(0),
-        clean: AtomicBool::new(true),
-        over: AtomicBool::new(false),
+        is_clean: AtomicBool::new(true),
+        is_finished: AtomicBool::new(false),
         fleet,
     });
-    let played = run(day, options, &stage, tapped);
-    stage.over.store(true, Ordering::SeqCst);
-    // Whatever went wrong, no process is left behind.
-    for process in lock(&stage.running).iter_mut() {
+    let result = run_day(day, options, &state, records_seen);
+    state.is_finished.store(true, Ordering::SeqCst);
+    // No process is left behind, whatever went wrong.
+    for process in lock(&state.running).iter_mut() {
         let _ = process.child.kill();
         let _ = process.child.wait();
     }
-    stage.fleet.stop();
+    state.fleet.stop();
     let records = writer.finish().map_err(io("traffic"))?;
-    played?;
-    let tallies = lock(&stage.clients.tallies).clone();
+    result?;
+    let tallies = lock(&state.clients.tallies).clone();
     let verdicts = judge(&records, &figures(&config));
-    Ok(Report::new(day, &records, tallies, verdicts, stage.clean.load(Ordering::SeqCst)))
+    Ok(Report::new(day, &records, tallies, verdicts, state.is_clean.load(Ordering::SeqCst)))
 }
 
-fn run(
+/// Starts the fronts, applies the steps, runs all requests and ends the fronts.
+fn run_day(
     day: &Day,
     options: &Options<'_>,
-    stage: &Arc<Stage>,
-    tapped: Receiver<Record>,
+    state: &Arc<RunState>,
+    records_seen: Receiver<Record>,
 ) -> Result<(), PlayError> {
-    stage.write_list()?;
+    state.write_list()?;
     for (number, front) in day.fronts.iter().enumerate() {
-        let door = stage.start_front(number, front)?;
-        lock(&stage.clients.doors).push(door);
+        let target = state.start_front(number, front)?;
+        lock(&state.clients.fronts).push(target);
     }
     {
-        let stage = stage.clone();
-        std::thread::spawn(move || stage.watch(&tapped));
+        let state = state.clone();
+        std::thread::spawn(move || state.watch_traffic(&records_seen));
     }
     {
-        // Ends of fronts are noted when they happen: the rules ask whether a front was there.
-        let stage = stage.clone();
+        // Exits of fronts are logged when they happen, because the rules depend on their times.
+        let state = state.clone();
         std::thread::spawn(move || {
-            while !stage.over.load(Ordering::SeqCst) {
-                stage.reap();
-                std::thread::sleep(REAP);
+            while !state.is_finished.load(Ordering::SeqCst) {
+                state.record_exits();
+                std::thread::sleep(EXIT_POLL_INTERVAL);
             }
         });
     }
-    let begun = Instant::now();
-    let hand = {
-        let (stage, steps) = (stage.clone(), day.steps.clone());
+    let started = Instant::now();
+    let step_thread = {
+        let (state, steps) = (state.clone(), day.steps.clone());
         std::thread::spawn(move || {
             for (at, step) in steps {
-                std::thread::sleep((begun + at).saturating_duration_since(Instant::now()));
-                stage.log.see("hand", Seen::Fault { what: format!("{step:?}") });
-                if let Err(error) = stage.step(&step) {
-                    stage.log.see("hand", Seen::Fault { what: error.to_string() });
-                    stage.clean.store(false, Ordering::SeqCst);
+                std::thread::sleep((started + at).saturating_duration_since(Instant::now()));
+                state.log.see("hand", Seen::Fault { what: format!("{step:?}") });
+                if let Err(error) = state.apply_step(&step) {
+                    state.log.see("hand", Seen::Fault { what: error.to_string() });
+                    state.is_clean.store(false, Ordering::SeqCst);
                 }
             }
         })
     };
-    for planned in plan(&day.load, day.seed) {
-        std::thread::sleep((begun + planned.at).saturating_duration_since(Instant::now()));
+    for planned in plan_requests(&day.load, day.seed) {
+        std::thread::sleep((started + planned.starts_at).saturating_duration_since(Instant::now()));
         (options.progress)(planned.number + 1);
-        stage.clients.begin(planned);
+        state.clients.start_request(planned);
     }
-    let longest = stage.clients.promises.values().map(|promise| promise.total).max().unwrap_or_default();
-    let tries = day.load.retries + 1;
-    let end = Instant::now() + (longest + END) * tries;
-    while stage.clients.active.load(Ordering::SeqCst) > 0 && Instant::now() < end {
+    let longest_timeout =
+        state.clients.route_timeouts.values().map(|timeout| timeout.total).max().unwrap_or_default();
+    let attempts = day.load.retries + 1;
+    let deadline = Instant::now() + (longest_timeout + EXIT_GRACE) * attempts;
+    while state.clients.active.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(10));
     }
-    if hand.join().is_err() {
-        stage.clean.store(false, Ordering::SeqCst);
+    if step_thread.join().is_err() {
+        state.is_clean.store(false, Ordering::SeqCst);
     }
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     for index in 0..day.fronts.len() {
-        stage.terminate(index)?;
+        state.terminate(index)?;
     }
-    let end = Instant::now() + START + END;
+    let deadline = Instant::now() + FRONT_START_TIMEOUT + EXIT_GRACE;
     loop {
-        if lock(&stage.running).is_empty() {
+        if lock(&state.running).is_empty() {
             return Ok(());
         }
-        if Instant::now() > end {
-            stage.clean.store(false, Ordering::SeqCst);
+        if Instant::now() > deadline {
+            state.is_clean.store(false, Ordering::SeqCst);
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn promises(config: &Config) -> BTreeMap<String, Promise> {
-    let promise = |route: &elderstage_config::RouteConfig| {
+/// Class and timeout of each route, for the clients.
+fn route_timeouts(config: &Config) -> BTreeMap<String, RouteTimeout> {
+    let timeout = |route: &elderstage_config::RouteConfig| {
         let class = config.classes.iter().find(|class| class.name == route.class)?;
         let total = Duration::from_micros(class.total);
-        Some((route.name.clone(), Promise { class: class.name.clone(), total }))
+        Some((route.name.clone(), RouteTimeout { class: class.name.clone(), total }))
     };
-    config.routes.iter().filter_map(promise).collect()
+    config.routes.iter().filter_map(timeout).collect()
 }
 
-/// The rules' figures, as the fronts have them.
+/// The limits for the rules, from the fronts' configuration.
 pub fn figures(config: &Config) -> Figures {
-    let repeat = |repeat| match repeat {
+    let policy = |repeat| match repeat {
         RepeatName::Safe => RepeatPolicy::Safe,
         RepeatName::Unsafe => RepeatPolicy::Unsafe,
         RepeatName::Keyed { memory, .. } => RepeatPolicy::Keyed { memory_us: memory },
     };
     Figures {
-        classes: config.classes.iter().map(|class| (class.name.clone(), repeat(class.repeat))).collect(),
+        classes: config.classes.iter().map(|class| (class.name.clone(), policy(class.repeat))).collect(),
         answer_slack_us: config.rules.answer_slack,
         drain_grace_us: config.rules.drain_grace,
         release_deadline_us: config.rules.let_go,
@@ -211,14 +231,15 @@
     }
 }
 
-impl Stage {
+impl RunState {
+    /// Writes the server list that the fronts follow. The file is replaced in one step.
     fn write_list(&self) -> Result<(), PlayError> {
         let listed = lock(&self.listed);
         let text = self.fleet.servers(&listed);
         let path = self.dir.join("servers.conf");
-        let half = self.dir.join("servers.part");
-        std::fs::write(&half, text)
-            .and_then(|()| std::fs::rename(&half, &path))
+        let part = self.dir.join("servers.part");
+        std::fs::write(&part, text)
+            .and_then(|()| std::fs::rename(&part, &path))
             .map_err(io(path.display().to_string()))?;
         let servers = listed.iter().map(|(name, state)| (name.clone(), (*state).to_owned())).collect();
         self.log.see("hand", Seen::Listed { servers });
@@ -227,7 +248,8 @@
 
     // ---- Fronts ----
 
-    fn start_front(&self, number: usize, front: &Front) -> Result<Door, PlayError> {
+    /// Starts a front's process and waits until it listens.
+    fn start_front(&self, number: usize, front: &Front) -> Result<FrontTarget, PlayError> {
         let name = &front.name;
         let section = format!(
             "    listen 127.0.0.1:0\n    name {name}\n    zone {}\n    number {number}\n    fronts {}\n    drain 10s",
@@ -238,11 +260,11 @@
         std::fs::write(&path, self.fleet.config(&section, "servers.conf"))
             .map_err(io(path.display().to_string()))?;
         let addr_file = self.dir.join(format!("{name}.addr"));
-        // It may stand there from an earlier process of this front.
+        // An earlier process of this front may have left the file.
         let _ = std::fs::remove_file(&addr_file);
         let log_path = self.dir.join(format!("{name}.log"));
-        let out = std::fs::OpenOptions::new().create(true).append(true).open(&log_path);
-        let out = out.map_err(io(log_path.display().to_string()))?;
+        let log_file = std::fs::OpenOptions::new().create(true).append(true).open(&log_path);
+        let log_file = log_file.map_err(io(log_path.display().to_string()))?;
         let child = Command::new(&self.program)
             .args(["serve", "--log", "json", "--log-level", "info,may=warn,request=debug", "--seed"])
             .arg((number + 1).to_string())
@@ -252,35 +274,38 @@
             .arg(&addr_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(out)
+            .stderr(log_file)
             .spawn()
             .map_err(io(self.program.display().to_string()))?;
-        lock(&self.running).push(Process { child, name: name.clone() });
-        let end = Instant::now() + START;
+        lock(&self.running).push(FrontProcess { child, name: name.clone() });
+        let deadline = Instant::now() + FRONT_START_TIMEOUT;
         let addr: SocketAddr = loop {
             if let Some(addr) = std::fs::read_to_string(&addr_file).ok().and_then(|text| text.parse().ok()) {
                 break addr;
             }
-            if Instant::now() > end {
-                return Err(PlayError::NoFront(name.clone(), log_path));
+            if Instant::now() > deadline {
+                return Err(PlayError::FrontNotStarted(name.clone(), log_path));
             }
             std::thread::sleep(Duration::from_millis(5));
         };
-        let session = Clients::initialize(addr).map_err(|_| PlayError::NoFront(name.clone(), log_path))?;
+        let session =
+            Clients::initialize(addr).map_err(|_| PlayError::FrontNotStarted(name.clone(), log_path))?;
         self.log.see("hand", Seen::Front { front: name.clone(), what: "started".into() });
-        Ok(Door { name: name.clone(), addr, session, open: true })
+        Ok(FrontTarget { name: name.clone(), addr, session, is_enabled: true })
     }
 
-    fn index(&self, name: &str) -> usize {
+    fn front_index(&self, name: &str) -> usize {
         self.fronts.iter().position(|front| front.name == name).unwrap_or(0)
     }
 
-    fn close_door(&self, index: usize) {
-        if let Some(door) = lock(&self.clients.doors).get_mut(index) {
-            door.open = false;
+    /// Makes the clients send no new requests to a front.
+    fn disable_front(&self, index: usize) {
+        if let Some(target) = lock(&self.clients.fronts).get_mut(index) {
+            target.is_enabled = false;
         }
     }
 
+    /// Sends SIGTERM to a front.
     fn terminate(&self, index: usize) -> Result<(), PlayError> {
         let name = &self.fronts[index].name;
         let running = lock(&self.running);
@@ -294,15 +319,16 @@
         Ok(())
     }
 
-    /// Notes which fronts have ended, and whether they ended well.
-    fn reap(&self) {
+    /// Logs the fronts that have exited. A crash makes the run unclean.
+    fn record_exits(&self) {
         lock(&self.running).retain_mut(|process| match process.child.try_wait() {
             Ok(Some(status)) => {
                 let what = if status.code().is_some() { "ended" } else { "killed" };
                 self.log.see("hand", Seen::Front { front: process.name.clone(), what: what.into() });
-                // 0: all had ended by themselves; 3: some had to be ended. Anything else is a crash.
+                // Exit code 0: all requests had ended when the front stopped. 3: some had to be aborted. Any other
+                // code is a crash.
                 if !matches!(status.code(), None | Some(0 | 3)) {
-                    self.clean.store(false, Ordering::SeqCst);
+                    self.is_clean.store(false, Ordering::SeqCst);
                 }
                 false
             }
@@ -319,7 +345,8 @@
         }
     }
 
-    fn faults(
+    /// Changes some of an engine's faults and keeps the others.
+    fn change_faults(
         &self,
         engine: &str,
         change: impl Fn(&mut elderstage_standin::host::Faults),
@@ -335,7 +362,7 @@
         self.write_list()
     }
 
-    fn step(self: &Arc<Self>, step: &Step) -> Result<(), PlayError> {
+    fn apply_step(self: &Arc<Self>, step: &Step) -> Result<(), PlayError> {
         match step {
             Step::Hang(engine) => self.control(engine, Control::Ail(Some(Ail::Hang))),
             Step::Slow(engine, times) => self.control(engine, Control::Ail(Some(Ail::Slow(*times)))),
@@ -346,10 +373,10 @@
             Step::Flush(engine) => self.control(engine, Control::Flush),
             Step::Kill(engine) => self.control(engine, Control::Kill),
             Step::Start { engine, cold } => self.start_engine(engine, *cold),
-            Step::Full(engine, on) => self.faults(engine, |faults| faults.full = *on),
-            Step::TableFull(engine, on) => self.faults(engine, |faults| faults.table_full = *on),
-            Step::Freeze(engine, on) => self.faults(engine, |faults| faults.frozen = *on),
-            Step::Handshake(engine, time) => self.faults(engine, |faults| faults.handshake = *time),
+            Step::Full(engine, on) => self.change_faults(engine, |faults| faults.full = *on),
+            Step::TableFull(engine, on) => self.change_faults(engine, |faults| faults.table_full = *on),
+            Step::Freeze(engine, on) => self.change_faults(engine, |faults| faults.frozen = *on),
+            Step::Handshake(engine, time) => self.change_faults(engine, |faults| faults.handshake = *time),
             Step::Address { engine, way, fault } => {
                 self.fleet.fault(engine.as_deref(), *way, *fault).map_err(io("address"))
             }
@@ -360,18 +387,18 @@
                             if engine.zone == *zone { *other != zone } else { *other == zone }
                         });
                     let others: Vec<String> = others.cloned().collect();
-                    self.faults(&engine.name, |faults| {
+                    self.change_faults(&engine.name, |faults| {
                         faults.cut = if *on { others.clone() } else { Vec::new() };
                     })?;
                 }
                 Ok(())
             }
-            Step::Break { engine, streams, after } => self.faults(engine, |faults| {
+            Step::Break { engine, streams, after } => self.change_faults(engine, |faults| {
                 (faults.break_next, faults.break_after) = (*streams, *after);
             }),
             Step::SlowLinks(times) => {
                 for engine in &self.fleet.site.engines {
-                    self.faults(&engine.name, |faults| faults.slow_links = *times)?;
+                    self.change_faults(&engine.name, |faults| faults.slow_links = *times)?;
                 }
                 Ok(())
             }
@@ -389,18 +416,18 @@
                 self.write_list()
             }
             Step::FrontTerm(name) => {
-                let index = self.index(name);
+                let index = self.front_index(name);
                 self.terminate(index)?;
-                let stage = self.clone();
+                let state = self.clone();
                 std::thread::spawn(move || {
-                    std::thread::sleep(NOTICE);
-                    stage.close_door(index);
+                    std::thread::sleep(BALANCER_DELAY);
+                    state.disable_front(index);
                 });
                 Ok(())
             }
             Step::FrontKill(name) => {
-                let index = self.index(name);
-                self.close_door(index);
+                let index = self.front_index(name);
+                self.disable_front(index);
                 let mut running = lock(&self.running);
                 if let Some(at) = running.iter().rposition(|process| process.name == *name) {
                     let mut process = running.remove(at);
@@ -410,10 +437,10 @@
                 Ok(())
             }
             Step::FrontStart(name) => {
-                let index = self.index(name);
-                let door = self.start_front(index, &self.fronts[index].clone())?;
-                if let Some(old) = lock(&self.clients.doors).get_mut(index) {
-                    *old = door;
+                let index = self.front_index(name);
+                let target = self.start_front(index, &self.fronts[index].clone())?;
+                if let Some(old) = lock(&self.clients.fronts).get_mut(index) {
+                    *old = target;
                 }
                 Ok(())
             }
@@ -424,21 +451,21 @@
         }
     }
 
-    /// Acts on what is seen: clients that cancel during a call, writers that die after one.
-    fn watch(self: &Arc<Self>, tapped: &Receiver<Record>) {
-        let mut after_tool: HashSet<String> = HashSet::new();
-        while let Ok(record) = tapped.recv() {
+    /// Reacts to the traffic: lets clients cancel during a tool call, and kills writers after one.
+    fn watch_traffic(self: &Arc<Self>, records_seen: &Receiver<Record>) {
+        let mut had_tool_effect: HashSet<String> = HashSet::new();
+        while let Ok(record) = records_seen.recv() {
             match &record.what {
                 Seen::ToolReceived { rid, .. } => {
-                    self.clients.tool_called(crate::rules::client_request_id(rid))
+                    self.clients.on_tool_call(crate::rules::client_request_id(rid))
                 }
                 Seen::ToolRan { rid, effect: true, .. }
                     if self.kill_after_tool.load(Ordering::SeqCst) > 0 =>
                 {
-                    after_tool.insert(crate::rules::client_request_id(rid).to_owned());
+                    had_tool_effect.insert(crate::rules::client_request_id(rid).to_owned());
                 }
                 Seen::Received { rid, task, .. }
-                    if task != "read" && after_tool.remove(crate::rules::client_request_id(rid)) =>
+                    if task != "read" && had_tool_effect.remove(crate::rules::client_request_id(rid)) =>
                 {
                     self.kill_writer(&record.who);
                 }
@@ -447,19 +474,20 @@
         }
     }
 
+    /// Kills an engine after a tool call, if the script still asks for it, and starts it again later.
     fn kill_writer(self: &Arc<Self>, engine: &str) {
-        let left = self.kill_after_tool.load(Ordering::SeqCst);
-        if left == 0 || !self.fleet.hosts.contains_key(engine) {
+        let remaining = self.kill_after_tool.load(Ordering::SeqCst);
+        if remaining == 0 || !self.fleet.hosts.contains_key(engine) {
             return;
         }
-        self.kill_after_tool.store(left - 1, Ordering::SeqCst);
+        self.kill_after_tool.store(remaining - 1, Ordering::SeqCst);
         self.log.see("hand", Seen::Fault { what: format!("{engine} dies after a tool call") });
-        let killed = self.control(engine, Control::Kill);
-        let (stage, engine) = (self.clone(), engine.to_owned());
+        let kill_result = self.control(engine, Control::Kill);
+        let (state, engine) = (self.clone(), engine.to_owned());
         std::thread::spawn(move || {
-            std::thread::sleep(BACK);
-            if killed.and_then(|()| stage.start_engine(&engine, true)).is_err() {
-                stage.clean.store(false, Ordering::SeqCst);
+            std::thread::sleep(ENGINE_RESTART_DELAY);
+            if kill_result.and_then(|()| state.start_engine(&engine, true)).is_err() {
+                state.is_clean.store(false, Ordering::SeqCst);
             }
         });
     }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,4 +1,7 @@
-//! What a rehearsal came to: a table for people, JSON for programs.
+//! The report of a rehearsal, as tables and as JSON.
+//!
+//! Counts come from the clients, violations from the rules checker; nothing is judged here but whether the script's
+//! limits were kept.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -7,96 +10,108 @@
 use elderstage_standin::traffic::{Record, Seen};
 use serde_json::{Value, json};
 
-use crate::clients::Tally;
-use crate::day::{Day, Ended};
+use crate::clients::RouteTally;
+use crate::day::{Day, LimitedOutcome};
 use crate::rules::{Verdict, client_request_id};
 
-/// Broken rules that a table shows, each.
-const SHOWN: usize = 5;
+/// Number of violations that the printed report shows for each rule.
+const MAX_VIOLATIONS_SHOWN: usize = 5;
 
+/// The result of a rehearsal.
 pub struct Report {
+    /// Name of the day.
     pub name: String,
+    /// Number of requests that were planned.
     pub planned: u64,
-    pub tallies: BTreeMap<String, Tally>,
+    /// Counts and latencies by route.
+    pub tallies: BTreeMap<String, RouteTally>,
+    /// The result of each rule's check.
     pub verdicts: [Verdict; 5],
-    /// Orders that the tool server has placed.
-    pub effects: u64,
+    /// Orders that the tool server placed.
+    pub orders_placed: u64,
+    /// Faults that began or ended.
     pub faults: u64,
-    /// Share of the engines' work that served no answer, of all that was sent to them.
-    pub wasted: f64,
-    /// Ends that the script bounds: which, at most, and how many there were.
-    pub expected: Vec<(Ended, u64, u64)>,
-    /// All fronts ended as told, and every step of the script could be done.
-    pub clean: bool,
+    /// Share of the work sent to the engines whose request was not served.
+    pub wasted_work_share: f64,
+    /// Outcomes that the script limits: which, the limit, and the number that occurred.
+    pub outcome_limits: Vec<(LimitedOutcome, u64, u64)>,
+    /// Whether all fronts exited in an orderly way and every step of the script succeeded.
+    pub is_clean: bool,
 }
 
 impl Report {
+    /// Summarizes a finished day.
     pub(crate) fn new(
         day: &Day,
         records: &[Record],
-        tallies: BTreeMap<String, Tally>,
+        tallies: BTreeMap<String, RouteTally>,
         verdicts: [Verdict; 5],
-        clean: bool,
+        is_clean: bool,
     ) -> Report {
         let mut served = BTreeSet::new();
-        let (mut effects, mut faults) = (0, 0);
+        let (mut orders_placed, mut faults) = (0, 0);
         for record in records {
             match &record.what {
                 Seen::Final { rid, outcome, .. } if outcome == "served" => {
                     served.insert(rid.as_str());
                 }
-                Seen::ToolRan { effect: true, .. } => effects += 1,
+                Seen::ToolRan { effect: true, .. } => orders_placed += 1,
                 Seen::Fault { .. } => faults += 1,
                 _ => {}
             }
         }
-        let (mut work, mut lost) = (0.0, 0.0);
+        let (mut total_work, mut wasted_work) = (0.0, 0.0);
         for record in records {
             if let Seen::Received { rid, work: amount, .. } = &record.what {
-                work += amount;
-                lost += if served.contains(client_request_id(rid)) { 0.0 } else { *amount };
+                total_work += amount;
+                wasted_work += if served.contains(client_request_id(rid)) { 0.0 } else { *amount };
             }
         }
-        let wasted = if work > 0.0 { lost / work } else { 0.0 };
-        let count = |ended| {
-            let of = |tally: &Tally| match ended {
-                Ended::Refused => tally.refused,
-                Ended::Failed => tally.failed,
-                Ended::Lost => tally.lost,
+        let wasted_work_share = if total_work > 0.0 { wasted_work / total_work } else { 0.0 };
+        let count = |outcome| {
+            let count_of_route = |tally: &RouteTally| match outcome {
+                LimitedOutcome::Refused => tally.refused,
+                LimitedOutcome::Failed => tally.failed,
+                LimitedOutcome::Lost => tally.lost,
             };
-            tallies.values().map(of).sum()
+            tallies.values().map(count_of_route).sum()
         };
-        let expected = day.most.iter().map(|(ended, most)| (*ended, *most, count(*ended))).collect();
+        let outcome_limits =
+            day.outcome_limits.iter().map(|(outcome, limit)| (*outcome, *limit, count(*outcome))).collect();
         Report {
             name: day.name.clone(),
             planned: day.load.requests,
             tallies,
             verdicts,
-            effects,
+            orders_placed,
             faults,
-            wasted,
-            expected,
-            clean,
+            wasted_work_share,
+            outcome_limits,
+            is_clean,
         }
     }
 
-    /// All rules held and nothing else went wrong.
+    /// Whether no rule was broken, no answer is missing, the script's limits were kept and the run was clean.
     pub fn good(&self) -> bool {
-        let missing = self.tallies.values().any(|tally| tally.missing > 0);
-        let expected = self.expected.iter().all(|(_, most, seen)| seen <= most);
-        self.clean && !missing && expected && self.verdicts.iter().all(|verdict| verdict.broken.is_empty())
+        let has_missing = self.tallies.values().any(|tally| tally.missing > 0);
+        let limits_kept = self.outcome_limits.iter().all(|(_, limit, count)| count <= limit);
+        self.is_clean
+            && !has_missing
+            && limits_kept
+            && self.verdicts.iter().all(|verdict| verdict.broken.is_empty())
     }
 
+    /// The report as JSON.
     pub fn json(&self) -> Value {
         let routes = self.tallies.iter().map(|(route, tally)| {
-            let quantiles = |h: &hdrhistogram::Histogram<u64>| {
-                json!({"p50": h.value_at_quantile(0.5), "p90": h.value_at_quantile(0.9),
-                       "p99": h.value_at_quantile(0.99), "max": h.max()})
+            let quantiles = |histogram: &hdrhistogram::Histogram<u64>| {
+                json!({"p50": histogram.value_at_quantile(0.5), "p90": histogram.value_at_quantile(0.9),
+                       "p99": histogram.value_at_quantile(0.99), "max": histogram.max()})
             };
             let value = json!({
                 "sent": tally.sent, "served": tally.served, "refused": tally.refused, "failed": tally.failed,
                 "left": tally.left, "lost": tally.lost, "missing": tally.missing,
-                "first_us": quantiles(&tally.first), "total_us": quantiles(&tally.total),
+                "first_us": quantiles(&tally.first_text_us), "total_us": quantiles(&tally.total_us),
             });
             (route.clone(), value)
         });
@@ -112,13 +127,13 @@
             "planned": self.planned,
             "routes": routes.collect::<serde_json::Map<_, _>>(),
             "rules": rules.collect::<Vec<_>>(),
-            "orders_placed": self.effects,
+            "orders_placed": self.orders_placed,
             "faults": self.faults,
-            "work_wasted": self.wasted,
-            "expected": self.expected.iter().map(|(ended, most, seen)| {
-                json!({"end": format!("{ended:?}").to_lowercase(), "at_most": most, "seen": seen})
+            "work_wasted": self.wasted_work_share,
+            "expected": self.outcome_limits.iter().map(|(outcome, limit, count)| {
+                json!({"end": format!("{outcome:?}").to_lowercase(), "at_most": limit, "seen": count})
             }).collect::<Vec<_>>(),
-            "clean": self.clean,
+            "clean": self.is_clean,
             "good": self.good(),
         })
     }
@@ -131,7 +146,7 @@
     table
 }
 
-fn right(text: impl ToString) -> Cell {
+fn right_aligned(text: impl ToString) -> Cell {
     Cell::new(text).set_alignment(CellAlignment::Right)
 }
 
@@ -153,7 +168,7 @@
             "p99",
         ]);
         for (route, tally) in &self.tallies {
-            let ms = |value: u64| right(format!("{:.1}", value as f64 / 1e3));
+            let ms = |value: u64| right_aligned(format!("{:.1}", value as f64 / 1e3));
             let counts = [
                 tally.sent,
                 tally.served,
@@ -164,8 +179,8 @@
                 tally.missing,
             ];
             let mut row = vec![Cell::new(route)];
-            row.extend(counts.map(right));
-            for histogram in [&tally.first, &tally.total] {
+            row.extend(counts.map(right_aligned));
+            for histogram in [&tally.first_text_us, &tally.total_us] {
                 row.extend([0.5, 0.99].map(|q| ms(histogram.value_at_quantile(q))));
             }
             requests.add_row(row);
@@ -173,33 +188,34 @@
         writeln!(f, "{requests}\n")?;
         let mut rules = table(&["rule", "judged", "broken", "verdict"]);
         for verdict in &self.verdicts {
-            let said = match (verdict.broken.is_empty(), verdict.cases_judged) {
+            let result = match (verdict.broken.is_empty(), verdict.cases_judged) {
                 (true, 0) => "not tried",
                 (true, _) => "kept",
                 (false, _) => "BROKEN",
             };
-            let cells = [right(verdict.cases_judged), right(verdict.broken.len()), Cell::new(said)];
+            let cells =
+                [right_aligned(verdict.cases_judged), right_aligned(verdict.broken.len()), Cell::new(result)];
             rules.add_row([Cell::new(verdict.rule)].into_iter().chain(cells));
         }
         writeln!(f, "{rules}")?;
         for verdict in &self.verdicts {
-            for violation in verdict.broken.iter().take(SHOWN) {
+            for violation in verdict.broken.iter().take(MAX_VIOLATIONS_SHOWN) {
                 writeln!(f, "  {}: {}: {}", verdict.rule, violation.subject, violation.description)?;
             }
         }
         writeln!(
             f,
             "\n{} orders placed, {} faults, {:.1}% of the engines' work served no answer",
-            self.effects,
+            self.orders_placed,
             self.faults,
-            self.wasted * 100.0
+            self.wasted_work_share * 100.0
         )?;
-        for (ended, most, seen) in &self.expected {
-            let said = if seen <= most { "as expected" } else { "NOT AS EXPECTED" };
-            writeln!(f, "{seen} {}, at most {most}: {said}", format!("{ended:?}").to_lowercase())?;
+        for (outcome, limit, count) in &self.outcome_limits {
+            let result = if count <= limit { "as expected" } else { "NOT AS EXPECTED" };
+            writeln!(f, "{count} {}, at most {limit}: {result}", format!("{outcome:?}").to_lowercase())?;
         }
-        if !self.clean {
-            writeln!(f, "a front ended badly, or a step of the script could not be done")?;
+        if !self.is_clean {
+            writeln!(f, "a front did not exit cleanly, or a step of the script failed")?;
         }
         Ok(())
     }
--- a/crates/rehearsal/src/rules/effects.rs
+++ b/crates/rehearsal/src/rules/effects.rs
@@ -1,8 +1,8 @@
 //! Checks that no effect happens twice, and that a request is refused only where the client can safely send it again.
 //!
-//! A request of an unsafe class must not be sent to a writer again after an attempt that may have run. A keyed one may
-//! be, as long as the engines still remember its key. Tool calls with an effect are never repeated unless the tool
-//! server proves that the call did not run.
+//! A request of an unsafe class must not be sent to a writer again after an attempt that may have run. A keyed one
+//! may be, as long as the engines still remember its key. Tool calls with an effect are never repeated unless the
+//! tool server proves that the call did not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -196,7 +196,8 @@
 #[test]
 fn an_overloaded_cold_server_is_reported() {
     let work = |at_ms: u64, amount: f64| received(at_ms, "w1", &format!("c{at_ms}/1/0"), "whole", amount);
-    // The server starts at half speed and the multiple is 2, so the budget is 1,000 ms of work in a window of 1,000 ms.
+    // The server starts at half speed and may get twice that, so its budget is 1,000 ms of work in a window of
+    // 1,000 ms.
     let burst = |from: u64| (0..13).map(|n| work(from + n, 100.0 * MS as f64)).collect::<Vec<_>>();
     let informed = vec![cold_start(0), listed(10, "running")];
     assert_breaks_only(
