--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -1,5 +1,8 @@
-//! Addresses that fail, in simulated time: many fronts, many servers, one deterministic queue of events. The core's
-//! own state of addresses runs here as it does in a front; the network is the model.
+//! A simulation of servers with several addresses, some of which fail.
+//!
+//! Many fronts connect to many servers in simulated time, driven by one deterministic queue of events. The core's
+//! choice of addresses runs here as it does in a front; only the network is modelled. The same seed always gives the
+//! same result.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,514 +15,573 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
-const MS: Time = 1_000;
-const S: Time = 1_000_000;
-/// How often a front looks after its addresses; as the front does.
-const TEND: Time = 50 * MS;
-/// Longest time to connect and prove, the configuration's default.
-const CONNECT: Time = 250 * MS;
-/// Round trip of a path that is well.
-const RTT: Time = 300;
-/// A connection is in use for so long.
-const USE: Time = 40 * MS;
-
-/// What an address does.
+const MILLISECOND: Time = 1_000;
+const SECOND: Time = 1_000_000;
+/// How often a front maintains its addresses; the same interval as in the front.
+const MAINTENANCE_INTERVAL: Time = 50 * MILLISECOND;
+/// Longest time to connect to an address and to prove it: the configuration's default.
+const CONNECT_TIMEOUT: Time = 250 * MILLISECOND;
+/// Round-trip time to a healthy address.
+const ROUND_TRIP: Time = 300;
+/// How long a request uses its connection.
+const CONNECTION_USE: Time = 40 * MILLISECOND;
+
+/// How an address behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
-    Well,
+pub enum AddressBehavior {
+    /// It accepts connections and answers.
+    Healthy,
     /// Connects are refused after one round trip.
     Refuses,
-    /// Connects are not answered, and nothing comes over connections that stand.
+    /// Connects get no reply, and nothing arrives over established connections.
     Silent,
-    /// Connects are taken, and nothing is said.
+    /// Connections are accepted, but nothing is ever sent on them.
     Stalls,
-    /// Connections are closed on the first word.
+    /// Connections are accepted, and closed at the first bytes from the front.
     Closes,
-    /// Everything takes 120 ms more.
+    /// Each round trip takes 120 ms longer.
     Slow,
 }
 
-impl Path {
-    fn rtt(self) -> Time {
-        if self == Path::Slow { RTT + 120 * MS } else { RTT }
+impl AddressBehavior {
+    fn round_trip(self) -> Time {
+        if self == AddressBehavior::Slow { ROUND_TRIP + 120 * MILLISECOND } else { ROUND_TRIP }
     }
 
+    /// Whether a connect succeeds. `None`: there is no reply.
     fn connects(self) -> Option<bool> {
         match self {
-            Path::Silent => None,
-            Path::Refuses => Some(false),
+            AddressBehavior::Silent => None,
+            AddressBehavior::Refuses => Some(false),
             _ => Some(true),
         }
     }
 
+    /// Whether the proof of a connection succeeds. `None`: there is no reply.
     fn answers(self) -> Option<bool> {
         match self {
-            Path::Silent | Path::Stalls => None,
-            Path::Closes | Path::Refuses => Some(false),
-            Path::Well | Path::Slow => Some(true),
+            AddressBehavior::Silent | AddressBehavior::Stalls => None,
+            AddressBehavior::Closes | AddressBehavior::Refuses => Some(false),
+            AddressBehavior::Healthy | AddressBehavior::Slow => Some(true),
         }
     }
 }
 
-/// How a front finds a working address.
+/// How a front finds a working address of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The core's: raced, with what was learned.
+    /// As the core does: addresses are raced, in an order learned from earlier requests.
     Learned,
-    /// Raced anew for each request, nothing learned.
+    /// Addresses are raced for each request, and nothing is learned.
     Race,
-    /// One address after the other, each with its share of the time.
-    InTurn,
+    /// One address after the other, each with an equal share of the connect timeout.
+    Sequential,
 }
 
-/// What is simulated.
+/// The input of a simulation.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
+    /// Number of fronts.
     pub fronts: usize,
+    /// Number of servers.
     pub servers: usize,
     /// Families of each server's addresses, in the order of preference.
-    pub ways: Vec<Family>,
-    /// Requests a second of each front.
-    pub rate: f64,
+    pub families: Vec<Family>,
+    /// Requests a second of each front; arrivals are Poisson.
+    pub requests_per_s: f64,
+    /// How fronts find a working address.
     pub policy: Policy,
-    /// What the addresses of one family, or of all, do from one time to another.
-    pub fault: (Option<Family>, Path),
-    /// At so many of the servers.
-    pub faulty: usize,
-    /// It changes between the fault and well every so often; 0 for a fault that stays.
-    pub flaps: Time,
-    pub from: Time,
-    pub to: Time,
+    /// The family of the faulty addresses, or all families, and how these addresses behave during the fault.
+    pub fault: (Option<Family>, AddressBehavior),
+    /// Number of servers that have the fault: the first ones.
+    pub faulty_servers: usize,
+    /// How long the fault is on, and then off, in turn. 0 for a fault that is always on.
+    pub flap_interval: Time,
+    /// When the fault begins.
+    pub fault_start: Time,
+    /// When the fault ends.
+    pub fault_end: Time,
+    /// When the simulation ends.
     pub end: Time,
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
+/// An event at a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Arrive,
+enum EventKind {
+    RequestArrived,
     DialEnded { race: usize, lane: usize, since: Time, ok: bool },
-    Word { race: usize, lane: usize, number: u32, ok: bool },
-    Wake { race: usize },
-    Free { server: usize, way: usize, born: Time },
+    ProofAnswered { race: usize, lane: usize, number: u32, ok: bool },
+    WaitEnded { race: usize },
+    ConnectionFreed { server: usize, address: usize, opened: Time },
     TrialEnded { trial: usize, since: Time, ok: bool },
-    Tend,
+    Maintain,
 }
 
-struct Flight {
+/// A request that is waiting for its connection.
+struct PendingRequest {
     race: Race,
     server: usize,
-    begun: Time,
-    proofs: Vec<u32>,
-    over: bool,
+    started: Time,
+    /// By lane: number of the proof in progress. An answer to an earlier proof is ignored.
+    proof_numbers: Vec<u32>,
+    is_finished: bool,
 }
 
 struct Front {
     addresses: Addresses<()>,
-    flights: Vec<Flight>,
+    requests: Vec<PendingRequest>,
     trials: Vec<Trial>,
     rng: ChaCha8Rng,
-    demoted: Option<Time>,
-    recovered: Option<Time>,
+    demoted_at: Option<Time>,
+    recovered_at: Option<Time>,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct SimulationSummary {
+    /// Number of requests.
     pub requests: u64,
+    /// Requests that found no working address.
     pub failed: u64,
-    /// Microseconds from the request to the moment that its body goes: all, and those begun while the fault stood
-    /// and was at least a second old.
-    pub delays: Histogram<u64>,
-    pub learned: Histogram<u64>,
-    /// Dials of all fronts in the busiest second: all, and while the fault stood those to addresses that have it.
-    pub dials_peak: u64,
-    pub dials_steady_peak: u64,
+    /// Microseconds from the start of a request until its body is sent, over all requests.
+    pub send_delays_us: Histogram<u64>,
+    /// The same over the requests that started during the fault, at least a second after its begin.
+    pub learned_send_delays_us: Histogram<u64>,
+    /// Dials of all fronts in the busiest second.
+    pub dials_per_s_peak: u64,
+    /// Dials of all fronts in the busiest second before the fault, without the first second.
+    pub dials_per_s_peak_before: u64,
+    /// Dials to addresses while they had the fault.
     pub dials_into_fault: u64,
-    /// From the fault's begin until the last front holds the family to be down, and from its end until no front
-    /// holds an address to be bad any more.
-    pub demoted: Option<Time>,
-    pub recovered: Option<Time>,
+    /// Time from the begin of the fault until the last front considers the family down. `None` if one never does.
+    pub demoted_after: Option<Time>,
+    /// Time from the end of the fault until no front considers an address bad. `None` if one always does.
+    pub recovered_after: Option<Time>,
 }
 
-struct World {
-    plan: Plan,
-    queue: BinaryHeap<Reverse<(Time, u64, usize, What)>>,
-    order: u64,
+/// State of a simulation.
+struct Simulation {
+    scenario: Scenario,
+    /// Events by time, in the order in which they were scheduled, each with its front.
+    queue: BinaryHeap<Reverse<(Time, u64, usize, EventKind)>>,
+    /// Number of events scheduled so far.
+    scheduled: u64,
     now: Time,
     fronts: Vec<Front>,
+    /// Names of the servers.
     names: Vec<ServerId>,
+    /// Places of each server.
     places: Vec<Vec<Place>>,
+    /// Number of dials in each second.
     dials: BTreeMap<Time, u64>,
-    out: Outcome,
+    summary: SimulationSummary,
 }
 
 fn histogram() -> Histogram<u64> {
-    // One microsecond to a minute, three figures; bounds that are always valid.
-    Histogram::new_with_bounds(1, 60 * S, 3)
-        .unwrap_or_else(|_| Histogram::new(3).expect("three figures are valid"))
+    // One microsecond to one minute with three significant digits. These bounds are always valid.
+    Histogram::new_with_bounds(1, 60 * SECOND, 3)
+        .unwrap_or_else(|_| Histogram::new(3).expect("three significant digits are valid"))
 }
 
-fn place(server: usize, index: usize, way: Family) -> Place {
+fn make_place(server: usize, index: usize, family: Family) -> Place {
     let port = 1000 + (server * 8 + index) as u16;
-    match way {
+    match family {
         Family::Unix => Place::Unix(format!("/{server}-{index}").into()),
         Family::V6 => Place::Tcp((std::net::Ipv6Addr::LOCALHOST, port).into()),
         Family::V4 => Place::Tcp((std::net::Ipv4Addr::LOCALHOST, port).into()),
     }
 }
 
-/// Plays a plan to its end.
-pub fn simulate(plan: Plan) -> Outcome {
-    let names: Vec<ServerId> = (0..plan.servers).map(|n| ServerId(format!("s{n}").into())).collect();
-    let ways = |server| plan.ways.iter().enumerate().map(move |(i, way)| place(server, i, *way));
-    let places: Vec<Vec<Place>> = (0..plan.servers).map(|server| ways(server).collect()).collect();
-    let mut master = ChaCha8Rng::seed_from_u64(plan.seed);
+/// Runs a scenario to its end.
+pub fn simulate(scenario: Scenario) -> SimulationSummary {
+    let names: Vec<ServerId> = (0..scenario.servers).map(|n| ServerId(format!("s{n}").into())).collect();
+    let server_places =
+        |server| scenario.families.iter().enumerate().map(move |(i, family)| make_place(server, i, *family));
+    let places: Vec<Vec<Place>> =
+        (0..scenario.servers).map(|server| server_places(server).collect()).collect();
+    let mut seed_rng = ChaCha8Rng::seed_from_u64(scenario.seed);
     let list = || names.iter().cloned().zip(places.iter().cloned()).map(|(n, p)| (n, p, false));
-    let fronts = (0..plan.fronts).map(|_| {
-        let mut addresses = Addresses::new(Bounds::default(), master.random());
+    let fronts = (0..scenario.fronts).map(|_| {
+        let mut addresses = Addresses::new(Bounds::default(), seed_rng.random());
         addresses.list(0, list());
         Front {
             addresses,
-            flights: Vec::new(),
+            requests: Vec::new(),
             trials: Vec::new(),
-            rng: ChaCha8Rng::seed_from_u64(master.random()),
-            demoted: None,
-            recovered: None,
+            rng: ChaCha8Rng::seed_from_u64(seed_rng.random()),
+            demoted_at: None,
+            recovered_at: None,
         }
     });
-    let out = Outcome {
+    let summary = SimulationSummary {
         requests: 0,
         failed: 0,
-        delays: histogram(),
-        learned: histogram(),
-        dials_peak: 0,
-        dials_steady_peak: 0,
+        send_delays_us: histogram(),
+        learned_send_delays_us: histogram(),
+        dials_per_s_peak: 0,
+        dials_per_s_peak_before: 0,
         dials_into_fault: 0,
-        demoted: None,
-        recovered: None,
+        demoted_after: None,
+        recovered_after: None,
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         fronts: fronts.collect(),
         queue: BinaryHeap::new(),
-        order: 0,
+        scheduled: 0,
         now: 0,
         dials: BTreeMap::new(),
         names,
         places,
-        out,
-        plan,
+        summary,
+        scenario,
     };
-    world.run();
-    world.out
+    simulation.run();
+    simulation.summary
 }
 
-impl World {
-    fn at(&mut self, at: Time, front: usize, what: What) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, front, what)));
+impl Simulation {
+    fn schedule(&mut self, at: Time, front: usize, kind: EventKind) {
+        self.scheduled += 1;
+        self.queue.push(Reverse((at, self.scheduled, front, kind)));
     }
 
-    fn path(&self, place: &Place) -> Path {
-        let (family, path) = self.plan.fault;
-        let concerned = family.is_none_or(|family| place.family() == family)
-            && self.places[..self.plan.faulty].iter().any(|places| places.contains(place));
-        let faulty = concerned && (self.plan.from..self.plan.to).contains(&self.now);
-        let on = self.plan.flaps == 0
-            || ((self.now - self.plan.from.min(self.now)) / self.plan.flaps).is_multiple_of(2);
-        if faulty && on { path } else { Path::Well }
+    /// How an address behaves now.
+    fn behavior(&self, place: &Place) -> AddressBehavior {
+        let (family, behavior) = self.scenario.fault;
+        let has_fault = family.is_none_or(|family| place.family() == family)
+            && self.places[..self.scenario.faulty_servers].iter().any(|places| places.contains(place));
+        let is_in_fault =
+            has_fault && (self.scenario.fault_start..self.scenario.fault_end).contains(&self.now);
+        let is_on = self.scenario.flap_interval == 0
+            || ((self.now - self.scenario.fault_start.min(self.now)) / self.scenario.flap_interval)
+                .is_multiple_of(2);
+        if is_in_fault && is_on { behavior } else { AddressBehavior::Healthy }
     }
 
     fn run(&mut self) {
         for front in 0..self.fronts.len() {
-            self.arrive_next(front);
-            // Fronts look at different times.
-            self.at(TEND * front as Time / self.plan.fronts as Time, front, What::Tend);
+            self.schedule_arrival(front);
+            // Fronts maintain their addresses at different times.
+            self.schedule(
+                MAINTENANCE_INTERVAL * front as Time / self.scenario.fronts as Time,
+                front,
+                EventKind::Maintain,
+            );
         }
-        while let Some(Reverse((at, _, front, what))) = self.queue.pop() {
-            if at >= self.plan.end {
+        while let Some(Reverse((at, _, front, kind))) = self.queue.pop() {
+            if at >= self.scenario.end {
                 break;
             }
             self.now = at;
-            self.happens(front, what);
+            self.handle(front, kind);
         }
-        let (from, to) = (self.plan.from / S, self.plan.to / S);
-        self.out.dials_peak = self.dials.values().copied().max().unwrap_or(0);
-        // Before the fault, without the first second, in which nothing is in the pools.
-        self.out.dials_steady_peak = self.dials.range(1..from.max(2)).map(|(_, n)| *n).max().unwrap_or(0);
-        let all = |value: fn(&Front) -> Option<Time>, from: Time| {
+        let (start_second, end_second) =
+            (self.scenario.fault_start / SECOND, self.scenario.fault_end / SECOND);
+        self.summary.dials_per_s_peak = self.dials.values().copied().max().unwrap_or(0);
+        // The first second is left out, because the pools are still empty then.
+        self.summary.dials_per_s_peak_before =
+            self.dials.range(1..start_second.max(2)).map(|(_, n)| *n).max().unwrap_or(0);
+        let last_after = |value: fn(&Front) -> Option<Time>, start: Time| {
             let times: Option<Vec<Time>> = self.fronts.iter().map(value).collect();
-            times.and_then(|times| times.into_iter().max()).map(|last| last.saturating_sub(from))
+            times.and_then(|times| times.into_iter().max()).map(|last| last.saturating_sub(start))
         };
-        (self.out.demoted, self.out.recovered) =
-            (all(|front| front.demoted, from * S), all(|front| front.recovered, to * S));
+        (self.summary.demoted_after, self.summary.recovered_after) = (
+            last_after(|front| front.demoted_at, start_second * SECOND),
+            last_after(|front| front.recovered_at, end_second * SECOND),
+        );
     }
 
-    fn arrive_next(&mut self, front: usize) {
-        let gap = -(1.0 - self.fronts[front].rng.random::<f64>()).ln() / self.plan.rate;
-        self.at(self.now + (gap * 1e6) as Time, front, What::Arrive);
+    fn schedule_arrival(&mut self, front: usize) {
+        let interval = -(1.0 - self.fronts[front].rng.random::<f64>()).ln() / self.scenario.requests_per_s;
+        self.schedule(self.now + (interval * 1e6) as Time, front, EventKind::RequestArrived);
     }
 
-    fn happens(&mut self, front: usize, what: What) {
-        match what {
-            What::Arrive => {
-                self.arrive_next(front);
-                self.arrive(front);
+    fn handle(&mut self, front: usize, kind: EventKind) {
+        match kind {
+            EventKind::RequestArrived => {
+                self.schedule_arrival(front);
+                self.start_request(front);
             }
-            What::DialEnded { race, lane, since, ok } => {
-                let place = self.fronts[front].flights[race].race.place(lane).clone();
-                let of = &mut self.fronts[front];
-                of.addresses.dialed(self.now, &place, since, ok);
-                let flight = &mut of.flights[race];
-                let taken = if ok { flight.race.connected(lane) } else { flight.race.failed(lane) };
+            EventKind::DialEnded { race, lane, since, ok } => {
+                let place = self.fronts[front].requests[race].race.place(lane).clone();
+                let state = &mut self.fronts[front];
+                state.addresses.dialed(self.now, &place, since, ok);
+                let request = &mut state.requests[race];
+                let is_wanted = if ok { request.race.connected(lane) } else { request.race.failed(lane) };
                 if !ok {
-                    of.addresses.closed(&place);
-                } else if !taken {
-                    of.addresses.free(self.now, &place, (), Life::new(self.now));
+                    state.addresses.closed(&place);
+                } else if !is_wanted {
+                    state.addresses.free(self.now, &place, (), Life::new(self.now));
                 }
-                self.step(front, race);
+                self.advance_race(front, race);
             }
-            What::Word { race, lane, number, ok } => {
-                let of = &mut self.fronts[front];
-                let flight = &mut of.flights[race];
-                if flight.over || flight.proofs[lane] != number {
+            EventKind::ProofAnswered { race, lane, number, ok } => {
+                let state = &mut self.fronts[front];
+                let request = &mut state.requests[race];
+                if request.is_finished || request.proof_numbers[lane] != number {
                     return;
                 }
                 if ok {
-                    of.addresses.proven(self.now, &mut flight.race, lane);
+                    state.addresses.proven(self.now, &mut request.race, lane);
                 } else {
-                    let place = flight.race.place(lane).clone();
-                    of.addresses.not_proven(self.now, &mut flight.race, lane);
-                    of.addresses.closed(&place);
+                    let place = request.race.place(lane).clone();
+                    state.addresses.not_proven(self.now, &mut request.race, lane);
+                    state.addresses.closed(&place);
                 }
-                self.step(front, race);
+                self.advance_race(front, race);
             }
-            What::Wake { race } => self.step(front, race),
-            What::Free { server, way, born } => {
-                let place = self.places[server][way].clone();
-                let of = &mut self.fronts[front];
-                of.addresses.heard(self.now, &place);
-                of.addresses.free(self.now, &place, (), Life { born, uses: 1 });
-                self.close(front);
+            EventKind::WaitEnded { race } => self.advance_race(front, race),
+            EventKind::ConnectionFreed { server, address, opened } => {
+                let place = self.places[server][address].clone();
+                let state = &mut self.fronts[front];
+                state.addresses.heard(self.now, &place);
+                state.addresses.free(self.now, &place, (), Life { born: opened, uses: 1 });
+                self.close_returned(front);
             }
-            What::TrialEnded { trial, since, ok } => {
-                let of = &mut self.fronts[front];
-                let trial = of.trials[trial].clone();
-                of.addresses.tried(self.now, &trial, since, ok);
-                of.addresses.closed(&trial.place);
+            EventKind::TrialEnded { trial, since, ok } => {
+                let state = &mut self.fronts[front];
+                let trial = state.trials[trial].clone();
+                state.addresses.tried(self.now, &trial, since, ok);
+                state.addresses.closed(&trial.place);
             }
-            What::Tend => self.tend(front),
+            EventKind::Maintain => self.maintain(front),
         }
     }
 
-    /// What the pool gave back is closed; which it was does not matter here but for the count.
-    fn close(&mut self, front: usize) {
-        let of = &mut self.fronts[front];
-        for () in of.addresses.closing() {
-            // The count is by address; any open one will do for bounds over all servers.
-            if let Some(place) = self.places.iter().flatten().find(|place| of.addresses.open_at(place) > 0) {
-                of.addresses.closed(place);
+    /// Closes the connections that the pool gave back. Which ones they were matters only for the count of open ones.
+    fn close_returned(&mut self, front: usize) {
+        let state = &mut self.fronts[front];
+        for () in state.addresses.closing() {
+            // The count is by address. Any open address will do, since the limits are over all servers.
+            if let Some(place) = self.places.iter().flatten().find(|place| state.addresses.open_at(place) > 0)
+            {
+                state.addresses.closed(place);
             }
         }
     }
 
-    fn arrive(&mut self, front: usize) {
-        self.out.requests += 1;
+    fn start_request(&mut self, front: usize) {
+        self.summary.requests += 1;
         let server = {
-            let of = &mut self.fronts[front];
-            of.rng.random_range(0..self.plan.servers)
+            let state = &mut self.fronts[front];
+            state.rng.random_range(0..self.scenario.servers)
         };
-        match self.plan.policy {
-            Policy::InTurn => return self.in_turn(server),
+        match self.scenario.policy {
+            Policy::Sequential => return self.connect_sequentially(server),
             Policy::Race => {
-                let mut fresh = Addresses::new(Bounds::default(), 0.0);
-                fresh.list(0, [(self.names[server].clone(), self.places[server].clone(), false)]);
-                self.fronts[front].addresses = fresh;
+                let mut addresses = Addresses::new(Bounds::default(), 0.0);
+                addresses.list(0, [(self.names[server].clone(), self.places[server].clone(), false)]);
+                self.fronts[front].addresses = addresses;
             }
             Policy::Learned => {}
         }
-        let ask = Ask { once: true, proof: Proof::Continue, connect: CONNECT, time: 10 * S };
-        let lanes = self.plan.ways.len();
-        let of = &mut self.fronts[front];
-        let race = of.addresses.begin(self.now, &self.names[server], ask);
-        of.flights.push(Flight { race, server, begun: self.now, proofs: vec![0; lanes], over: false });
-        let number = of.flights.len() - 1;
-        self.step(front, number);
+        let ask = Ask { once: true, proof: Proof::Continue, connect: CONNECT_TIMEOUT, time: 10 * SECOND };
+        let lanes = self.scenario.families.len();
+        let state = &mut self.fronts[front];
+        let race = state.addresses.begin(self.now, &self.names[server], ask);
+        state.requests.push(PendingRequest {
+            race,
+            server,
+            started: self.now,
+            proof_numbers: vec![0; lanes],
+            is_finished: false,
+        });
+        let number = state.requests.len() - 1;
+        self.advance_race(front, number);
     }
 
-    /// The baseline needs no events: it waits out each address.
-    fn in_turn(&mut self, server: usize) {
-        let share = CONNECT / self.plan.ways.len() as Time;
-        let mut took = 0;
+    /// Finds an address by the sequential policy. No events are needed: the delays of the addresses simply add up.
+    fn connect_sequentially(&mut self, server: usize) {
+        let share = CONNECT_TIMEOUT / self.scenario.families.len() as Time;
+        let mut elapsed = 0;
         for place in &self.places[server] {
-            let path = self.path(place);
-            let (connects, answers) = (path.connects(), path.answers());
-            let need = path.rtt() * if connects == Some(true) { 2 } else { 1 };
+            let behavior = self.behavior(place);
+            let (connects, answers) = (behavior.connects(), behavior.answers());
+            let needed = behavior.round_trip() * if connects == Some(true) { 2 } else { 1 };
             match (connects, answers) {
-                (Some(true), Some(true)) if need <= share => {
-                    return self.sent(self.now, took + need);
+                (Some(true), Some(true)) if needed <= share => {
+                    return self.record_delay(self.now, elapsed + needed);
                 }
-                (None, _) | (Some(true), None) => took += share,
-                _ => took += need.min(share),
+                (None, _) | (Some(true), None) => elapsed += share,
+                _ => elapsed += needed.min(share),
             }
         }
-        self.out.failed += 1;
+        self.summary.failed += 1;
     }
 
-    fn sent(&mut self, begun: Time, took: Time) {
-        self.out.delays.saturating_record(took.max(1));
-        if (self.plan.from + S..self.plan.to).contains(&begun) {
-            self.out.learned.saturating_record(took.max(1));
+    /// Records the time from the start of a request until its body was sent.
+    fn record_delay(&mut self, started: Time, delay: Time) {
+        self.summary.send_delays_us.saturating_record(delay.max(1));
+        if (self.scenario.fault_start + SECOND..self.scenario.fault_end).contains(&started) {
+            self.summary.learned_send_delays_us.saturating_record(delay.max(1));
         }
     }
 
-    fn step(&mut self, front: usize, race: usize) {
+    /// Carries out the steps of a request's race until it has to wait or is over.
+    fn advance_race(&mut self, front: usize, race: usize) {
         loop {
             let now = self.now;
-            let of = &mut self.fronts[front];
-            let flight = &mut of.flights[race];
-            if flight.over {
+            let state = &mut self.fronts[front];
+            let request = &mut state.requests[race];
+            if request.is_finished {
                 return;
             }
-            let (server, begun) = (flight.server, flight.begun);
-            match of.addresses.poll(now, &mut flight.race) {
+            let (server, started) = (request.server, request.started);
+            match state.addresses.poll(now, &mut request.race) {
                 Step::Reuse(..) => {}
                 Step::Dial(lane, until) => {
-                    let place = flight.race.place(lane).clone();
-                    let path = self.path(&place);
-                    *self.dials.entry(now / S).or_default() += 1;
-                    self.out.dials_into_fault += u64::from(path != Path::Well);
-                    let (at, ok) = match path.connects() {
-                        Some(ok) => (now + path.rtt(), ok),
+                    let place = request.race.place(lane).clone();
+                    let behavior = self.behavior(&place);
+                    *self.dials.entry(now / SECOND).or_default() += 1;
+                    self.summary.dials_into_fault += u64::from(behavior != AddressBehavior::Healthy);
+                    let (at, ok) = match behavior.connects() {
+                        Some(ok) => (now + behavior.round_trip(), ok),
                         None => (until, false),
                     };
-                    self.at(at, front, What::DialEnded { race, lane, since: now, ok });
+                    self.schedule(at, front, EventKind::DialEnded { race, lane, since: now, ok });
                 }
                 Step::Prove(lane, _) => {
-                    flight.proofs[lane] += 1;
-                    let number = flight.proofs[lane];
-                    let path = {
-                        let place = flight.race.place(lane).clone();
-                        self.path(&place)
+                    request.proof_numbers[lane] += 1;
+                    let number = request.proof_numbers[lane];
+                    let behavior = {
+                        let place = request.race.place(lane).clone();
+                        self.behavior(&place)
                     };
-                    if let Some(ok) = path.answers() {
-                        self.at(now + path.rtt(), front, What::Word { race, lane, number, ok });
+                    if let Some(ok) = behavior.answers() {
+                        self.schedule(
+                            now + behavior.round_trip(),
+                            front,
+                            EventKind::ProofAnswered { race, lane, number, ok },
+                        );
                     }
                 }
                 Step::Drop(lane) => {
-                    flight.proofs[lane] += 1;
-                    let place = flight.race.place(lane).clone();
-                    of.addresses.closed(&place);
+                    request.proof_numbers[lane] += 1;
+                    let place = request.race.place(lane).clone();
+                    state.addresses.closed(&place);
                 }
                 Step::Send(lane, _) => {
-                    flight.over = true;
-                    let place = flight.race.place(lane).clone();
-                    let way = self.places[server].iter().position(|p| *p == place).unwrap_or(0);
+                    request.is_finished = true;
+                    let place = request.race.place(lane).clone();
+                    let address = self.places[server].iter().position(|p| *p == place).unwrap_or(0);
                     let unused: Vec<Place> =
-                        flight.race.unused().map(|lane| flight.race.place(lane).clone()).collect();
+                        request.race.unused().map(|lane| request.race.place(lane).clone()).collect();
                     for place in unused {
-                        of.addresses.free(now, &place, (), Life::new(now));
+                        state.addresses.free(now, &place, (), Life::new(now));
                     }
-                    self.at(now + USE, front, What::Free { server, way, born: begun });
-                    self.sent(begun, now - begun);
-                    return self.close(front);
+                    self.schedule(
+                        now + CONNECTION_USE,
+                        front,
+                        EventKind::ConnectionFreed { server, address, opened: started },
+                    );
+                    self.record_delay(started, now - started);
+                    return self.close_returned(front);
                 }
                 Step::Lost(_) => {
-                    flight.over = true;
-                    self.out.failed += 1;
+                    request.is_finished = true;
+                    self.summary.failed += 1;
                     return;
                 }
-                Step::Wait(until) => return self.at(until, front, What::Wake { race }),
+                Step::Wait(until) => return self.schedule(until, front, EventKind::WaitEnded { race }),
             }
         }
     }
 
-    fn tend(&mut self, front: usize) {
+    /// Maintains the addresses of a front, as a front does at each interval, and starts the trials that are due.
+    fn maintain(&mut self, front: usize) {
         let now = self.now;
-        self.at(now + TEND, front, What::Tend);
-        if self.plan.policy != Policy::Learned {
+        self.schedule(now + MAINTENANCE_INTERVAL, front, EventKind::Maintain);
+        if self.scenario.policy != Policy::Learned {
             return;
         }
-        let of = &mut self.fronts[front];
-        let tended = of.addresses.tend(now, CONNECT);
-        let down = of.addresses.down().any(|family| self.plan.fault.0.is_none_or(|fault| family == fault));
-        if down && of.demoted.is_none() {
-            of.demoted = Some(now);
+        let state = &mut self.fronts[front];
+        let due = state.addresses.tend(now, CONNECT_TIMEOUT);
+        let is_down =
+            state.addresses.down().any(|family| self.scenario.fault.0.is_none_or(|fault| family == fault));
+        if is_down && state.demoted_at.is_none() {
+            state.demoted_at = Some(now);
         }
-        if now >= self.plan.to && of.recovered.is_none() && !down && of.addresses.book.failing() == 0 {
-            of.recovered = Some(now);
+        if now >= self.scenario.fault_end
+            && state.recovered_at.is_none()
+            && !is_down
+            && state.addresses.book.failing() == 0
+        {
+            state.recovered_at = Some(now);
         }
-        for trial in tended.trials {
-            *self.dials.entry(now / S).or_default() += 1;
-            let path = self.path(&trial.place);
-            self.out.dials_into_fault += u64::from(path != Path::Well);
-            let (at, ok) = match (path.connects(), path.answers()) {
-                (Some(true), Some(true)) => (now + 2 * path.rtt(), true),
-                (Some(_), Some(_)) => (now + 2 * path.rtt(), false),
+        for trial in due.trials {
+            *self.dials.entry(now / SECOND).or_default() += 1;
+            let behavior = self.behavior(&trial.place);
+            self.summary.dials_into_fault += u64::from(behavior != AddressBehavior::Healthy);
+            let (at, ok) = match (behavior.connects(), behavior.answers()) {
+                (Some(true), Some(true)) => (now + 2 * behavior.round_trip(), true),
+                (Some(_), Some(_)) => (now + 2 * behavior.round_trip(), false),
                 _ => (now + trial.time, false),
             };
-            let of = &mut self.fronts[front];
-            of.trials.push(trial);
-            let trial = of.trials.len() - 1;
-            self.at(at, front, What::TrialEnded { trial, since: now, ok });
+            let state = &mut self.fronts[front];
+            state.trials.push(trial);
+            let trial = state.trials.len() - 1;
+            self.schedule(at, front, EventKind::TrialEnded { trial, since: now, ok });
         }
-        self.close(front);
+        self.close_returned(front);
     }
 }
 
-// ---- What is asked of it ----
+// ---- Scenarios and their figures ----
 
 fn ms(value: u64) -> f64 {
     value as f64 / 1e3
 }
 
-/// A network that is gone for 30 s, as seen by so many fronts of 60 servers with three addresses each.
-pub fn outage(fronts: usize, servers: usize, seed: u64) -> Outcome {
-    simulate(gone(fronts, servers, seed))
+/// An outage of the IPv6 network for 30 s. Each server has three addresses.
+pub fn outage(fronts: usize, servers: usize, seed: u64) -> SimulationSummary {
+    simulate(outage_scenario(fronts, servers, seed))
 }
 
-fn gone(fronts: usize, servers: usize, seed: u64) -> Plan {
-    Plan {
+fn outage_scenario(fronts: usize, servers: usize, seed: u64) -> Scenario {
+    Scenario {
         fronts,
         servers,
-        ways: vec![Family::V6, Family::V4, Family::Unix],
-        rate: 200.0,
+        families: vec![Family::V6, Family::V4, Family::Unix],
+        requests_per_s: 200.0,
         policy: Policy::Learned,
-        fault: (Some(Family::V6), Path::Silent),
-        faulty: servers,
-        flaps: 0,
-        from: 10 * S,
-        to: 40 * S,
-        end: 60 * S,
+        fault: (Some(Family::V6), AddressBehavior::Silent),
+        faulty_servers: servers,
+        flap_interval: 0,
+        fault_start: 10 * SECOND,
+        fault_end: 40 * SECOND,
+        end: 60 * SECOND,
         seed,
     }
 }
 
-/// The outage by number of fronts.
+/// The outage, and a restart of half the servers, for several numbers of fronts, as JSON.
 pub fn outages(servers: usize, seed: u64) -> Value {
     let rows = [1, 4, 16, 64].map(|fronts| {
-        let out = outage(fronts, servers, seed);
+        let summary = outage(fronts, servers, seed);
         json!({
             "fronts": fronts,
-            "requests": out.requests,
-            "failed": out.failed,
-            "dials_a_second_peak": out.dials_peak,
-            "dials_a_second_peak_before": out.dials_steady_peak,
-            "dials_into_the_dead_family": out.dials_into_fault,
-            "delay_ms_p99_once_learned": ms(out.learned.value_at_quantile(0.99)),
-            "delay_ms_worst": ms(out.delays.max()),
-            "demoted_after_ms": out.demoted.map(ms),
-            "recovered_after_ms": out.recovered.map(ms),
+            "requests": summary.requests,
+            "failed": summary.failed,
+            "dials_a_second_peak": summary.dials_per_s_peak,
+            "dials_a_second_peak_before": summary.dials_per_s_peak_before,
+            "dials_into_the_dead_family": summary.dials_into_fault,
+            "delay_ms_p99_once_learned": ms(summary.learned_send_delays_us.value_at_quantile(0.99)),
+            "delay_ms_worst": ms(summary.send_delays_us.max()),
+            "demoted_after_ms": summary.demoted_after.map(ms),
+            "recovered_after_ms": summary.recovered_after.map(ms),
         })
     });
     let restarts = [1, 4, 16, 64].map(|fronts| {
-        let out = restart(fronts, servers, seed);
+        let summary = restart(fronts, servers, seed);
         json!({
             "fronts": fronts,
-            "dials_a_second_peak": out.dials_peak,
-            "dials_a_second_peak_of_a_front": out.dials_peak / fronts as u64,
-            "dials_into_dead_servers": out.dials_into_fault,
-            "a_family_was_held_to_be_down": out.demoted.is_some(),
-            "recovered_after_ms": out.recovered.map(ms),
+            "dials_a_second_peak": summary.dials_per_s_peak,
+            "dials_a_second_peak_of_a_front": summary.dials_per_s_peak / fronts as u64,
+            "dials_into_dead_servers": summary.dials_into_fault,
+            "a_family_was_held_to_be_down": summary.demoted_after.is_some(),
+            "recovered_after_ms": summary.recovered_after.map(ms),
         })
     });
     json!({
@@ -528,65 +590,71 @@
     })
 }
 
-/// Half of the servers are gone for 10 s, by all their addresses: requests to them fail, and what counts is that
-/// fronts neither storm them nor take it for a dead network.
-pub fn restart(fronts: usize, servers: usize, seed: u64) -> Outcome {
-    simulate(Plan {
-        fault: (None, Path::Refuses),
-        faulty: servers / 2,
-        to: 20 * S,
-        end: 40 * S,
-        ..gone(fronts, servers, seed)
+/// A restart of half of the servers: all their addresses refuse connections for 10 s, so requests to them fail. Fronts
+/// must neither flood them with dials nor conclude that a network is down.
+pub fn restart(fronts: usize, servers: usize, seed: u64) -> SimulationSummary {
+    simulate(Scenario {
+        fault: (None, AddressBehavior::Refuses),
+        faulty_servers: servers / 2,
+        fault_end: 20 * SECOND,
+        end: 40 * SECOND,
+        ..outage_scenario(fronts, servers, seed)
     })
 }
 
-/// One server with two addresses, of which the preferred one has a fault: time until the body goes, by fault and
-/// policy.
+/// One server with two addresses, of which the preferred one has a fault: the time until the body is sent, for each
+/// fault and policy, as JSON.
 pub fn by_fault(seed: u64) -> Value {
     let mut rows = Vec::new();
     let faults = [
-        ("refuses", Path::Refuses, 0),
-        ("silent", Path::Silent, 0),
-        ("stalls", Path::Stalls, 0),
-        ("closes", Path::Closes, 0),
-        ("slow", Path::Slow, 0),
-        ("stalls, flapping every 3 s", Path::Stalls, 3 * S),
+        ("refuses", AddressBehavior::Refuses, 0),
+        ("silent", AddressBehavior::Silent, 0),
+        ("stalls", AddressBehavior::Stalls, 0),
+        ("closes", AddressBehavior::Closes, 0),
+        ("slow", AddressBehavior::Slow, 0),
+        ("stalls, flapping every 3 s", AddressBehavior::Stalls, 3 * SECOND),
     ];
-    for (name, path, flaps) in faults {
-        for (of, policy) in [
+    for (fault_name, behavior, flap_interval) in faults {
+        for (policy_name, policy) in [
             ("learned", Policy::Learned),
             ("race without learning", Policy::Race),
-            ("in turn", Policy::InTurn),
+            ("in turn", Policy::Sequential),
         ] {
-            let out = one_server(path, flaps, policy, seed);
+            let summary = one_server(behavior, flap_interval, policy, seed);
             rows.push(json!({
-                "fault": name,
-                "policy": of,
-                "p50_ms": ms(out.learned.value_at_quantile(0.5)),
-                "p99_ms": ms(out.learned.value_at_quantile(0.99)),
-                "worst_ms": ms(out.delays.max()),
-                "failed": out.failed,
-                "requests": out.requests,
+                "fault": fault_name,
+                "policy": policy_name,
+                "p50_ms": ms(summary.learned_send_delays_us.value_at_quantile(0.5)),
+                "p99_ms": ms(summary.learned_send_delays_us.value_at_quantile(0.99)),
+                "worst_ms": ms(summary.send_delays_us.max()),
+                "failed": summary.failed,
+                "requests": summary.requests,
             }));
         }
     }
-    json!({"simulated": true, "round_trip_ms": ms(RTT), "bound_ms": ms(CONNECT), "rows": rows})
+    json!({"simulated": true, "round_trip_ms": ms(ROUND_TRIP), "bound_ms": ms(CONNECT_TIMEOUT), "rows": rows})
 }
 
-/// One front and one server, whose preferred address has a fault for 30 s.
-pub fn one_server(path: Path, flaps: Time, policy: Policy, seed: u64) -> Outcome {
-    simulate(Plan {
+/// One front and one server, whose preferred address has a fault for 30 s. With a flap interval, the fault is on and
+/// off in turn.
+pub fn one_server(
+    behavior: AddressBehavior,
+    flap_interval: Time,
+    policy: Policy,
+    seed: u64,
+) -> SimulationSummary {
+    simulate(Scenario {
         fronts: 1,
         servers: 1,
-        ways: vec![Family::V6, Family::V4],
-        rate: 50.0,
+        families: vec![Family::V6, Family::V4],
+        requests_per_s: 50.0,
         policy,
-        fault: (Some(Family::V6), path),
-        faulty: 1,
-        flaps,
-        from: 10 * S,
-        to: 40 * S,
-        end: 60 * S,
+        fault: (Some(Family::V6), behavior),
+        faulty_servers: 1,
+        flap_interval,
+        fault_start: 10 * SECOND,
+        fault_end: 40 * SECOND,
+        end: 60 * SECOND,
         seed,
     })
 }
