--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,12 +1,15 @@
-//! The rehearsal kit: a fleet of stand-ins, scripted days with faults, clients, and a checker of the rules.
+//! Rehearsals: scripted days of load and faults against real fronts, with stand-in engines, and a check of the rules.
 //!
-//! - [`fleet`]: engines and a tool server on loopback, and the configuration that fronts take for them.
-//! - [`day`]: the script: fleet, load, and what goes wrong when.
-//! - [`clients`]: planned requests, each with a manner of its own.
-//! - [`play`]: all of it together, with the fronts as processes.
-//! - [`rules`]: the five rules, judged from the traffic.
-//! - [`measure`]: the front against a baseline in one run.
-//! - [`report`]: what it came to.
+//! - [`fleet`]: engines and a tool server on loopback, and the configuration of fronts that use them.
+//! - [`day`]: the script of a day: the fleet, the load, and the faults with their times.
+//! - [`clients`]: planned requests, and how their clients behave.
+//! - [`play`]: runs a day, with the fronts as processes.
+//! - [`rules`]: checks the five rules on the recorded traffic.
+//! - [`report`]: the result of a day.
+//! - [`measure`]: measures a front against a baseline in the same run.
+//! - [`paths`]: simulates servers of which some addresses fail.
+//!
+//! The stand-ins simulate engines and run no model.
 
 pub mod clients;
 pub mod day;
--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -590,8 +590,8 @@
     })
 }
 
-/// A restart of half of the servers: all their addresses refuse connections for 10 s, so requests to them fail. Fronts
-/// must neither flood them with dials nor conclude that a network is down.
+/// A restart of half of the servers: all their addresses refuse connections for 10 s, so requests to them fail.
+/// Fronts must neither flood them with dials nor conclude that a network is down.
 pub fn restart(fronts: usize, servers: usize, seed: u64) -> SimulationSummary {
     simulate(Scenario {
         fault: (None, AddressBehavior::Refuses),
