--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -16,7 +16,8 @@
 /// Shortest period of a flapping fault. A listener takes some milliseconds to close and to open again.
 const MIN_FLAP_PERIOD_US: u64 = 50_000;
 
-/// A change to the fleet or a front at one time. The `Debug` form is written into the traffic log.
+/// A change to the fleet or a front. Its `Debug` form is written into the traffic log, so the names of variants and
+/// fields are part of that format.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// An engine stops working on its requests.
@@ -32,7 +33,12 @@
     /// An engine's process dies.
     Kill(String),
     /// An engine's process starts, cold or warm.
-    Start { engine: String, cold: bool },
+    Start {
+        /// Name of the engine.
+        engine: String,
+        /// Whether it starts cold.
+        cold: bool,
+    },
     /// An engine refuses all requests as too many, or stops doing so.
     Full(String, bool),
     /// An engine closes every new connection at once, as with a full connection table, or stops doing so.
@@ -42,11 +48,25 @@
     /// An engine serves a new connection only after this time.
     Handshake(String, Duration),
     /// Sets the fault of one address of an engine, or of all engines that have this kind of address.
-    Address { engine: Option<String>, way: Family, fault: DoorFault },
+    Address {
+        /// Name of the engine, or `None` for all engines.
+        engine: Option<String>,
+        /// Family of the address.
+        way: Family,
+        /// The fault, or [`DoorFault::None`] to end it.
+        fault: DoorFault,
+    },
     /// No traffic passes between this zone and the others.
     Cut(String, bool),
     /// An engine breaks its next answer streams, each after some tokens.
-    Break { engine: String, streams: u32, after: u64 },
+    Break {
+        /// Name of the engine.
+        engine: String,
+        /// Number of streams that break.
+        streams: u32,
+        /// Number of tokens after which each breaks.
+        after: u64,
+    },
     /// The transfer of states between engines is slower by this factor.
     SlowLinks(f64),
     /// Sets the fault of the tool server.
@@ -106,7 +126,7 @@
     pub retries: u32,
 }
 
-/// An outcome of requests whose number a script can limit. The `Debug` form is written into reports.
+/// An outcome of requests whose number a script can limit. Its `Debug` form in lower case is written into reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitedOutcome {
     /// The front refused the request.
@@ -167,6 +187,7 @@
         self.errors.push(ConfigError::new(self.file, at, message));
     }
 
+    /// The value at `index` as a number that is not negative, or 0 with an error.
     fn number(&mut self, directive: &Directive, index: usize) -> f64 {
         match directive.values.get(index).and_then(|text| number(text)) {
             Some(value) if value >= 0.0 => value,
@@ -178,6 +199,7 @@
         }
     }
 
+    /// The value at `index` as a time in microseconds, or 0 with an error.
     fn time(&mut self, directive: &Directive, index: usize) -> u64 {
         match directive.values.get(index).and_then(|text| time(text)) {
             Some(value) => value,
@@ -189,6 +211,7 @@
         }
     }
 
+    /// The value at `index`, or an empty string with an error.
     fn word(&mut self, directive: &Directive, index: usize) -> String {
         match directive.values.get(index) {
             Some(word) => word.clone(),
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -44,7 +44,12 @@
 pub enum PlayError {
     /// An operation on a file, a process or a stand-in failed.
     #[error("{what}: {error}")]
-    Io { what: String, error: std::io::Error },
+    Io {
+        /// What failed: a file, a process or a stand-in.
+        what: String,
+        /// The error of the operating system.
+        error: std::io::Error,
+    },
     /// The script gives a configuration that fronts do not accept.
     #[error("the fronts' configuration is invalid:\n{0}")]
     Config(elderstage_config::Errors),
@@ -59,7 +64,7 @@
     move |error| PlayError::Io { what, error }
 }
 
-/// The surroundings of a run.
+/// Options of a run.
 pub struct Options<'a> {
     /// The `elderstage` program, which is run for each front.
     pub program: &'a Path,
@@ -294,6 +299,7 @@
         Ok(FrontTarget { name: name.clone(), addr, session, is_enabled: true })
     }
 
+    /// Index of a front in the script.
     fn front_index(&self, name: &str) -> usize {
         self.fronts.iter().position(|front| front.name == name).unwrap_or(0)
     }
@@ -338,6 +344,7 @@
 
     // ---- Steps ----
 
+    /// Sends a control call to an engine. An unknown engine is ignored.
     fn control(&self, engine: &str, control: Control) -> Result<(), PlayError> {
         match self.fleet.hosts.get(engine) {
             Some(host) => host.control(control).map_err(io(engine)),
@@ -357,11 +364,13 @@
         host.control(Control::Faults(faults)).map_err(io(engine))
     }
 
+    /// Starts an engine, and writes a server list with its new start time.
     fn start_engine(&self, engine: &str, cold: bool) -> Result<(), PlayError> {
         self.control(engine, Control::Start { cold })?;
         self.write_list()
     }
 
+    /// Applies one step of the script.
     fn apply_step(self: &Arc<Self>, step: &Step) -> Result<(), PlayError> {
         match step {
             Step::Hang(engine) => self.control(engine, Control::Ail(Some(Ail::Hang))),
--- a/crates/rehearsal/src/rules/mod.rs
+++ b/crates/rehearsal/src/rules/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The checks use only what was seen on the sockets of clients, engines and tool servers, the server lists that were
 //! handed out, when fronts were started, told to drain or killed, and the configured limits. They never ask a front
-//! for its own view, so that a fault of a front cannot hide itself.
+//! anything.
 
 mod answered;
 mod cold;
--- a/crates/rehearsal/src/rules/pinned.rs
+++ b/crates/rehearsal/src/rules/pinned.rs
@@ -1,7 +1,8 @@
 //! Checks that no prefilled state stays held: while no attempt of its turn is in flight, it is taken or released
 //! within the release deadline plus the connect timeout.
 //!
-//! The time without an attempt starts anew whenever an attempt ends. States whose front was killed are exempt.
+//! The time without an attempt starts anew whenever an attempt ends. A state is exempt if its front was killed, or if
+//! no client is known to have sent its request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
