--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -103,7 +103,7 @@
         let head = match conn.request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => return reject(conn, error.status(), &error.to_string()),
-            Err(NetError::TimedOut) => return reject(conn, 408, "the request did not arrive in time"),
+            Err(NetError::TimedOut) => return reject(conn, 408, "no whole request in time"),
             Err(_) => return CloseReason::Client,
         };
         match ask::wanted(&head) {
@@ -249,7 +249,7 @@
             break permit;
         }
         if Instant::now() + MEMORY_RETRY_INTERVAL >= deadline || conn.is_closed() {
-            return Err((503, "no memory is left for the request body".into()));
+            return Err((503, "no memory left for a body".into()));
         }
         conn.pause(Some(Instant::now() + MEMORY_RETRY_INTERVAL));
     };
@@ -261,7 +261,7 @@
             let status = if matches!(error, HttpError::BodyTooLarge(_)) { 413 } else { error.status() };
             Err((status, error.to_string()))
         }
-        Err(NetError::TimedOut) => Err((408, "the request body did not arrive in time".into())),
+        Err(NetError::TimedOut) => Err((408, "no whole body in time".into())),
         // The connection has failed, so the client does not receive this response.
         Err(error) => Err((400, error.to_string())),
     }
@@ -389,14 +389,14 @@
                     let keep_alive = keep_alive && may_keep_open(shared, conn) && !read_ahead.has_discarded;
                     let is_kept = match last {
                         Last::Refused { retry_after: 0 } => {
-                            write_response(conn, 503, None, "the request was refused", keep_alive)
+                            write_response(conn, 503, None, "turned away", keep_alive)
                         }
                         Last::Refused { retry_after } => {
                             let seconds = format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND);
-                            write_response(conn, 503, Some(&seconds), "the request was refused", keep_alive)
+                            write_response(conn, 503, Some(&seconds), "turned away", keep_alive)
                         }
                         Last::Failed => {
-                            write_response(conn, 502, None, "the request failed and may have run", keep_alive)
+                            write_response(conn, 502, None, "failed; it may have run", keep_alive)
                         }
                         Last::Open => {
                             write_response(conn, 409, None, &ask::Refusal::Open.to_string(), keep_alive)
