--- a/crates/core/src/chain.rs
+++ b/crates/core/src/chain.rs
@@ -5,7 +5,7 @@
 //! is given only while that is known: no tool with an effect may have run, and in a class that is not safe to
 //! repeat no earlier leg was written. Any other end that is not served is a failure, which promises nothing.
 
-use elderstage::{Repeat, ReqId, ServerId, Time};
+use elderstage::{RepeatPolicy, RequestId, ServerId, Time};
 
 /// Identifies a client's request within one front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub struct Leg {
     /// Number of the leg, as the router knows it.
-    pub id: ReqId,
+    pub id: RequestId,
     /// Attempts started; the next attempt gets this number.
     pub attempts: u32,
     /// Server and stage of the attempt in flight.
@@ -83,7 +83,7 @@
 
 impl Leg {
     /// A leg without attempts.
-    pub fn new(id: ReqId) -> Leg {
+    pub fn new(id: RequestId) -> Leg {
         Leg { id, attempts: 0, in_flight: None, kept_state: None, is_streaming: false, may_have_run: false }
     }
 }
@@ -141,15 +141,15 @@
 
 impl Chain {
     /// Whether repeating the whole request is known to be harmless.
-    pub fn is_harmless_to_repeat(&self, repeat: Repeat) -> bool {
+    pub fn is_harmless_to_repeat(&self, repeat: RepeatPolicy) -> bool {
         let writer_may_have_run = self.legs > 1 || matches!(&self.phase, Phase::Leg(leg) if leg.may_have_run);
-        !self.may_have_had_effect && (repeat == Repeat::Safe || !writer_may_have_run)
+        !self.may_have_had_effect && (repeat == RepeatPolicy::Safe || !writer_may_have_run)
     }
 
     /// The final answer of the request after the router refused its current leg.
-    pub fn final_for_refusal(&self, repeat: Repeat, retry_after: Time) -> Final {
+    pub fn final_for_refusal(&self, repeat: RepeatPolicy, retry_after: Time) -> Final {
         // The router decides for the current leg: it may refuse a keyed one even after it ran.
-        if !self.may_have_had_effect && (repeat == Repeat::Safe || self.legs <= 1) {
+        if !self.may_have_had_effect && (repeat == RepeatPolicy::Safe || self.legs <= 1) {
             Final::Refused { reason: Reason::NoRoom, retry_after }
         } else {
             Final::Failed { reason: Reason::MayHaveRun }
@@ -157,7 +157,7 @@
     }
 
     /// The final answer of a request that the core ends for `reason`.
-    pub fn final_for_end(&self, repeat: Repeat, reason: Reason, retry_after: Time) -> Final {
+    pub fn final_for_end(&self, repeat: RepeatPolicy, reason: Reason, retry_after: Time) -> Final {
         if self.is_harmless_to_repeat(repeat) {
             Final::Refused { reason, retry_after }
         } else {
--- a/crates/core/src/chain/tests.rs
+++ b/crates/core/src/chain/tests.rs
@@ -13,7 +13,7 @@
         calls: Vec::new(),
         next_call: 0,
         may_have_had_effect,
-        phase: Phase::Leg(Leg { may_have_run, ..Leg::new(ReqId(1)) }),
+        phase: Phase::Leg(Leg { may_have_run, ..Leg::new(RequestId(1)) }),
         is_answered: false,
     }
 }
@@ -21,15 +21,24 @@
 /// Guards against a refusal after an order was placed: the client may then retry and place it twice.
 #[test]
 fn never_refuses_once_an_effect_may_have_happened() {
-    for repeat in [Repeat::Safe, Repeat::Unsafe] {
+    for repeat in [RepeatPolicy::Safe, RepeatPolicy::Unsafe] {
         let after_effect = chain(2, true, false);
         assert!(matches!(after_effect.final_for_refusal(repeat, 1), Final::Failed { .. }), "{repeat:?}");
         assert!(matches!(after_effect.final_for_end(repeat, Reason::OutOfTime, 1), Final::Failed { .. }));
     }
-    assert!(matches!(chain(2, false, false).final_for_refusal(Repeat::Unsafe, 1), Final::Failed { .. }));
-    assert!(matches!(chain(2, false, false).final_for_refusal(Repeat::Safe, 1), Final::Refused { .. }));
-    assert!(matches!(chain(1, false, false).final_for_refusal(Repeat::Unsafe, 1), Final::Refused { .. }));
+    assert!(matches!(
+        chain(2, false, false).final_for_refusal(RepeatPolicy::Unsafe, 1),
+        Final::Failed { .. }
+    ));
+    assert!(matches!(chain(2, false, false).final_for_refusal(RepeatPolicy::Safe, 1), Final::Refused { .. }));
+    assert!(matches!(
+        chain(1, false, false).final_for_refusal(RepeatPolicy::Unsafe, 1),
+        Final::Refused { .. }
+    ));
     let running = chain(1, false, true);
-    assert!(matches!(running.final_for_end(Repeat::Unsafe, Reason::OutOfTime, 1), Final::Failed { .. }));
-    assert!(matches!(running.final_for_end(Repeat::Safe, Reason::OutOfTime, 1), Final::Refused { .. }));
+    assert!(matches!(
+        running.final_for_end(RepeatPolicy::Unsafe, Reason::OutOfTime, 1),
+        Final::Failed { .. }
+    ));
+    assert!(matches!(running.final_for_end(RepeatPolicy::Safe, Reason::OutOfTime, 1), Final::Refused { .. }));
 }
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use elderstage::{
-    Action, Arrival, Entry, Event as RouterEvent, ListMode, Outcome, Repeat, ReqId, Role, Router, ServerId,
-    TextKey, Time,
+    Action, Arrival, CacheKey, Event as RouterEvent, ListMode, Outcome, RepeatPolicy, RequestId, Role,
+    Router, ServerEntry, ServerId, Time,
 };
 
 use crate::admission::{self, Rejection};
@@ -62,11 +62,11 @@
     /// A client sent a request.
     Submit(Submit),
     /// The first token, or the first fragment of a tool call, arrived from the engine.
-    Streaming { chain: ChainId, leg: ReqId, attempt: u32, took: Time },
+    Streaming { chain: ChainId, leg: RequestId, attempt: u32, took: Time },
     /// An attempt ended, after `took`.
     AttemptEnded {
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         evidence: Evidence,
         took: Time,
@@ -84,7 +84,7 @@
     /// The answer exceeds the size that the front may buffer.
     TooLong { chain: ChainId },
     /// The list of servers, or changes to it.
-    Servers { mode: ListMode, entries: Vec<Entry> },
+    Servers { mode: ListMode, entries: Vec<ServerEntry> },
     /// A probe ended; `evidence` is `None` if the server answered that it is healthy.
     Probed { server: ServerId, evidence: Option<Evidence>, took: Time, load: Option<Vec<f64>> },
     /// A server reported the start time of its process. A server that started before `long_ago` counts as
@@ -102,7 +102,7 @@
     /// Start an attempt.
     Send {
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         /// Number of the leg within its chain, from 1.
         turn: u32,
         attempt: u32,
@@ -173,9 +173,9 @@
     router: Router,
     members: Members,
     chains: HashMap<ChainId, Chain>,
-    chain_by_leg: HashMap<ReqId, ChainId>,
+    chain_by_leg: HashMap<RequestId, ChainId>,
     /// Session key, prefix key and tenant of each chain.
-    routing_keys: HashMap<ChainId, (Option<TextKey>, Option<TextKey>, usize)>,
+    routing_keys: HashMap<ChainId, (Option<CacheKey>, Option<CacheKey>, usize)>,
     /// One for each route.
     estimates: Vec<Estimate>,
     timers: Timers,
@@ -301,7 +301,7 @@
         let deadline = now + plan.total;
         self.timers.set(deadline, TimerPurpose::Chain(chain));
         let shared_bytes = submit.prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
-        let key = |text: String| TextKey(text.into());
+        let key = |text: String| CacheKey(text.into());
         let prefix = submit.prefix.map(|(name, _)| key(name));
         // A request on a route with tools gets a session of its own if it names none: the router then reads
         // its next leg on the server that keeps the first.
@@ -320,7 +320,7 @@
             calls: Vec::new(),
             next_call: 0,
             may_have_had_effect: false,
-            phase: Phase::Leg(Leg::new(ReqId(0))),
+            phase: Phase::Leg(Leg::new(RequestId(0))),
             is_answered: false,
         };
         self.chains.insert(chain, new_chain);
@@ -335,7 +335,7 @@
             return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         self.last_leg_number = self.last_leg_number.wrapping_add(1);
-        let leg = ReqId(self.last_leg_number);
+        let leg = RequestId(self.last_leg_number);
         chain.legs += 1;
         chain.phase = Phase::Leg(Leg::new(leg));
         self.chain_by_leg.insert(leg, id);
@@ -344,7 +344,7 @@
         let prompt = estimate.tokens(chain.bytes);
         let shared =
             if chain.shared_bytes > 0 { estimate.tokens(chain.shared_bytes).min(prompt) } else { 0.0 };
-        let tpot = self.plan.settings.classes[chain.class].tpot_aim;
+        let tpot = self.plan.settings.classes[chain.class].tpot_target;
         let (session, prefix, tenant) = self.routing_keys.get(&id).cloned().unwrap_or_default();
         let arrival = Arrival {
             id: leg,
@@ -353,14 +353,14 @@
             session,
             prefix,
             time_left: chain.first_token_limit.min(chain.deadline.saturating_sub(now)),
-            hint: (estimate.answer_tokens() * tpot) as Time,
-            prompt,
-            shared,
-            max_out: route.max_tokens,
-            repeat,
+            output_time_hint: (estimate.answer_tokens() * tpot) as Time,
+            prompt_tokens: prompt,
+            shared_tokens: shared,
+            max_output_tokens: route.max_tokens,
+            is_repeat: repeat,
             // The session key leads a later leg to its reader; `returned` is for sessions that come back
             // after a break.
-            returned: false,
+            is_resumed: false,
         };
         self.notify_router(now, RouterEvent::Arrived(arrival), effects);
     }
@@ -369,7 +369,7 @@
         &mut self,
         now: Time,
         id: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         took: Time,
         effects: &mut Vec<Effect>,
@@ -419,7 +419,7 @@
         let is_answered = chain.is_answered;
         self.notify_router(
             now,
-            RouterEvent::Ended { id: leg, attempt, server, outcome, took, settled, note, load },
+            RouterEvent::Ended { id: leg, attempt, server, outcome, took, is_settled: settled, note, load },
             effects,
         );
         if is_answered {
@@ -544,7 +544,7 @@
         self.finish(now, id, last, effects);
     }
 
-    fn repeat_policy(&self, chain: &Chain) -> Repeat {
+    fn repeat_policy(&self, chain: &Chain) -> RepeatPolicy {
         self.plan.classes[chain.class].repeat
     }
 
@@ -644,18 +644,18 @@
         }
     }
 
-    fn chain_of_leg(&self, leg: ReqId) -> Option<(ChainId, &Chain)> {
+    fn chain_of_leg(&self, leg: RequestId) -> Option<(ChainId, &Chain)> {
         let id = *self.chain_by_leg.get(&leg)?;
         Some((id, self.chains.get(&id)?))
     }
 
-    fn send_attempt(&mut self, leg: ReqId, server: ServerId, timeout: Time, effects: &mut Vec<Effect>) {
+    fn send_attempt(&mut self, leg: RequestId, server: ServerId, timeout: Time, effects: &mut Vec<Effect>) {
         let Some(id) = self.chain_by_leg.get(&leg).copied() else { return };
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let kind = self.members.get(&server).map(|entry| entry.kind);
         let role = kind.and_then(|kind| self.plan.settings.roles.get(kind)).copied().unwrap_or_default();
         let repeat = self.plan.classes[chain.class].repeat;
-        let keyed = matches!(repeat, Repeat::Keyed { .. });
+        let keyed = matches!(repeat, RepeatPolicy::Keyed { .. });
         let turn = chain.legs;
         let Phase::Leg(current) = &mut chain.phase else { return };
         let stage = match (role, &current.kept_state) {
@@ -668,7 +668,7 @@
         current.in_flight = Some((server.clone(), stage));
         self.counters.attempts += 1;
         // Reading a prompt has no side effect, so it may be repeated.
-        let once = repeat != Repeat::Safe && stage != Stage::Read;
+        let once = repeat != RepeatPolicy::Safe && stage != Stage::Read;
         effects.push(Effect::Send { chain: id, leg, turn, attempt, server, stage, timeout, keyed, once });
     }
 }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage::{Entry, ListMode, ServerId, Time};
+use elderstage::{ListMode, ServerEntry, ServerId, Time};
 
 /// Start times that differ by less than this, in microseconds, are one start: the clocks of the list and of
 /// the server differ slightly.
@@ -17,13 +17,13 @@
 /// The listed servers and their reported starts.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    entries: BTreeMap<ServerId, Entry>,
+    entries: BTreeMap<ServerId, ServerEntry>,
     reported_starts: BTreeMap<ServerId, Time>,
 }
 
 impl Members {
     /// Applies a list, and returns it with the start times that the servers reported themselves.
-    pub fn apply_list(&mut self, mode: ListMode, mut entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn apply_list(&mut self, mode: ListMode, mut entries: Vec<ServerEntry>) -> Vec<ServerEntry> {
         if matches!(mode, ListMode::Full | ListMode::Restored) {
             self.entries.clear();
         }
@@ -43,13 +43,13 @@
     }
 
     /// The listed entry of a server.
-    pub fn get(&self, server: &ServerId) -> Option<&Entry> {
+    pub fn get(&self, server: &ServerId) -> Option<&ServerEntry> {
         self.entries.get(server)
     }
 
     /// Records a start time that a server reported. Returns the changed entry if the start is new. A server
     /// that started before `long_ago` counts as warm; the list gives 0 as its start time.
-    pub fn record_start(&mut self, server: &ServerId, at: Time, long_ago: Time) -> Option<Entry> {
+    pub fn record_start(&mut self, server: &ServerId, at: Time, long_ago: Time) -> Option<ServerEntry> {
         let entry = self.entries.get_mut(server)?;
         let known = self.reported_starts.get(server).copied().unwrap_or(0).max(entry.ready_at);
         if at <= long_ago || at < known + START_TOLERANCE {
--- a/crates/core/src/members/tests.rs
+++ b/crates/core/src/members/tests.rs
@@ -2,8 +2,8 @@
 
 const S: Time = 1_000_000;
 
-fn entry(ready_at: Time) -> Entry {
-    Entry { server: ServerId("w".into()), ready_at, ..Entry::default() }
+fn entry(ready_at: Time) -> ServerEntry {
+    ServerEntry { server: ServerId("w".into()), ready_at, ..ServerEntry::default() }
 }
 
 /// Guards against sending a warm server's load to a restarted server until the list shows the restart.
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -1,12 +1,12 @@
 //! The operator's settings in the form that the core uses. All times are in microseconds.
 
-use elderstage::{Repeat, Settings, Time};
+use elderstage::{RepeatPolicy, Settings, Time};
 
 /// Settings of a request class that the router does not need.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
     /// Whether a request may run twice.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Longest wait for a turn's first token, and the addition for each 1,000 prompt tokens.
     pub give_up: Time,
     pub give_up_per_1000: f64,
--- a/crates/core/tests/chains.rs
+++ b/crates/core/tests/chains.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use elderstage::{Repeat, ReqId, ServerId};
+use elderstage::{RepeatPolicy, RequestId, ServerId};
 use elderstage_core::chain::{Final, Reason};
 use elderstage_core::evidence::{Evidence, ToolEnd};
 use elderstage_core::{ChainId, Effect, Event, Stage};
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_request_is_read_then_written_and_served() {
-    let mut world = World::new(Repeat::Safe);
+    let mut world = World::new(RepeatPolicy::Safe);
     world.submit(1);
     world.run(1_000 * MS);
     assert_eq!(world.final_of(1), Final::Served);
@@ -25,7 +25,7 @@
 
 #[test]
 fn the_leg_after_a_tool_call_is_read_where_the_first_was_kept() {
-    let mut world = World::new(Repeat::Unsafe);
+    let mut world = World::new(RepeatPolicy::Unsafe);
     world.writes = vec![turn(&["place_order"]), turn(&[])];
     world.submit(1);
     world.run(2_000 * MS);
@@ -51,7 +51,7 @@
         Script::End(5 * MS, Evidence::Status { status: 429, code: None }),
         Script::Stream(5 * MS, 50 * MS, Evidence::Broke, Vec::new()),
     ] {
-        let mut world = World::new(Repeat::Unsafe);
+        let mut world = World::new(RepeatPolicy::Unsafe);
         world.writes = vec![turn(&["place_order"]), second.clone()];
         world.submit(1);
         world.run(30_000 * MS);
@@ -63,14 +63,14 @@
 
 #[test]
 fn a_call_with_an_effect_is_retried_only_if_it_did_not_run() {
-    let mut lost = World::new(Repeat::Unsafe);
+    let mut lost = World::new(RepeatPolicy::Unsafe);
     lost.writes = vec![turn(&["place_order"]), turn(&[])];
     lost.tools = vec![(10 * MS, ToolEnd::Unknown)];
     lost.submit(1);
     lost.run(2_000 * MS);
     assert_eq!(lost.final_of(1), Final::Failed { reason: Reason::ToolUnknown });
     assert_eq!(lost.calls(), 1);
-    let mut not_run = World::new(Repeat::Unsafe);
+    let mut not_run = World::new(RepeatPolicy::Unsafe);
     not_run.writes = vec![turn(&["place_order"]), turn(&[])];
     not_run.tools = vec![(10 * MS, ToolEnd::NotRun), (10 * MS, ToolEnd::Result { bytes: 5 })];
     not_run.submit(1);
@@ -80,7 +80,7 @@
 
 #[test]
 fn the_model_goes_on_when_a_tool_without_effect_fails_twice() {
-    let mut world = World::new(Repeat::Safe);
+    let mut world = World::new(RepeatPolicy::Safe);
     world.writes = vec![turn(&["stock"]), turn(&[])];
     world.tools = vec![(10 * MS, ToolEnd::Unknown)];
     world.submit(1);
@@ -91,7 +91,7 @@
 
 #[test]
 fn the_calls_of_a_turn_run_one_at_a_time_and_unknown_tools_are_skipped() {
-    let mut world = World::new(Repeat::Unsafe);
+    let mut world = World::new(RepeatPolicy::Unsafe);
     world.writes = vec![turn(&["stock", "rm_rf", "place_order"]), turn(&[])];
     world.submit(1);
     world.run(2_000 * MS);
@@ -109,7 +109,7 @@
 
 #[test]
 fn endless_tool_calls_end_at_the_turn_limit() {
-    let mut world = World::new(Repeat::Safe);
+    let mut world = World::new(RepeatPolicy::Safe);
     world.writes = vec![turn(&["stock"])];
     world.submit(1);
     world.run(5_000 * MS);
@@ -119,13 +119,13 @@
 
 #[test]
 fn the_time_limit_of_the_request_ends_a_stream_and_a_tool_call() {
-    let mut stream = World::new(Repeat::Unsafe);
+    let mut stream = World::new(RepeatPolicy::Unsafe);
     stream.writes = vec![Script::Stream(10 * MS, 60_000 * MS, Evidence::Turn { cached: 0 }, Vec::new())];
     stream.submit(1);
     stream.run(21_000 * MS);
     assert_eq!(stream.final_of(1), Final::Failed { reason: Reason::OutOfTime });
     assert_eq!(stream.core.held(), 0, "the attempt was cancelled");
-    let mut plan = plan(Repeat::Unsafe);
+    let mut plan = plan(RepeatPolicy::Unsafe);
     plan.tools[1].timeout = 60_000 * MS;
     let mut tool = World::with_plan(plan);
     tool.writes = vec![turn(&["place_order"])];
@@ -139,7 +139,7 @@
 #[test]
 fn no_state_remains_after_a_client_leaves() {
     for after in [5, 25, 60, 115, 130] {
-        let mut world = World::new(Repeat::Unsafe);
+        let mut world = World::new(RepeatPolicy::Unsafe);
         world.writes = vec![turn(&["place_order"]), turn(&[])];
         world.submit(1);
         world.run(after * MS);
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_cancelled_read_is_released_at_its_reader() {
-    let mut world = World::new(Repeat::Safe);
+    let mut world = World::new(RepeatPolicy::Safe);
     world.reads = vec![Script::Hang, Script::End(20 * MS, Evidence::Read { cached: 0 })];
     world.submit(1);
     world.run(6_000 * MS);
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_draining_or_full_front_refuses_requests_and_stop_ends_the_rest() {
-    let mut world = World::new(Repeat::Unsafe);
+    let mut world = World::new(RepeatPolicy::Unsafe);
     world.writes = vec![Script::Stream(10 * MS, 60_000 * MS, Evidence::Turn { cached: 0 }, Vec::new())];
     for chain in 1..=50 {
         world.submit(chain);
@@ -184,13 +184,13 @@
 
 #[test]
 fn late_events_and_events_of_unknown_chains_change_nothing() {
-    let mut world = World::new(Repeat::Safe);
+    let mut world = World::new(RepeatPolicy::Safe);
     world.submit(1);
     world.run(1_000 * MS);
     let before = world.effects.len();
     let attempt_ended = |chain, leg| Event::AttemptEnded {
         chain: ChainId(chain),
-        leg: ReqId(leg),
+        leg: RequestId(leg),
         attempt: 0,
         evidence: Evidence::Turn { cached: 0 },
         took: 1,
@@ -202,7 +202,7 @@
     for event in [
         attempt_ended(1, 1),
         attempt_ended(9, 9),
-        Event::Streaming { chain: ChainId(1), leg: ReqId(1), attempt: 0, took: 1 },
+        Event::Streaming { chain: ChainId(1), leg: RequestId(1), attempt: 0, took: 1 },
         Event::ToolEnded { chain: ChainId(1), call: 0, end: ToolEnd::Unknown },
         Event::ClientGone { chain: ChainId(1) },
         Event::TooLong { chain: ChainId(7) },
@@ -257,7 +257,7 @@
         leave_times in prop::collection::vec(prop::option::of(0..4_000 * MS), 1..6),
         safe in any::<bool>(),
     ) {
-        let repeat = if safe { Repeat::Safe } else { Repeat::Unsafe };
+        let repeat = if safe { RepeatPolicy::Safe } else { RepeatPolicy::Unsafe };
         let mut world = World::new(repeat);
         // A read that was drawn as a stream becomes a normal read; other scripts are used as drawn.
         world.reads = reads
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -5,7 +5,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use elderstage::{Entry, ListMode, Listed, Repeat, ReqId, ServerId, Settings, Time, example_settings};
+use elderstage::{
+    ListMode, RepeatPolicy, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
+};
 use elderstage_core::chain::Final;
 use elderstage_core::evidence::{Evidence, ToolEnd};
 use elderstage_core::{
@@ -37,14 +39,14 @@
     pub reads: Vec<Script>,
     pub writes: Vec<Script>,
     pub tools: Vec<(Time, ToolEnd)>,
-    in_flight: BTreeMap<(ChainId, u32, u32), (ReqId, u64)>,
+    in_flight: BTreeMap<(ChainId, u32, u32), (RequestId, u64)>,
     kept_states: BTreeMap<(ChainId, u32), Time>,
     last_tool_ends: BTreeMap<ChainId, ToolEnd>,
     /// Longest time that a reader kept a state before a writer was sent for it or it was released.
     pub longest_state_wait: Time,
 }
 
-pub fn plan(repeat: Repeat) -> Plan {
+pub fn plan(repeat: RepeatPolicy) -> Plan {
     let mut settings: Settings = example_settings();
     settings.classes[0].repeat = repeat;
     let tool = |name: &str, effect| ToolPlan { name: name.into(), effect, timeout: 2_000 * MS, tries: 2 };
@@ -68,7 +70,7 @@
 }
 
 impl World {
-    pub fn new(repeat: Repeat) -> World {
+    pub fn new(repeat: RepeatPolicy) -> World {
         World::with_plan(plan(repeat))
     }
 
@@ -94,12 +96,12 @@
     }
 
     pub fn set_servers(&mut self, servers: &[(&str, usize)]) {
-        let entry = |(name, kind): &(&str, usize)| Entry {
+        let entry = |(name, kind): &(&str, usize)| ServerEntry {
             server: ServerId((*name).into()),
-            listed: Listed::Running,
+            listed: ServerStatus::Running,
             kind: *kind,
             weight: 1.0,
-            ..Entry::default()
+            ..ServerEntry::default()
         };
         let entries = servers.iter().map(entry).collect();
         self.handle_event(Event::Servers { mode: ListMode::Full, entries });
@@ -133,7 +135,7 @@
     fn attempt_ended(
         &self,
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         evidence: Evidence,
         took: Time,
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use elderstage::{ListMode, ReqId, Time};
+use elderstage::{ListMode, RequestId, Time};
 use elderstage_config::{Config, ExpectConfig, ServerConfig, StateName};
 use elderstage_core::evidence::Evidence;
 use elderstage_core::{ChainId, Core, Effect, Event, Final, Stage, Submit};
@@ -45,7 +45,7 @@
     events: HashMap<u64, Event>,
     /// The attempt in flight of each chain: the numbers of its scheduled events, its leg, its number and its
     /// start.
-    in_flight: HashMap<ChainId, (Vec<u64>, ReqId, u32, Time)>,
+    in_flight: HashMap<ChainId, (Vec<u64>, RequestId, u32, Time)>,
     requests: BTreeMap<u64, (Time, Request)>,
 }
 
@@ -174,7 +174,7 @@
     fn start_attempt(
         &mut self,
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         server: &str,
         stage: Stage,
@@ -223,7 +223,7 @@
 
 fn attempt_ended(
     chain: ChainId,
-    leg: ReqId,
+    leg: RequestId,
     attempt: u32,
     evidence: Evidence,
     took: Time,
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-use elderstage::{ReqId, ServerId, Time};
+use elderstage::{RequestId, ServerId, Time};
 use elderstage_core::evidence::Evidence;
 use elderstage_core::{ChainId, Core, Counters, Effect, Event, Final, Stage, Submit};
 use elderstage_net::channel::Sender;
@@ -37,7 +37,7 @@
 /// An attempt to make at an engine. The name of this type is part of the trace log.
 #[derive(Debug)]
 pub(crate) struct SendMail {
-    pub leg: ReqId,
+    pub leg: RequestId,
     pub turn: u32,
     pub attempt: u32,
     pub server: ServerId,
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -6,7 +6,8 @@
 use std::sync::RwLock;
 
 use elderstage::{
-    Class, Discovery, Entry, Group, Listed, Repeat, ReportField, Role, ServerId, Settings, Time,
+    Class, Discovery, RepeatGroup, RepeatPolicy, ReportField, Role, ServerEntry, ServerId, ServerStatus,
+    Settings, Time,
 };
 use elderstage_config::{
     Config, GroupName, Micros, ProofName, RepeatName, RoleName, ServerConfig, StateName,
@@ -34,17 +35,17 @@
     ]
 }
 
-fn repeat_policy(name: RepeatName) -> Repeat {
+fn repeat_policy(name: RepeatName) -> RepeatPolicy {
     match name {
-        RepeatName::Safe => Repeat::Safe,
-        RepeatName::Unsafe => Repeat::Unsafe,
+        RepeatName::Safe => RepeatPolicy::Safe,
+        RepeatName::Unsafe => RepeatPolicy::Unsafe,
         RepeatName::Keyed { group, memory } => {
             let group = match group {
-                GroupName::All => Group::All,
-                GroupName::Zone => Group::Zone,
-                GroupName::Cell => Group::Cell,
+                GroupName::All => RepeatGroup::All,
+                GroupName::Zone => RepeatGroup::Zone,
+                GroupName::Cell => RepeatGroup::Cell,
             };
-            Repeat::Keyed { group, memory }
+            RepeatPolicy::Keyed { group, memory }
         }
     }
 }
@@ -55,9 +56,9 @@
     let zone = config.zones.iter().position(|zone| *zone == config.front.zone).unwrap_or(0) as u32;
     let class = |class: &elderstage_config::ClassConfig| Class {
         repeat: repeat_policy(class.repeat),
-        ttft_aim: class.first_token,
-        ttft_aim_per_1000: class.first_token_per_1000 as f64,
-        tpot_aim: class.token_gap as f64,
+        ttft_target: class.first_token,
+        ttft_target_per_1000_tokens: class.first_token_per_1000 as f64,
+        tpot_target: class.token_gap as f64,
         worth: class.worth,
         late_worth: class.late_worth,
     };
@@ -67,19 +68,19 @@
         RoleName::Mixed => Role::Mixed,
     };
     let settings = Settings {
-        me: config.front.number,
+        front_number: config.front.number,
         zone,
-        fronts: config.front.fronts,
+        front_count: config.front.fronts,
         tick: TICK_US,
         classes: config.classes.iter().map(class).collect(),
         tenants: Vec::new(),
-        over_share_worth: 0.0,
+        over_quota_worth: 0.0,
         roles: config.kinds.iter().map(role).collect(),
         kv_tokens: config.kinds.iter().map(|kind| kind.kv_tokens).collect(),
-        writers_read: rules.writers_read,
-        places_ahead: false,
-        resume: false,
-        let_go_by: rules.let_go,
+        writers_may_read: rules.writers_read,
+        may_reserve_places: false,
+        may_resume: false,
+        release_time_limit: rules.let_go,
         discovery: Discovery::Pushed,
         report_fields: REPORT_FIELDS.to_vec(),
         reports_in_answers: rules.reports_in_answers,
@@ -87,16 +88,16 @@
         may_probe: rules.probes,
         may_advise: true,
         may_duplicate: false,
-        most_tries: rules.most_tries,
+        max_attempts: rules.most_tries,
         connect_timeout: rules.connect,
         max_retry_after: rules.retry_after,
         answer_slack: rules.answer_slack,
-        ask_within: 0,
+        resubscribe_within: 0,
         drain_grace: rules.drain_grace,
-        cold_from: rules.cold_from,
-        cold_for: rules.cold_for,
-        fall_multiple: rules.fall_multiple,
-        tip_after: rules.tip_after,
+        cold_start_share: rules.cold_from,
+        cold_duration: rules.cold_for,
+        overload_multiple: rules.fall_multiple,
+        overload_window: rules.tip_after,
     };
     let classes = config.classes.iter().map(|class| ClassPlan {
         repeat: repeat_policy(class.repeat),
@@ -184,7 +185,7 @@
         config: &Config,
         servers: &[ServerConfig],
         clock_mapping: ClockMapping,
-    ) -> Vec<Entry> {
+    ) -> Vec<ServerEntry> {
         let mut proofs = self.proofs.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         proofs.clear();
         for server in servers {
@@ -202,13 +203,17 @@
 
 /// Converts a list of servers to the entries of the routing module. `front_time` maps Unix times to the front's
 /// clock.
-pub fn entries(config: &Config, servers: &[ServerConfig], front_time: impl Fn(f64) -> Time) -> Vec<Entry> {
-    let entry = |server: &ServerConfig| Entry {
+pub fn entries(
+    config: &Config,
+    servers: &[ServerConfig],
+    front_time: impl Fn(f64) -> Time,
+) -> Vec<ServerEntry> {
+    let entry = |server: &ServerConfig| ServerEntry {
         server: ServerId(server.name.as_str().into()),
         listed: match server.state {
-            StateName::Running => Listed::Running,
-            StateName::Draining => Listed::Draining,
-            StateName::Gone => Listed::Gone,
+            StateName::Running => ServerStatus::Running,
+            StateName::Draining => ServerStatus::Draining,
+            StateName::Gone => ServerStatus::Gone,
         },
         kind: config.kinds.iter().position(|kind| kind.name == server.kind).unwrap_or(0),
         zone: config.zones.iter().position(|zone| *zone == server.zone).unwrap_or(0) as u32,
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use elderstage::ReqId;
+use elderstage::RequestId;
 use elderstage_net::{Conn, NetError};
 use elderstage_platform::ask::{self, Ask, Wanted};
 use elderstage_platform::forward;
@@ -303,7 +303,7 @@
         _memory_permit: memory_permit,
     };
     let channel = ResponseChannel::new(request, conn.waker());
-    let id = ReqId(shared.next_id.fetch_add(1, Ordering::Relaxed));
+    let id = RequestId(shared.next_id.fetch_add(1, Ordering::Relaxed));
     shared.submit(Event::RequestReceived { id, ask, channel: channel.clone(), received_at });
     let result = relay_response(shared, conn, &channel, id, keep_alive);
     channel.close();
@@ -359,7 +359,7 @@
     shared: &Arc<Shared>,
     conn: &mut Conn,
     channel: &ResponseChannel,
-    id: ReqId,
+    id: RequestId,
     keep_alive: bool,
 ) -> Result<(), CloseReason> {
     let ok_if_kept = |is_kept: bool| if is_kept { Ok(()) } else { Err(CloseReason::Answered) };
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use elderstage::{Outcome, ReqId, ServerId};
+use elderstage::{Outcome, RequestId, ServerId};
 use elderstage_net::NetError;
 use elderstage_net::go;
 use elderstage_platform::hub::Input;
@@ -46,7 +46,7 @@
 
 /// One attempt to have a request served by one engine.
 pub struct Attempt {
-    pub id: ReqId,
+    pub id: RequestId,
     /// Number of this attempt within its request, from 0.
     pub number: u32,
     pub server: ServerId,
@@ -59,7 +59,7 @@
 
 /// One call that asks an engine to release the state held for a request.
 pub struct ReleaseCall {
-    pub id: ReqId,
+    pub id: RequestId,
     pub trace: Box<str>,
     /// The engine that holds the state.
     pub holder: ServerId,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use elderstage::{ReqId, Settings};
+use elderstage::{RequestId, Settings};
 use elderstage_net::owner::{Machine, Micros};
 use elderstage_platform::ask::Ask;
 use elderstage_platform::hub::{Command, Hub, Input};
@@ -24,7 +24,7 @@
 pub enum Event {
     /// A client's request was received completely.
     RequestReceived {
-        id: ReqId,
+        id: RequestId,
         ask: Ask,
         channel: Arc<ResponseChannel>,
         /// When its last byte had arrived. The request's time limit runs from then.
@@ -82,7 +82,7 @@
     hub: Hub,
     shared: Arc<Shared>,
     /// Response channels of the requests that the hub knows.
-    channels: HashMap<ReqId, Arc<ResponseChannel>>,
+    channels: HashMap<RequestId, Arc<ResponseChannel>>,
     commands: Vec<Command>,
     comparison: Comparison,
     queue_wait: QueueWait,
@@ -198,7 +198,7 @@
                 ask.arrival.time_left = ask.arrival.time_left.saturating_sub(waited_us);
                 tracing::debug!(
                     target: "taken", trace = %ask.trace, class = ask.arrival.class, left_ms = ask.arrival.time_left / 1000,
-                    prompt = ask.arrival.prompt, session = ?ask.arrival.session, again = ask.arrival.returned,
+                    prompt = ask.arrival.prompt_tokens, session = ?ask.arrival.session, again = ask.arrival.is_resumed,
                 );
                 self.channels.insert(id, channel);
                 self.hub.handle(now, Input::Arrived { id, ask }, &mut self.commands);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -25,7 +25,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use elderstage::settings::Names;
+use elderstage::settings::SettingNames;
 use elderstage_net::owner::{Clock, Inbox, queue, run};
 use elderstage_net::{Conn, Listener, go, init_small, sleep};
 use elderstage_platform::counting::Counting;
@@ -96,7 +96,7 @@
 
 /// State shared by all coroutines and threads of the node.
 pub(crate) struct Shared {
-    names: Names,
+    names: SettingNames,
     connect_timeout: Duration,
     inbox: Inbox<SubmittedEvent>,
     pool: Arc<Pool>,
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,8 +1,8 @@
 //! Parses clients' requests into arrivals for the decision module, or into a refusal with a status. It reads no socket. A
 //! request is refused by its head alone wherever possible, before its body is read.
 
-use elderstage::settings::Names;
-use elderstage::{Arrival, ReqId, TextKey, Time};
+use elderstage::settings::SettingNames;
+use elderstage::{Arrival, CacheKey, RequestId, Time};
 use elderstage_protocol::http::{Framing, Request};
 use thiserror::Error;
 
@@ -131,11 +131,11 @@
 }
 
 /// Parses the name of a session or a prefix; an empty name is none.
-fn parse_key(value: &str, name: &'static str) -> Result<Option<TextKey>, Refusal> {
+fn parse_key(value: &str, name: &'static str) -> Result<Option<CacheKey>, Refusal> {
     match value {
         "" => Ok(None),
         long if long.len() > MAX_KEY_BYTES => Err(Refusal::Unreadable(name)),
-        value => Ok(Some(TextKey(value.into()))),
+        value => Ok(Some(CacheKey(value.into()))),
     }
 }
 
@@ -149,7 +149,12 @@
 impl Ask {
     /// Parses the head of a chat request. `body` is the length of the body in bytes. The time left is at most `longest_wait`,
     /// the longest time that any client waits.
-    pub fn read(head: &Request, body: usize, names: &Names, longest_wait: Time) -> Result<Ask, Refusal> {
+    pub fn read(
+        head: &Request,
+        body: usize,
+        names: &SettingNames,
+        longest_wait: Time,
+    ) -> Result<Ask, Refusal> {
         let trace =
             single_value(head, ID_HEADER)?.filter(|id| !id.is_empty()).ok_or(Refusal::Missing(ID_HEADER))?;
         if !is_plain_id(trace) {
@@ -176,18 +181,18 @@
             single_value(head, HINT_HEADER)?.map_or(Ok(0), |value| parse_number(value, HINT_HEADER))?;
         let again = single_value(head, AGAIN_HEADER)?.unwrap_or_default();
         let mut arrival = Arrival {
-            id: ReqId::default(),
+            id: RequestId::default(),
             class,
             tenant,
             session,
             prefix: None,
             time_left,
-            hint,
-            prompt: (body / CHARS_PER_TOKEN) as f64,
-            shared: 0.0,
-            max_out: 0.0,
-            repeat: again == "1",
-            returned: again == "again",
+            output_time_hint: hint,
+            prompt_tokens: (body / CHARS_PER_TOKEN) as f64,
+            shared_tokens: 0.0,
+            max_output_tokens: 0.0,
+            is_repeat: again == "1",
+            is_resumed: again == "again",
         };
         for part in single_value(head, PROPS_HEADER)?
             .unwrap_or_default()
@@ -198,9 +203,9 @@
             let value = value.trim();
             match name.trim() {
                 "prefix" => arrival.prefix = parse_key(value, PROPS_HEADER)?,
-                "prompt_len" => arrival.prompt = parse_number(value, PROPS_HEADER)? as f64,
-                "prefix_len" => arrival.shared = parse_number(value, PROPS_HEADER)? as f64,
-                "max_out" => arrival.max_out = parse_number(value, PROPS_HEADER)? as f64,
+                "prompt_len" => arrival.prompt_tokens = parse_number(value, PROPS_HEADER)? as f64,
+                "prefix_len" => arrival.shared_tokens = parse_number(value, PROPS_HEADER)? as f64,
+                "max_out" => arrival.max_output_tokens = parse_number(value, PROPS_HEADER)? as f64,
                 // Later versions may add properties.
                 _ => {}
             }
--- a/crates/platform/src/check.rs
+++ b/crates/platform/src/check.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use elderstage::settings::{Names, SettingsError};
+use elderstage::settings::{SettingNames, SettingsError};
 use elderstage::{Settings, Time};
 
 /// Shortest deadline, in microseconds: engines are sent deadlines in whole milliseconds.
@@ -11,7 +11,7 @@
 
 /// The error for a key.
 fn invalid<T>(path: impl Into<String>, what: impl Into<String>) -> Result<T, SettingsError> {
-    Err(SettingsError { path: path.into(), what: what.into() })
+    Err(SettingsError { path: path.into(), message: what.into() })
 }
 
 /// Checks names by which requests or lists refer to something: no name is empty or occurs twice.
@@ -37,7 +37,7 @@
     }
 }
 
-fn check_classes(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+fn check_classes(settings: &Settings, names: &SettingNames) -> Result<(), SettingsError> {
     check_not_empty("services", &names.classes, "no request could be of any class")?;
     let round_trip = MIN_DEADLINE.max(settings.tick);
     for (position, class) in settings.classes.iter().enumerate() {
@@ -48,14 +48,14 @@
             );
             return invalid(format!("services[{position}].give-up-us"), what);
         }
-        if class.ttft_aim == 0 {
+        if class.ttft_target == 0 {
             return invalid(format!("services[{position}].aim-us"), "0 leaves no time for an answer");
         }
     }
     Ok(())
 }
 
-fn check_kinds(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+fn check_kinds(settings: &Settings, names: &SettingNames) -> Result<(), SettingsError> {
     check_not_empty("skus", &names.kinds, "no engine could be of any kind")?;
     let (roles, kinds) = (settings.roles.len(), names.kinds.len());
     if roles > 0 && roles != kinds {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-fn check_zones(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+fn check_zones(settings: &Settings, names: &SettingNames) -> Result<(), SettingsError> {
     check_distinct("zones", &names.zones)?;
     let (zone, zones) = (settings.zone as usize, names.zones.len());
     if zones > 0 && zone >= zones {
@@ -77,13 +77,13 @@
 }
 
 fn check_limits(settings: &Settings) -> Result<(), SettingsError> {
-    if settings.most_tries == 0 {
+    if settings.max_attempts == 0 {
         return invalid("limits.most-tries", "0 allows no attempt");
     }
     if settings.connect_timeout == 0 {
         return invalid("limits.connect-timeout-us", "is 0 or missing: no connection could be made");
     }
-    if settings.tick == 0 && settings.let_go_by == 0 {
+    if settings.tick == 0 && settings.release_time_limit == 0 {
         return invalid(
             "tick-us",
             "is 0 or missing, and so is domain.let-go-by-us: there is no time limit to act in",
@@ -93,7 +93,7 @@
 }
 
 /// Checks whether a node can serve under these settings.
-pub fn check(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
+pub fn check(settings: &Settings, names: &SettingNames) -> Result<(), SettingsError> {
     check_classes(settings, names)?;
     check_kinds(settings, names)?;
     check_zones(settings, names)?;
--- a/crates/platform/src/counting.rs
+++ b/crates/platform/src/counting.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use elderstage::{ReqId, Settings, Time};
+use elderstage::{RequestId, Settings, Time};
 use elderstage_tally::{Counts, Key, Tally};
 
 /// A request that is open.
@@ -43,7 +43,7 @@
     /// each prompt token, in microseconds.
     classes: Vec<(Key, Time, f64)>,
     tally: Tally,
-    open: HashMap<ReqId, OpenRequest>,
+    open: HashMap<RequestId, OpenRequest>,
 }
 
 impl Counting {
@@ -61,7 +61,7 @@
             let name = names.get(index).cloned().unwrap_or_else(|| index.to_string());
             let key =
                 Key { class: name, release: self.release.clone(), settings: digest.into(), ..Key::default() };
-            (key, class.ttft_aim, class.ttft_aim_per_1000 / 1000.0)
+            (key, class.ttft_target, class.ttft_target_per_1000_tokens / 1000.0)
         };
         self.classes = settings.classes.iter().enumerate().map(class_entry).collect();
     }
@@ -78,7 +78,7 @@
     }
 
     /// Records the arrival of a request.
-    pub fn record_arrival(&mut self, now: Time, id: ReqId, class: usize, prompt: f64) {
+    pub fn record_arrival(&mut self, now: Time, id: RequestId, class: usize, prompt: f64) {
         let first_token_aim =
             self.classes.get(class).map_or(0, |(_, aim, per)| aim + (per * prompt.max(0.0)) as Time);
         self.counts(class).asked += 1;
@@ -86,14 +86,14 @@
     }
 
     /// Records the first event of a request's stream; later calls have no effect.
-    pub fn record_first_event(&mut self, now: Time, id: ReqId) {
+    pub fn record_first_event(&mut self, now: Time, id: RequestId) {
         if let Some(request) = self.open.get_mut(&id) {
             request.first_token_at.get_or_insert(now);
         }
     }
 
     /// Records the end of a request; further ends of the same request are not counted.
-    pub fn record_end(&mut self, now: Time, id: ReqId, end: RequestEnd) {
+    pub fn record_end(&mut self, now: Time, id: RequestId, end: RequestEnd) {
         let Some(request) = self.open.remove(&id) else { return };
         let counts = self.counts(request.class);
         let wait = request.first_token_at.map(|first| first.saturating_sub(request.arrived_at));
--- a/crates/platform/src/hub/messages.rs
+++ b/crates/platform/src/hub/messages.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use elderstage::{Outcome, ReqId, ServerId, Settings, Time};
+use elderstage::{Outcome, RequestId, ServerId, Settings, Time};
 
 use crate::ask::Ask;
 use crate::list::List;
@@ -11,13 +11,13 @@
 #[derive(Debug)]
 pub enum Input {
     /// A client's request was received completely. An id is never reused.
-    Arrived { id: ReqId, ask: Ask },
+    Arrived { id: RequestId, ask: Ask },
     /// The client disconnected.
-    Gone { id: ReqId },
+    Gone { id: RequestId },
     /// The first event of an attempt's stream is being forwarded to the client.
-    First { id: ReqId, attempt: u32 },
+    First { id: RequestId, attempt: u32 },
     /// An attempt ended and its connection is closed or idle. `events` counts the stream events that were forwarded.
-    Ended { id: ReqId, attempt: u32, outcome: Outcome, note: u64, report: Option<String>, events: u64 },
+    Ended { id: RequestId, attempt: u32, outcome: Outcome, note: u64, report: Option<String>, events: u64 },
     /// A probe ended.
     Probed { server: ServerId, outcome: Outcome, report: Option<String> },
     /// The wall clock was read; it is `ahead` microseconds ahead of the node's clock.
@@ -25,7 +25,7 @@
     /// Discovery sent a list. `restored` marks the list that was known before a restart.
     Listed { list: List, restored: bool },
     /// A release call to an engine ended. `heard`: the engine answered it.
-    Said { id: ReqId, holder: ServerId, round: u32, engine: ServerId, heard: bool },
+    Said { id: RequestId, holder: ServerId, round: u32, engine: ServerId, heard: bool },
     /// The node shuts down within this time.
     Stopping { within: Time },
     /// New settings with the same classes, kinds and zones.
@@ -50,16 +50,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Sends an attempt to a server. `harmless`: the request has no effect or may be repeated.
-    Send { id: ReqId, attempt: u32, server: ServerId, dial: SocketAddr, timeout: Time, harmless: bool },
+    Send { id: RequestId, attempt: u32, server: ServerId, dial: SocketAddr, timeout: Time, harmless: bool },
     /// Stops an attempt that has not been written yet because its engine drains or has left the list.
-    Withdraw { id: ReqId, attempt: u32 },
+    Withdraw { id: RequestId, attempt: u32 },
     /// Cancels an attempt.
-    Cancel { id: ReqId, attempt: u32 },
+    Cancel { id: RequestId, attempt: u32 },
     /// Ends a running stream; the client retries elsewhere.
-    Move { id: ReqId },
+    Move { id: RequestId },
     /// Sends the final answer to a client.
     Answer {
-        id: ReqId,
+        id: RequestId,
         last: Last,
         /// Number of attempts. With `last_outcome` it explains why the answer is not an engine's.
         attempts: u32,
@@ -68,7 +68,7 @@
     },
     /// Tells an engine to release the KV state that the holder keeps for a request.
     Release {
-        id: ReqId,
+        id: RequestId,
         trace: Box<str>,
         holder: ServerId,
         /// Number of the release within its request.
@@ -80,7 +80,7 @@
     /// Probes a server.
     Probe { server: ServerId, dial: SocketAddr },
     /// Drops a request; no further command names its id.
-    Forget { id: ReqId },
+    Forget { id: RequestId },
 }
 
 /// What a node has counted since its start.
--- a/crates/platform/src/hub/mod.rs
+++ b/crates/platform/src/hub/mod.rs
@@ -13,7 +13,8 @@
 use std::net::SocketAddr;
 
 use elderstage::{
-    Action, Event, ListMode, Outcome, Repeat, ReportField, ReqId, Role, Router, ServerId, Settings, Time,
+    Action, Event, ListMode, Outcome, RepeatPolicy, ReportField, RequestId, Role, Router, ServerId, Settings,
+    Time,
 };
 
 use crate::counting::{Counting, RequestEnd};
@@ -63,8 +64,8 @@
     engine_starts: EngineStarts,
     /// For each listed server, whether it is a reader.
     readers: HashMap<ServerId, bool>,
-    open_requests: BTreeMap<ReqId, OpenRequest>,
-    ids_by_trace: HashMap<Box<str>, ReqId>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    ids_by_trace: HashMap<Box<str>, RequestId>,
     leases: Leases,
     reachability: Reachability,
     /// Zone of this node.
@@ -87,7 +88,11 @@
         Hub {
             report_fields: settings.report_fields.clone(),
             roles: settings.roles.clone(),
-            repeatable_classes: settings.classes.iter().map(|class| class.repeat == Repeat::Safe).collect(),
+            repeatable_classes: settings
+                .classes
+                .iter()
+                .map(|class| class.repeat == RepeatPolicy::Safe)
+                .collect(),
             directory: Directory::default(),
             engine_starts: EngineStarts::default(),
             readers: HashMap::new(),
@@ -96,7 +101,7 @@
             leases: Leases::default(),
             reachability: Reachability::default(),
             zone: settings.zone,
-            release_time_limit: settings.let_go_by,
+            release_time_limit: settings.release_time_limit,
             wave_timers: BinaryHeap::new(),
             timers: BinaryHeap::new(),
             events: VecDeque::new(),
@@ -129,7 +134,7 @@
 
     /// Returns the number of servers that the module's passes over the list have examined since the start.
     pub fn examined(&self) -> u64 {
-        self.router.examined()
+        self.router.examined_servers()
     }
 
     /// Returns the number of requests with a release that no engine has acknowledged yet.
@@ -211,9 +216,9 @@
                 self.report_fields = settings.report_fields.clone();
                 self.roles = settings.roles.clone();
                 self.repeatable_classes =
-                    settings.classes.iter().map(|class| class.repeat == Repeat::Safe).collect();
-                (self.zone, self.release_time_limit) = (settings.zone, settings.let_go_by);
-                self.router.adopt(*settings);
+                    settings.classes.iter().map(|class| class.repeat == RepeatPolicy::Safe).collect();
+                (self.zone, self.release_time_limit) = (settings.zone, settings.release_time_limit);
+                self.router.update_settings(*settings);
             }
             Input::Said { id, holder, round, engine, heard } => {
                 self.record_contact(&engine, heard, now);
--- a/crates/platform/src/hub/release.rs
+++ b/crates/platform/src/hub/release.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-use elderstage::{Outcome, ReqId, ServerId, Time};
+use elderstage::{Outcome, RequestId, ServerId, Time};
 
 use super::{Command, Hub};
 use crate::leases::{ReleaseWave, wave_interval};
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WaveTimer {
     pub(super) at: Time,
-    pub(super) id: ReqId,
+    pub(super) id: RequestId,
     pub(super) holder: ServerId,
     pub(super) round: u32,
     pub(super) wave: u32,
@@ -43,7 +43,7 @@
     pub(super) fn send_release_wave(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         wave: ReleaseWave,
         commands: &mut Vec<Command>,
     ) {
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -1,7 +1,7 @@
 //! The lifecycle of requests and their attempts, from the last byte of the client's request until the request is
 //! forgotten.
 
-use elderstage::{Arrival, Event, Outcome, ReqId, ServerId, Time};
+use elderstage::{Arrival, Event, Outcome, RequestId, ServerId, Time};
 
 use super::{Command, Hub, InFlightAttempt, Last, OpenRequest};
 use crate::ask::Ask;
@@ -10,7 +10,7 @@
 
 /// How an attempt ended.
 pub(super) struct AttemptEnd {
-    pub(super) id: ReqId,
+    pub(super) id: RequestId,
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
     pub(super) note: u64,
@@ -22,14 +22,14 @@
 
 impl AttemptEnd {
     /// The end of an attempt that brought no answer.
-    fn without_answer(id: ReqId, attempt: u32, outcome: Outcome) -> AttemptEnd {
+    fn without_answer(id: RequestId, attempt: u32, outcome: Outcome) -> AttemptEnd {
         AttemptEnd { id, attempt, outcome, note: 0, report: None, events: 0 }
     }
 }
 
 impl Hub {
     /// Opens a request, unless another request with the same id is open.
-    pub(super) fn handle_arrival(&mut self, now: Time, id: ReqId, ask: Ask, commands: &mut Vec<Command>) {
+    pub(super) fn handle_arrival(&mut self, now: Time, id: RequestId, ask: Ask, commands: &mut Vec<Command>) {
         if self.ids_by_trace.contains_key(&ask.trace) {
             commands.push(Command::Answer { id, last: Last::Open, attempts: 0, last_outcome: None });
             commands.push(Command::Forget { id });
@@ -37,7 +37,7 @@
         }
         self.counts.taken += 1;
         if let Some(counting) = &mut self.counting {
-            counting.record_arrival(now, id, ask.arrival.class, ask.arrival.prompt);
+            counting.record_arrival(now, id, ask.arrival.class, ask.arrival.prompt_tokens);
         }
         self.ids_by_trace.insert(ask.trace.clone(), id);
         let is_repeatable = self.repeatable_classes.get(ask.arrival.class).copied().unwrap_or(false);
@@ -55,7 +55,7 @@
     }
 
     /// Handles the first stream event of an attempt: from here on the request is bound to it.
-    pub(super) fn handle_first_event(&mut self, now: Time, id: ReqId, attempt: u32) {
+    pub(super) fn handle_first_event(&mut self, now: Time, id: RequestId, attempt: u32) {
         let Some(request) = self.open_requests.get_mut(&id) else { return };
         let Some(in_flight) = request.in_flight.as_ref().filter(|in_flight| in_flight.attempt == attempt)
         else {
@@ -114,7 +114,7 @@
             server: in_flight.server,
             outcome,
             took: now.saturating_sub(in_flight.sent_at),
-            settled,
+            is_settled: settled,
             note,
             load,
         });
@@ -124,7 +124,7 @@
     pub(super) fn send_attempt(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         server: ServerId,
         timeout: Time,
         commands: &mut Vec<Command>,
@@ -149,7 +149,13 @@
     }
 
     /// Sends the final answer to a client that has neither a final answer yet nor disconnected.
-    pub(super) fn answer_client(&mut self, now: Time, id: ReqId, last: Last, commands: &mut Vec<Command>) {
+    pub(super) fn answer_client(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        last: Last,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(request) = self.open_requests.get_mut(&id) else { return };
         if !request.is_finished {
             request.is_finished = true;
@@ -168,7 +174,7 @@
     }
 
     /// Forgets a request that is finished and has no attempt in flight.
-    pub(super) fn forget_if_finished(&mut self, id: ReqId, commands: &mut Vec<Command>) {
+    pub(super) fn forget_if_finished(&mut self, id: RequestId, commands: &mut Vec<Command>) {
         if self
             .open_requests
             .get(&id)
--- a/crates/platform/src/leases.rs
+++ b/crates/platform/src/leases.rs
@@ -16,7 +16,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage::{ReqId, ServerId, Time};
+use elderstage::{RequestId, ServerId, Time};
 
 /// Waves after which a release is abandoned: no engine has been reached for seconds by then.
 const MAX_WAVES: u32 = 24;
@@ -86,11 +86,11 @@
 
 /// The KV state that may be held for requests of this node.
 #[derive(Debug, Default)]
-pub struct Leases(BTreeMap<ReqId, Lease>);
+pub struct Leases(BTreeMap<RequestId, Lease>);
 
 impl Leases {
     /// Records that an attempt that may have left KV state ended at this server.
-    pub fn record_holder(&mut self, id: ReqId, trace: &str, server: &ServerId, now: Time) {
+    pub fn record_holder(&mut self, id: RequestId, trace: &str, server: &ServerId, now: Time) {
         let lease = self.0.entry(id).or_insert_with(|| Lease {
             trace: trace.into(),
             holders: Vec::new(),
@@ -108,7 +108,7 @@
     }
 
     /// Records the start of an attempt. `fetches`: it fetches the KV state of an earlier one.
-    pub fn start_attempt(&mut self, id: ReqId, fetches: bool) {
+    pub fn start_attempt(&mut self, id: RequestId, fetches: bool) {
         if let Some(lease) = self.0.get_mut(&id) {
             lease.is_fetching = fetches;
         }
@@ -116,7 +116,7 @@
 
     /// Records the end of an attempt. If it `may_have_arrived`, held state is unclaimed only from now on, and a release that
     /// was acknowledged during a fetch may have had no effect because the engine kept the state for the attempt.
-    pub fn end_attempt(&mut self, id: ReqId, may_have_arrived: bool, now: Time) {
+    pub fn end_attempt(&mut self, id: RequestId, may_have_arrived: bool, now: Time) {
         let Some(lease) = self.0.get_mut(&id) else { return };
         let was_fetching = std::mem::take(&mut lease.is_fetching);
         if !may_have_arrived {
@@ -131,13 +131,13 @@
     }
 
     /// Removes the lease of a request, as when its stream has started: the engines have then released the state.
-    pub fn remove(&mut self, id: ReqId) {
+    pub fn remove(&mut self, id: RequestId) {
         self.0.remove(&id);
     }
 
     /// Starts a release at every holder that has none pending, and returns the first waves. `release_time_limit` is the
     /// time that the settings give for a release.
-    pub fn start_release(&mut self, id: ReqId, now: Time, release_time_limit: Time) -> Vec<ReleaseWave> {
+    pub fn start_release(&mut self, id: RequestId, now: Time, release_time_limit: Time) -> Vec<ReleaseWave> {
         let Some(lease) = self.0.get_mut(&id) else { return Vec::new() };
         lease.round += 1;
         let (trace, round) = (&lease.trace, lease.round);
@@ -159,7 +159,7 @@
     }
 
     /// Records a wave of calls to these engines.
-    pub fn record_wave(&mut self, id: ReqId, holder: &ServerId, round: u32, engines: &[ServerId]) {
+    pub fn record_wave(&mut self, id: RequestId, holder: &ServerId, round: u32, engines: &[ServerId]) {
         let Some(release) = self.pending_release(id, holder, round) else { return };
         release.waves_sent += 1;
         for engine in engines {
@@ -169,7 +169,12 @@
     }
 
     /// Returns the pending release of a holder, if it has this number.
-    fn pending_release(&mut self, id: ReqId, holder: &ServerId, round: u32) -> Option<&mut PendingRelease> {
+    fn pending_release(
+        &mut self,
+        id: RequestId,
+        holder: &ServerId,
+        round: u32,
+    ) -> Option<&mut PendingRelease> {
         let lease = self.0.get_mut(&id)?;
         let holder = lease.holders.iter_mut().find(|known| known.server == *holder)?;
         holder.pending_release.as_mut().filter(|release| release.round == round)
@@ -179,7 +184,7 @@
     /// if one is due.
     pub fn handle_call_end(
         &mut self,
-        id: ReqId,
+        id: RequestId,
         holder: &ServerId,
         round: u32,
         acknowledged: bool,
@@ -196,7 +201,7 @@
     }
 
     /// Ends an acknowledged release. The holder stays if an attempt is in flight for which the engine may have kept the state.
-    fn acknowledge(&mut self, id: ReqId, holder: &ServerId) {
+    fn acknowledge(&mut self, id: RequestId, holder: &ServerId) {
         let Some(lease) = self.0.get_mut(&id) else { return };
         if !lease.is_fetching {
             self.remove_holder(id, holder);
@@ -211,7 +216,7 @@
     /// acknowledged.
     pub fn handle_wave_timer(
         &mut self,
-        id: ReqId,
+        id: RequestId,
         holder: &ServerId,
         round: u32,
         wave: u32,
@@ -223,7 +228,7 @@
     }
 
     /// Returns the next wave of a release, or removes the holder if the release is to be abandoned.
-    fn next_wave(&mut self, id: ReqId, holder: &ServerId, round: u32, now: Time) -> Option<ReleaseWave> {
+    fn next_wave(&mut self, id: RequestId, holder: &ServerId, round: u32, now: Time) -> Option<ReleaseWave> {
         let release = self.pending_release(id, holder, round)?;
         if release.waves_sent >= MAX_WAVES || now >= release.started_at + MAX_RELEASE_AGE {
             self.remove_holder(id, holder);
@@ -242,7 +247,7 @@
     }
 
     /// Removes a holder, and the lease if it was the last one.
-    fn remove_holder(&mut self, id: ReqId, holder: &ServerId) {
+    fn remove_holder(&mut self, id: RequestId, holder: &ServerId) {
         if let Some(lease) = self.0.get_mut(&id) {
             lease.holders.retain(|known| known.server != *holder);
             if lease.holders.is_empty() {
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use elderstage::settings::Names;
-use elderstage::{Entry, ListMode, Listed, ServerId, Time};
+use elderstage::settings::SettingNames;
+use elderstage::{ListMode, ServerEntry, ServerId, ServerStatus, Time};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct Host {
     /// The entry for the module.
-    pub entry: Entry,
+    pub entry: ServerEntry,
     /// The address of the server.
     pub address: Option<SocketAddr>,
 }
@@ -83,7 +83,7 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     /// Address, listed state and zone of each server.
-    servers: HashMap<ServerId, (SocketAddr, Listed, u32)>,
+    servers: HashMap<ServerId, (SocketAddr, ServerStatus, u32)>,
     /// The running servers by zone. Updated with each change, because a pass over thousands of servers for each release call
     /// would delay everything else.
     running_by_zone: BTreeMap<u32, BTreeMap<ServerId, SocketAddr>>,
@@ -91,17 +91,17 @@
 
 impl Directory {
     /// Parses a list from a JSON value. Names become positions in the settings.
-    pub fn read(value: &Value, names: &Names) -> Result<List, ListError> {
+    pub fn read(value: &Value, names: &SettingNames) -> Result<List, ListError> {
         Directory::convert(serde::de::Deserialize::deserialize(value)?, names)
     }
 
     /// Parses a list from the text of one JSON object.
-    pub fn parse(text: &[u8], names: &Names) -> Result<List, ListError> {
+    pub fn parse(text: &[u8], names: &SettingNames) -> Result<List, ListError> {
         Directory::convert(serde_json::from_slice(text)?, names)
     }
 
     /// Converts a list to entries for the module.
-    fn convert(list: WireList, names: &Names) -> Result<List, ListError> {
+    fn convert(list: WireList, names: &SettingNames) -> Result<List, ListError> {
         let position = |names: &[String], name: &str| {
             names.iter().position(|known| known == name).unwrap_or(UNNAMED_POSITION)
         };
@@ -109,21 +109,21 @@
         for host in list.hosts {
             let error = |what: String| ListError::Host { host: host.host.clone(), what };
             let listed = match host.health.as_str() {
-                "SERVING" => Listed::Running,
-                "DRAINING" => Listed::Draining,
-                "DELETED" => Listed::Gone,
+                "SERVING" => ServerStatus::Running,
+                "DRAINING" => ServerStatus::Draining,
+                "DELETED" => ServerStatus::Gone,
                 other => {
                     return Err(error(format!("health {other:?} is none of SERVING, DRAINING, DELETED")));
                 }
             };
             let address = host.dial.parse::<SocketAddr>().ok();
-            if address.is_none() && listed != Listed::Gone {
+            if address.is_none() && listed != ServerStatus::Gone {
                 return Err(error(format!("dial {:?} is not an address and port", host.dial)));
             }
             if host.host.is_empty() {
                 return Err(error("the name is empty".into()));
             }
-            let entry = Entry {
+            let entry = ServerEntry {
                 server: ServerId(host.host.as_str().into()),
                 listed,
                 kind: position(&names.kinds, &host.class),
@@ -139,7 +139,7 @@
     }
 
     /// Applies a list and returns the entries for the module. `restored` marks the list that was known before a restart.
-    pub fn take(&mut self, list: List, restored: bool) -> (ListMode, Vec<Entry>) {
+    pub fn take(&mut self, list: List, restored: bool) -> (ListMode, Vec<ServerEntry>) {
         if list.whole {
             self.servers.clear();
             self.running_by_zone.clear();
@@ -164,7 +164,7 @@
 
     /// Returns whether a server is listed as running, that is, neither draining nor gone.
     pub fn is_running(&self, server: &ServerId) -> bool {
-        self.servers.get(server).is_some_and(|(_, listed, _)| *listed == Listed::Running)
+        self.servers.get(server).is_some_and(|(_, listed, _)| *listed == ServerStatus::Running)
     }
 
     /// Inserts, replaces or removes a server.
@@ -179,9 +179,9 @@
             }
         }
         // A server that has left is forgotten, so that the directory does not grow over a long day.
-        let Some(address) = host.address.filter(|_| entry.listed != Listed::Gone) else { return };
+        let Some(address) = host.address.filter(|_| entry.listed != ServerStatus::Gone) else { return };
         self.servers.insert(entry.server.clone(), (address, entry.listed, entry.zone));
-        if entry.listed == Listed::Running {
+        if entry.listed == ServerStatus::Running {
             self.running_by_zone.entry(entry.zone).or_default().insert(entry.server.clone(), address);
         }
     }
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use elderstage::Settings;
-use elderstage::settings::{self, Names};
+use elderstage::settings::{self, SettingNames};
 use serde_json::Value;
 use thiserror::Error;
 
@@ -59,7 +59,7 @@
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names in the settings, and limits that concern sockets.
-    pub names: Names,
+    pub names: SettingNames,
     /// The list of servers that this node had last; it may be outdated.
     pub known: List,
     /// Where this node's counts are written for the agent on its machine; `None` if they are not written.
@@ -170,7 +170,8 @@
             descriptors: parse_limit(limits, "sockets", DEFAULT_DESCRIPTORS)? as u64,
         };
         let settings_value = required_value(&root, "settings")?;
-        let (settings, names) = (settings::from_value(settings_value)?, settings::names(settings_value)?);
+        let (settings, names) =
+            (settings::from_value(settings_value)?, settings::read_names(settings_value)?);
         check(&settings, &names)?;
         let known = match root.get("known") {
             None | Some(Value::Null) => List { seq: 0, whole: true, hosts: Vec::new() },
@@ -202,7 +203,8 @@
         if self.tally != other.tally {
             return Some("tally");
         }
-        let differs = !self.names.reads_like(&other.names) || self.settings.me != other.settings.me;
+        let differs = !self.names.has_same_layout(&other.names)
+            || self.settings.front_number != other.settings.front_number;
         differs.then_some("names of classes, kinds, zones or tenants, or limits of sockets in the settings")
     }
 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -10,7 +10,7 @@
 //! node busy. With 350 nodes, each node talks to an agent of its own.
 
 use elderstage::Time;
-use elderstage::settings::Names;
+use elderstage::settings::SettingNames;
 use thiserror::Error;
 
 use crate::list::{Directory, List, ListError};
@@ -86,7 +86,7 @@
 
     /// Takes bytes of the body and returns the lists that are complete. After an error the next watch starts with the whole
     /// list, so that no change of this watch is lost.
-    pub fn take(&mut self, now: Time, bytes: &[u8], names: &Names) -> Result<Vec<List>, WatchError> {
+    pub fn take(&mut self, now: Time, bytes: &[u8], names: &SettingNames) -> Result<Vec<List>, WatchError> {
         let mut lists = Vec::new();
         self.objects.push(bytes);
         let parsed = self.parse_lists(now, names, &mut lists);
@@ -94,7 +94,12 @@
         Ok(lists)
     }
 
-    fn parse_lists(&mut self, now: Time, names: &Names, lists: &mut Vec<List>) -> Result<(), WatchError> {
+    fn parse_lists(
+        &mut self,
+        now: Time,
+        names: &SettingNames,
+        lists: &mut Vec<List>,
+    ) -> Result<(), WatchError> {
         while let Some(item) = self.objects.next_item()? {
             // Only a complete item extends the deadline: part of a list that never ends is no sign of life.
             self.deadline = now + HEARTBEAT_INTERVAL + HEARTBEAT_SLACK;
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,7 +1,7 @@
 //! Tests of the parsers for clients, engines, discovery and the configuration, without sockets.
 
-use elderstage::settings::Names;
-use elderstage::{ListMode, Listed, Outcome, ReportField, Time};
+use elderstage::settings::SettingNames;
+use elderstage::{ListMode, Outcome, ReportField, ServerStatus, Time};
 use elderstage_platform::ask::{self, Ask, MOST_BODY, Refusal, Wanted};
 use elderstage_platform::forward;
 use elderstage_platform::list::Directory;
@@ -15,9 +15,9 @@
 /// The longest time that a client of these tests waits, in microseconds.
 const LONGEST_WAIT: Time = 12_000_000;
 
-fn names() -> Names {
+fn names() -> SettingNames {
     let words = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect();
-    Names {
+    SettingNames {
         zones: words(&["east", "west"]),
         kinds: words(&["reads", "writes"]),
         classes: words(&["plain", "once"]),
@@ -54,17 +54,23 @@
     assert_eq!(ask::wanted(&head), Ok(Wanted::Chat));
     let read = Ask::read(&head, 2, &names(), LONGEST_WAIT).unwrap();
     let ask = read.arrival;
-    assert_eq!((&*read.trace, ask.class, ask.time_left, ask.hint), ("9b1f03aa", 1, 4_800_000, 90_000));
-    assert_eq!((ask.prompt, ask.shared, ask.max_out), (5120.0, 2048.0, 800.0));
+    assert_eq!(
+        (&*read.trace, ask.class, ask.time_left, ask.output_time_hint),
+        ("9b1f03aa", 1, 4_800_000, 90_000)
+    );
+    assert_eq!((ask.prompt_tokens, ask.shared_tokens, ask.max_output_tokens), (5120.0, 2048.0, 800.0));
     assert_eq!(ask.session.unwrap().0.as_ref(), "talk-1");
     assert_eq!(ask.prefix.unwrap().0.as_ref(), "opening-1");
-    assert!(!ask.repeat && !ask.returned);
-    assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: again").unwrap().arrival.returned);
-    assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: 1").unwrap().arrival.repeat);
+    assert!(!ask.is_repeat && !ask.is_resumed);
+    assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: again").unwrap().arrival.is_resumed);
+    assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: 1").unwrap().arrival.is_repeat);
     // Where the client gives no prompt length, the length of the body counts: four characters for each token.
     let without_props = VALID_HEAD.split("\nX-Props").next().unwrap();
     assert_eq!(
-        Ask::read(&self::request_head(without_props), 400, &names(), LONGEST_WAIT).unwrap().arrival.prompt,
+        Ask::read(&self::request_head(without_props), 400, &names(), LONGEST_WAIT)
+            .unwrap()
+            .arrival
+            .prompt_tokens,
         100.0
     );
 }
@@ -277,12 +283,12 @@
     let (mode, entries) = directory.take(whole.unwrap(), false);
     assert_eq!((mode, entries.len()), (ListMode::Full, 2));
     let a = &entries[0];
-    assert_eq!((a.zone, a.kind, a.cell, a.ready_at, a.listed), (1, 1, 3, 7_000, Listed::Running));
-    assert_eq!((entries[1].kind, entries[1].listed), (0, Listed::Draining));
+    assert_eq!((a.zone, a.kind, a.cell, a.ready_at, a.listed), (1, 1, 3, 7_000, ServerStatus::Running));
+    assert_eq!((entries[1].kind, entries[1].listed), (0, ServerStatus::Draining));
     let deletion =
         parse_list(r#"{"seq":5,"whole":false,"hosts":[{"host":"a","health":"DELETED"}]}"#).unwrap();
     let (mode, entries) = directory.take(deletion, false);
-    assert_eq!((mode, entries[0].listed), (ListMode::Changes, Listed::Gone));
+    assert_eq!((mode, entries[0].listed), (ListMode::Changes, ServerStatus::Gone));
     assert_eq!(directory.len(), 1, "a server that has left the list is forgotten");
     let replacement = parse_list(
         r#"{"seq":6,"whole":true,"hosts":[{"host":"c","dial":"127.0.0.1:3","health":"SERVING"}]}"#,
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -5,7 +5,9 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use elderstage::{Arrival, Entry, Listed, Outcome, ReqId, ServerId, Settings, Time, example_settings};
+use elderstage::{
+    Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
+};
 use elderstage_platform::ask::Ask;
 use elderstage_platform::hub::{Command, Hub, Input};
 use elderstage_platform::list::{Host, List};
@@ -41,8 +43,15 @@
 fn list() -> List {
     let host = |n: usize, name: &str, kind: usize| {
         let server = ServerId(name.into());
-        let entry =
-            Entry { server, listed: Listed::Running, kind, zone: 0, cell: 0, weight: 1.0, ready_at: 0 };
+        let entry = ServerEntry {
+            server,
+            listed: ServerStatus::Running,
+            kind,
+            zone: 0,
+            cell: 0,
+            weight: 1.0,
+            ready_at: 0,
+        };
         Host { entry, address: Some(SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))) }
     };
     let names = [("reader", 0), ("writer-1", 1), ("writer-2", 1), ("writer-3", 1)];
@@ -55,9 +64,14 @@
 fn longest_hold(settings: Settings, result: FetchResult) -> Time {
     let (mut hub, mut now, mut out) = (Hub::new(settings, 7), 1_000_000 * MS, Vec::new());
     hub.handle(now, Input::Listed { list: list(), restored: false }, &mut out);
-    let id = ReqId(1);
-    let arrival =
-        Arrival { id, time_left: 9_000 * MS, prompt: 1_000.0, max_out: 100.0, ..Arrival::default() };
+    let id = RequestId(1);
+    let arrival = Arrival {
+        id,
+        time_left: 9_000 * MS,
+        prompt_tokens: 1_000.0,
+        max_output_tokens: 100.0,
+        ..Arrival::default()
+    };
     hub.handle(now, Input::Arrived { id, ask: Ask { trace: "a".into(), arrival } }, &mut out);
     let mut events: BinaryHeap<Reverse<(Time, SimulatedEvent)>> = BinaryHeap::new();
     let (mut held_since, mut has_arrived, mut longest) = (None, false, 0);
@@ -131,10 +145,10 @@
     let slow_connects = Settings { connect_timeout: 2_000 * MS, ..example_settings() };
     // Attempts that are abandoned one after the other, each before the time limit on the state has passed.
     let mut short_attempts = example_settings();
-    short_attempts.classes[0].ttft_aim = 20 * MS;
-    short_attempts.most_tries = 9;
-    short_attempts.classes[0].ttft_aim_per_1000 = 0.0;
-    let two_attempts = Settings { most_tries: 2, ..example_settings() };
+    short_attempts.classes[0].ttft_target = 20 * MS;
+    short_attempts.max_attempts = 9;
+    short_attempts.classes[0].ttft_target_per_1000_tokens = 0.0;
+    let two_attempts = Settings { max_attempts: 2, ..example_settings() };
     for (settings, result) in [
         (example_settings(), FetchResult::Silent),
         (two_attempts, FetchResult::Silent),
@@ -144,7 +158,7 @@
         (example_settings(), FetchResult::Rejected(50 * MS)),
         (example_settings(), FetchResult::Rejected(1_500 * MS)),
     ] {
-        let limit = settings.let_go_by + RELEASE_GRACE;
+        let limit = settings.release_time_limit + RELEASE_GRACE;
         let longest = longest_hold(settings, result);
         assert!(longest <= limit, "{result:?}: held for {longest} us, the limit is {limit} us");
     }
--- a/crates/platform/tests/hub.rs
+++ b/crates/platform/tests/hub.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use elderstage::{Arrival, Entry, Listed, Outcome, ReqId, ServerId, Settings, Time, example_settings};
+use elderstage::{
+    Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
+};
 use elderstage_platform::ask::Ask;
 use elderstage_platform::hub::{Command, Hub, Input, Last};
 use elderstage_platform::list::{Host, List};
@@ -15,33 +17,33 @@
     hub: Hub,
     now: Time,
     /// The number of the last release at each holder.
-    last_rounds: HashMap<(ReqId, ServerId), u32>,
+    last_rounds: HashMap<(RequestId, ServerId), u32>,
 }
 
 fn addr(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-fn host(name: &str, kind: usize, port: u16, listed: Listed) -> Host {
+fn host(name: &str, kind: usize, port: u16, listed: ServerStatus) -> Host {
     let server = ServerId(name.into());
-    let entry = Entry { server, listed, kind, zone: 0, cell: 0, weight: 1.0, ready_at: 0 };
+    let entry = ServerEntry { server, listed, kind, zone: 0, cell: 0, weight: 1.0, ready_at: 0 };
     Host { entry, address: Some(addr(port)) }
 }
 
 fn ask(trace: &str) -> Ask {
     let arrival = Arrival {
-        id: ReqId(0),
+        id: RequestId(0),
         class: 0,
         tenant: 0,
         session: None,
         prefix: None,
         time_left: 4_000 * MS,
-        hint: 0,
-        prompt: 1_000.0,
-        shared: 0.0,
-        max_out: 100.0,
-        repeat: false,
-        returned: false,
+        output_time_hint: 0,
+        prompt_tokens: 1_000.0,
+        shared_tokens: 0.0,
+        max_output_tokens: 100.0,
+        is_repeat: false,
+        is_resumed: false,
     };
     Ask { trace: trace.into(), arrival }
 }
@@ -51,9 +53,9 @@
         let mut harness =
             Harness { hub: Hub::new(settings, 7), now: 1_000_000 * MS, last_rounds: HashMap::new() };
         let hosts = vec![
-            host("reader", 0, 1, Listed::Running),
-            host("spare", 0, 2, Listed::Running),
-            host("writer", 1, 3, Listed::Running),
+            host("reader", 0, 1, ServerStatus::Running),
+            host("spare", 0, 2, ServerStatus::Running),
+            host("writer", 1, 3, ServerStatus::Running),
         ];
         harness.handle(Input::Listed { list: List { seq: 1, whole: true, hosts }, restored: true });
         harness
@@ -74,18 +76,18 @@
     }
 
     fn arrive(&mut self, id: u32, trace: &str) -> Vec<Command> {
-        self.handle(Input::Arrived { id: ReqId(id), ask: ask(trace) })
+        self.handle(Input::Arrived { id: RequestId(id), ask: ask(trace) })
     }
 
     /// Ends an attempt.
     fn end_attempt(&mut self, id: u32, attempt: u32, outcome: Outcome) -> Vec<Command> {
-        self.handle(Input::Ended { id: ReqId(id), attempt, outcome, note: 0, report: None, events: 0 })
+        self.handle(Input::Ended { id: RequestId(id), attempt, outcome, note: 0, report: None, events: 0 })
     }
 
     /// Ends a release call to an engine. `acknowledged`: the engine answered.
     fn end_release_call(&mut self, id: u32, holder: &str, engine: &str, acknowledged: bool) -> Vec<Command> {
         let (holder, engine) = (ServerId(holder.into()), ServerId(engine.into()));
-        let id = ReqId(id);
+        let id = RequestId(id);
         let round = self.last_rounds.get(&(id, holder.clone())).copied().unwrap_or_default();
         self.handle(Input::Said { id, holder, round, engine, heard: acknowledged })
     }
@@ -161,10 +163,10 @@
     assert!(reader == "reader" || reader == "spare");
     let commands = harness.end_attempt(1, attempt, Outcome::Read);
     assert_eq!(sent_attempt(&commands), Some((1, "writer".into())));
-    harness.handle(Input::First { id: ReqId(1), attempt: 1 });
+    harness.handle(Input::First { id: RequestId(1), attempt: 1 });
     assert_eq!(harness.hub.held(), (1, 0), "readers hold nothing for a request that streams");
     let commands = harness.end_attempt(1, 1, Outcome::Served);
-    assert!(commands.contains(&Command::Forget { id: ReqId(1) }), "{commands:?}");
+    assert!(commands.contains(&Command::Forget { id: RequestId(1) }), "{commands:?}");
     assert_eq!((harness.hub.held(), harness.hub.in_flight().len()), ((0, 0), 0));
     assert_eq!(harness.hub.counts().served, 1);
 }
@@ -181,7 +183,7 @@
         sent_attempt(&harness.end_attempt(1, attempt, Outcome::Read)).is_some(),
         "the first request goes on"
     );
-    harness.handle(Input::First { id: ReqId(1), attempt: 1 });
+    harness.handle(Input::First { id: RequestId(1), attempt: 1 });
     harness.end_attempt(1, 1, Outcome::Served);
     assert!(
         sent_attempt(&harness.arrive(3, "a")).is_some(),
@@ -194,8 +196,8 @@
 fn state_of_a_cancelled_read_is_released() {
     let mut harness = Harness::new(example_settings());
     let (attempt, reader) = sent_attempt(&harness.arrive(1, "a")).unwrap();
-    let commands = harness.handle(Input::Gone { id: ReqId(1) });
-    assert!(commands.contains(&Command::Cancel { id: ReqId(1), attempt }), "{commands:?}");
+    let commands = harness.handle(Input::Gone { id: RequestId(1) });
+    assert!(commands.contains(&Command::Cancel { id: RequestId(1), attempt }), "{commands:?}");
     let commands = harness.end_attempt(1, attempt, Outcome::Cancelled);
     let holder = addr(if reader == "reader" { 1 } else { 2 });
     assert_eq!(released_addresses(&commands), [holder]);
@@ -234,7 +236,7 @@
 fn a_release_is_repeated_until_an_engine_acknowledges_it() {
     let mut harness = Harness::new(example_settings());
     let (attempt, reader) = sent_attempt(&harness.arrive(1, "a")).unwrap();
-    harness.handle(Input::Gone { id: ReqId(1) });
+    harness.handle(Input::Gone { id: RequestId(1) });
     let mut called = called_engines(&harness.end_attempt(1, attempt, Outcome::Cancelled));
     for n in 0..2 {
         let engine = called[n].clone();
@@ -252,7 +254,7 @@
     assert_eq!(harness.hub.held(), (0, 0));
     // If no engine acknowledges the release, it is abandoned after a bounded number of calls.
     let (attempt, reader) = sent_attempt(&harness.arrive(2, "b")).unwrap();
-    harness.handle(Input::Gone { id: ReqId(2) });
+    harness.handle(Input::Gone { id: RequestId(2) });
     let mut called = self::called_engines(&harness.end_attempt(2, attempt, Outcome::Cancelled));
     for _ in 0..100 {
         let Some(engine) = called.pop() else { break };
@@ -267,7 +269,7 @@
 fn an_attempt_at_a_server_without_an_address_ends_with_no_connection() {
     let mut harness = Harness::new(example_settings());
     let (attempt, reader) = sent_attempt(&harness.arrive(1, "a")).unwrap();
-    let gone = vec![host("writer", 1, 3, Listed::Gone)];
+    let gone = vec![host("writer", 1, 3, ServerStatus::Gone)];
     harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
     let commands = harness.end_attempt(1, attempt, Outcome::Read);
     assert_eq!(sent_attempt(&commands), None);
@@ -280,7 +282,7 @@
 #[test]
 fn a_request_that_no_server_can_take_is_refused_early() {
     let mut harness = Harness::new(example_settings());
-    let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, Listed::Gone)).into();
+    let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, ServerStatus::Gone)).into();
     harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
     harness.arrive(1, "a");
     let commands = harness.advance(1_000 * MS);
@@ -297,11 +299,11 @@
         let trace = format!("t{n}");
         let (attempt, _) = sent_attempt(&harness.arrive(n, &trace)).unwrap();
         assert!(sent_attempt(&harness.end_attempt(n, attempt, Outcome::Read)).is_some());
-        harness.handle(Input::First { id: ReqId(n), attempt: attempt + 1 });
+        harness.handle(Input::First { id: RequestId(n), attempt: attempt + 1 });
         harness.end_attempt(n, attempt + 1, Outcome::Served);
         if n % 10 == 0 {
-            let left = host(&format!("w{}", n - 10), 1, 9, Listed::Gone);
-            let joined = host(&format!("w{n}"), 1, 9, Listed::Running);
+            let left = host(&format!("w{}", n - 10), 1, 9, ServerStatus::Gone);
+            let joined = host(&format!("w{n}"), 1, 9, ServerStatus::Running);
             harness.handle(Input::Listed {
                 list: List { seq: n.into(), whole: false, hosts: vec![left, joined] },
                 restored: false,
@@ -317,18 +319,18 @@
 /// When the node shuts down, each move of the module becomes one command, and the moved stream is finished.
 #[test]
 fn streams_are_moved_when_the_node_shuts_down() {
-    let mut harness = Harness::new(Settings { resume: true, ..example_settings() });
+    let mut harness = Harness::new(Settings { may_resume: true, ..example_settings() });
     let mut long = ask("a");
-    long.arrival.hint = 60_000 * MS;
-    let (attempt, _) = sent_attempt(&harness.handle(Input::Arrived { id: ReqId(1), ask: long })).unwrap();
+    long.arrival.output_time_hint = 60_000 * MS;
+    let (attempt, _) = sent_attempt(&harness.handle(Input::Arrived { id: RequestId(1), ask: long })).unwrap();
     harness.end_attempt(1, attempt, Outcome::Read);
-    harness.handle(Input::First { id: ReqId(1), attempt: 1 });
+    harness.handle(Input::First { id: RequestId(1), attempt: 1 });
     harness.handle(Input::Stopping { within: 2_000 * MS });
     let commands = harness.advance(2_000 * MS);
-    let moves = commands.iter().filter(|command| **command == Command::Move { id: ReqId(1) }).count();
+    let moves = commands.iter().filter(|command| **command == Command::Move { id: RequestId(1) }).count();
     assert_eq!(moves, 1, "{commands:?}");
     let commands = harness.end_attempt(1, 1, Outcome::Cancelled);
-    assert!(commands.contains(&Command::Forget { id: ReqId(1) }) && final_answer(&commands).is_none());
+    assert!(commands.contains(&Command::Forget { id: RequestId(1) }) && final_answer(&commands).is_none());
 }
 
 /// New settings, as after SIGHUP, reach the module.
@@ -337,7 +339,7 @@
     let mut harness = Harness::new(example_settings());
     let settings = Box::new(Settings { max_retry_after: 40 * MS, ..example_settings() });
     harness.handle(Input::Settings { settings });
-    let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, Listed::Gone)).into();
+    let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, ServerStatus::Gone)).into();
     harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
     harness.arrive(1, "a");
     let commands = harness.advance(1_000 * MS);
@@ -355,16 +357,16 @@
         let (attempt, _) = sent_attempt(&harness.arrive(id, &format!("s{id}"))).unwrap();
         assert!(sent_attempt(&harness.end_attempt(id, attempt, Outcome::Read)).is_some());
         harness.now += wait;
-        harness.handle(Input::First { id: ReqId(id), attempt: attempt + 1 });
+        harness.handle(Input::First { id: RequestId(id), attempt: attempt + 1 });
         harness.now += 80 * MS;
-        let (id, outcome, attempt) = (ReqId(id), Outcome::Served, attempt + 1);
+        let (id, outcome, attempt) = (RequestId(id), Outcome::Served, attempt + 1);
         harness.handle(Input::Ended { id, attempt, outcome, note: 0, report: None, events: 5 });
     };
     serve(&mut harness, 1, 10 * MS);
     serve(&mut harness, 2, 2_000 * MS);
     harness.arrive(3, "gone");
-    harness.handle(Input::Gone { id: ReqId(3) });
-    let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, Listed::Gone)).into();
+    harness.handle(Input::Gone { id: RequestId(3) });
+    let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, ServerStatus::Gone)).into();
     harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
     harness.hub.counting().unwrap().under("d2", &["chat".into()], &example_settings());
     harness.arrive(4, "refused");
@@ -386,7 +388,9 @@
 /// An attempt whose engine drains or is no longer listed is withdrawn, unless it was already written.
 #[test]
 fn an_attempt_at_an_engine_that_leaves_is_withdrawn() {
-    for (listed, whole) in [(Listed::Draining, false), (Listed::Gone, false), (Listed::Running, true)] {
+    for (listed, whole) in
+        [(ServerStatus::Draining, false), (ServerStatus::Gone, false), (ServerStatus::Running, true)]
+    {
         let mut harness = Harness::new(example_settings());
         let commands = harness.arrive(1, "a");
         let Some(Command::Send { id, attempt, server, .. }) = commands.first().cloned() else {
@@ -404,7 +408,7 @@
     }
     let mut harness = Harness::new(example_settings());
     harness.arrive(1, "a");
-    let hosts = vec![host("writer", 1, 3, Listed::Draining)];
+    let hosts = vec![host("writer", 1, 3, ServerStatus::Draining)];
     let commands =
         harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts }, restored: false });
     assert!(
@@ -416,16 +420,19 @@
 /// The timed waves of an unacknowledged release fit into the time limit of the settings, however short it is.
 #[test]
 fn waves_of_a_release_fit_into_the_time_limit() {
-    for let_go_by in [50 * MS, 100 * MS, 300 * MS, 2_000 * MS] {
-        let mut harness = Harness::new(Settings { let_go_by, ..example_settings() });
+    for release_time_limit in [50 * MS, 100 * MS, 300 * MS, 2_000 * MS] {
+        let mut harness = Harness::new(Settings { release_time_limit, ..example_settings() });
         let (attempt, _) = sent_attempt(&harness.arrive(1, "late-read")).unwrap();
         let commands = harness.end_attempt(1, attempt, Outcome::TimedOut);
-        let waves =
-            1 + harness.advance(let_go_by).iter().filter(|c| matches!(c, Command::Release { .. })).count();
+        let waves = 1 + harness
+            .advance(release_time_limit)
+            .iter()
+            .filter(|c| matches!(c, Command::Release { .. }))
+            .count();
         assert!(
             !released_addresses(&commands).is_empty() && waves >= 4,
             "{waves} waves in {} ms",
-            let_go_by / MS
+            release_time_limit / MS
         );
     }
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use elderstage::{Arrival, Entry, Listed, Outcome, ReqId, ServerId, Settings, Time, example_settings};
+use elderstage::{
+    Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
+};
 use elderstage_platform::ask::Ask;
 use elderstage_platform::hub::{Command, Hub, Input};
 use elderstage_platform::list::{Host, List};
@@ -40,9 +42,9 @@
 
 fn list() -> List {
     let host = |engine: u32| {
-        let entry = Entry {
+        let entry = ServerEntry {
             server: ServerId(name(engine).as_str().into()),
-            listed: Listed::Running,
+            listed: ServerStatus::Running,
             kind: usize::from(!(engine / ZONES).is_multiple_of(2)),
             zone: zone_of(engine),
             cell: 0,
@@ -68,12 +70,17 @@
 /// to calls from a zone.
 fn release(node: u32, reaction: impl Fn(u32, u32) -> Reaction) -> ReleaseResult {
     let zone = node % ZONES;
-    let settings = Settings { me: node, zone, fronts: NODES, ..example_settings() };
+    let settings = Settings { front_number: node, zone, front_count: NODES, ..example_settings() };
     let (mut hub, mut now, mut out) = (Hub::new(settings, node.into()), 1_000_000 * MS, Vec::new());
     hub.handle(now, Input::Listed { list: list(), restored: true }, &mut out);
-    let id = ReqId(node);
-    let arrival =
-        Arrival { id, time_left: 4_000 * MS, prompt: 1_000.0, max_out: 100.0, ..Arrival::default() };
+    let id = RequestId(node);
+    let arrival = Arrival {
+        id,
+        time_left: 4_000 * MS,
+        prompt_tokens: 1_000.0,
+        max_output_tokens: 100.0,
+        ..Arrival::default()
+    };
     hub.handle(now, Input::Arrived { id, ask: Ask { trace: "a".into(), arrival } }, &mut out);
     assert!(out.iter().any(|command| matches!(command, Command::Send { .. })), "{out:?}");
     hub.handle(now, Input::Gone { id }, &mut out);
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform/tests/watch.rs
@@ -1,7 +1,7 @@
 //! Tests of the watch on discovery. The tests supply bytes and time. Times are in microseconds.
 
-use elderstage::settings::Names;
-use elderstage::{Listed, Time};
+use elderstage::settings::SettingNames;
+use elderstage::{ServerStatus, Time};
 use elderstage_platform::list::List;
 use elderstage_platform::values::{Item, ObjectSplitter, SplitError};
 use elderstage_platform::watch::Watch;
@@ -9,9 +9,9 @@
 const MS: Time = 1_000;
 const START: Time = 5_000_000;
 
-fn names() -> Names {
+fn names() -> SettingNames {
     let words = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect();
-    Names {
+    SettingNames {
         zones: words(&["east"]),
         kinds: words(&["reads"]),
         classes: words(&["plain"]),
@@ -35,7 +35,7 @@
 }
 
 /// Passes text to the watch and returns the version and the state of the first server of each list.
-fn take_lists(watch: &mut Watch, now: Time, text: &str) -> Vec<(u64, Listed)> {
+fn take_lists(watch: &mut Watch, now: Time, text: &str) -> Vec<(u64, ServerStatus)> {
     let summary = |list: List| (list.seq, list.hosts[0].entry.listed);
     watch.take(now, text.as_bytes(), &names()).unwrap().into_iter().map(summary).collect()
 }
@@ -50,7 +50,12 @@
         list(3, "SERVING"),
         { indented_list(4, "DRAINING") }
     );
-    let expected = [(1, Listed::Running), (2, Listed::Draining), (3, Listed::Running), (4, Listed::Draining)];
+    let expected = [
+        (1, ServerStatus::Running),
+        (2, ServerStatus::Draining),
+        (3, ServerStatus::Running),
+        (4, ServerStatus::Draining),
+    ];
     for split in 1..text.len() {
         let mut watch = Watch::new(0);
         watch.begin(START);
@@ -134,7 +139,7 @@
     watch.begin(next);
     watch.answered(next + 100 * MS);
     let now = next + 200 * MS;
-    assert_eq!(take_lists(&mut watch, now, &list(2, "DRAINING")), [(2, Listed::Draining)]);
+    assert_eq!(take_lists(&mut watch, now, &list(2, "DRAINING")), [(2, ServerStatus::Draining)]);
     assert!(now - silent_since <= 3_100 * MS, "{} ms after the silence began", (now - silent_since) / MS);
 }
 
@@ -169,7 +174,7 @@
     assert!(now - restored_at <= 300 * MS, "{} ms after discovery is back", (now - restored_at) / MS);
     assert_eq!(watch.begin(now), 3, "the watch starts from the known version");
     watch.answered(now + 1);
-    assert_eq!(take_lists(&mut watch, now + 2, &indented_list(9, "DRAINING")), [(9, Listed::Draining)]);
+    assert_eq!(take_lists(&mut watch, now + 2, &indented_list(9, "DRAINING")), [(9, ServerStatus::Draining)]);
 }
 
 /// An older list would undo a drain that is already known: it ends the watch, and whole lists are requested until discovery
@@ -179,12 +184,12 @@
 fn an_older_version_is_rejected_until_the_versions_prove_to_be_renumbered() {
     let mut watch = Watch::new(0);
     watch.begin(START);
-    assert_eq!(take_lists(&mut watch, START, &list(9, "DRAINING")), [(9, Listed::Draining)]);
+    assert_eq!(take_lists(&mut watch, START, &list(9, "DRAINING")), [(9, ServerStatus::Draining)]);
     assert!(watch.take(START, list(8, "SERVING").as_bytes(), &names()).is_err());
     assert_eq!(watch.begin(START), 0, "the whole list is requested");
     assert_eq!(
         take_lists(&mut watch, START, &list(9, "DRAINING")),
-        [(9, Listed::Draining)],
+        [(9, ServerStatus::Draining)],
         "discovery has caught up"
     );
     let (mut now, mut accepted) = (START, Vec::new());
@@ -196,5 +201,5 @@
     }
     assert_eq!(accepted, [2]);
     assert!(now - START >= 3_000 * MS && now - START <= 3_200 * MS, "{} ms", (now - START) / MS);
-    assert_eq!(take_lists(&mut watch, now, &list(3, "DRAINING")), [(3, Listed::Draining)]);
+    assert_eq!(take_lists(&mut watch, now, &list(3, "DRAINING")), [(3, ServerStatus::Draining)]);
 }
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -11,7 +11,8 @@
 use std::time::{Duration, Instant};
 
 use elderstage::{
-    Action, Arrival, Entry, Event, ListMode, Listed, Outcome, ReqId, Router, ServerId, example_settings,
+    Action, Arrival, Event, ListMode, Outcome, RequestId, Router, ServerEntry, ServerId, ServerStatus,
+    example_settings,
 };
 use elderstage_net::{Conn, Endpoint, Listener, NetError, go, open, receive, send};
 use elderstage_protocol::engine::{self, Ask, Message, Stage};
@@ -570,27 +571,27 @@
 /// and served.
 pub fn decisions(servers: usize, requests: u32) -> Value {
     let mut router = Router::new(example_settings(), 7);
-    let entries = (0..servers).map(|n| Entry {
+    let entries = (0..servers).map(|n| ServerEntry {
         server: ServerId(format!("s{n}").as_str().into()),
-        listed: Listed::Running,
+        listed: ServerStatus::Running,
         kind: n % 2,
         weight: 1.0,
-        ..Entry::default()
+        ..ServerEntry::default()
     });
     let (mut now, mut actions, mut sends) = (1_000_000_000, Vec::new(), 0u64);
     router.handle(now, Event::Servers { mode: ListMode::Full, entries: entries.collect() }, &mut actions);
     let started = Instant::now();
     // Attempts in flight. Up to 64 stay in flight, as if each took a little time.
-    let mut in_flight: std::collections::VecDeque<(ReqId, u32, ServerId)> = Default::default();
+    let mut in_flight: std::collections::VecDeque<(RequestId, u32, ServerId)> = Default::default();
     let mut events = 0u64;
     for number in 1..=requests {
         now += 200;
         actions.clear();
         let arrival = Arrival {
-            id: ReqId(number),
+            id: RequestId(number),
             time_left: 6_000_000,
-            prompt: 800.0,
-            max_out: 200.0,
+            prompt_tokens: 800.0,
+            max_output_tokens: 200.0,
             ..Arrival::default()
         };
         router.handle(now, Event::Arrived(arrival), &mut actions);
@@ -621,15 +622,15 @@
 }
 
 /// The event that an attempt has ended.
-fn attempt_ended(id: ReqId, attempt: u32, server: ServerId, outcome: Outcome, settled: bool) -> Event {
-    Event::Ended { id, attempt, server, outcome, took: 10_000, settled, note: 0, load: None }
+fn attempt_ended(id: RequestId, attempt: u32, server: ServerId, outcome: Outcome, settled: bool) -> Event {
+    Event::Ended { id, attempt, server, outcome, took: 10_000, is_settled: settled, note: 0, load: None }
 }
 
 /// Adds the attempts that the router sent to those in flight.
 fn collect_sends(
     actions: &[Action],
     attempt: u32,
-    in_flight: &mut std::collections::VecDeque<(ReqId, u32, ServerId)>,
+    in_flight: &mut std::collections::VecDeque<(RequestId, u32, ServerId)>,
     sends: &mut u64,
 ) {
     for action in actions {
--- a/fuzz/fuzz_targets/node.rs
+++ b/fuzz/fuzz_targets/node.rs
@@ -3,7 +3,7 @@
 #![no_main]
 
 use elderstage::Time;
-use elderstage::settings::Names;
+use elderstage::settings::SettingNames;
 use elderstage_platform::ask::{self, Ask};
 use elderstage_platform::list::Directory;
 use elderstage_platform::reply;
@@ -30,7 +30,7 @@
 fuzz_target!(|data: &[u8]| {
     let Some((&first, rest)) = data.split_first() else { return };
     let words = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect();
-    let names = Names {
+    let names = SettingNames {
         zones: words(&["a"]),
         kinds: words(&["b"]),
         classes: words(&["c"]),
--- a/src/api.rs
+++ b/src/api.rs
@@ -11,7 +11,7 @@
 
 /// The id of a request, assigned by the host. An id is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct ReqId(pub u32);
+pub struct RequestId(pub u32);
 
 /// The id of a server: its address. It stays the same when the server's process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -19,14 +19,14 @@
 
 /// The key of a session or of a shared prefix of prompts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct TextKey(pub Arc<str>);
+pub struct CacheKey(pub Arc<str>);
 
 /// What servers of a kind do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Role {
     /// Reads prompts and never answers.
     Prefill,
-    /// Writes answers; reads a prompt only if `Settings::writers_read` is set.
+    /// Writes answers; reads a prompt only if `Settings::writers_may_read` is set.
     Decode,
     /// Does both.
     #[default]
@@ -35,18 +35,18 @@
 
 /// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// May run any number of times.
     Safe,
     /// Servers of the group drop repeats for `memory` after the first send that may have run.
-    Keyed { group: Group, memory: Time },
+    Keyed { group: RepeatGroup, memory: Time },
     /// Must never run twice.
     Unsafe,
 }
 
 /// The servers that recognise and drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum RepeatGroup {
     /// All servers.
     All,
     /// The servers of the zone of the first attempt.
@@ -59,14 +59,14 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Whether a request of the class may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// TTFT (time to first token) target, without the part for the prompt's length.
-    pub ttft_aim: Time,
+    pub ttft_target: Time,
     /// Added to the TTFT target for each 1,000 prompt tokens, in microseconds.
-    pub ttft_aim_per_1000: f64,
+    pub ttft_target_per_1000_tokens: f64,
     /// TPOT (time per output token) target in microseconds: up to this mean gap between tokens an answer
     /// earns its full worth.
-    pub tpot_aim: f64,
+    pub tpot_target: f64,
     /// Worth of an answer that meets its targets.
     pub worth: f64,
     /// Worth of an answer that misses a target. Not used by the module.
@@ -113,11 +113,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of this front.
-    pub me: u32,
+    pub front_number: u32,
     /// Zone of this front. Not used by the module.
     pub zone: u32,
     /// Number of fronts of the deployment.
-    pub fronts: u32,
+    pub front_count: u32,
     /// Resolution of the host's timers.
     pub tick: Time,
     /// Classes of requests, by number.
@@ -125,20 +125,20 @@
     /// Tenants, by number.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's quota. Not used by the module.
-    pub over_share_worth: f64,
+    pub over_quota_worth: f64,
     /// Role of each kind of server, by the kind's number.
     pub roles: Vec<Role>,
     /// KV memory in tokens of each kind of server, by the kind's number.
     pub kv_tokens: Vec<f64>,
     /// Writers may read a prompt themselves if there is no KV state to fetch.
-    pub writers_read: bool,
+    pub writers_may_read: bool,
     /// A place at a writer may be reserved ahead. Not used by the module.
-    pub places_ahead: bool,
+    pub may_reserve_places: bool,
     /// An interrupted stream can be resumed at another front.
-    pub resume: bool,
+    pub may_resume: bool,
     /// KV states and places held for a request without an attempt in flight must be released within this
     /// time.
-    pub let_go_by: Time,
+    pub release_time_limit: Time,
     /// How the list of servers arrives.
     pub discovery: Discovery,
     /// Meaning of each position in a load report.
@@ -155,7 +155,7 @@
     /// Several attempts of a request may run at once. Not used by the module.
     pub may_duplicate: bool,
     /// Maximum number of attempts per request.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Time after which a connection attempt fails.
     pub connect_timeout: Time,
     /// Longest retry advice that clients follow.
@@ -164,22 +164,22 @@
     /// module.
     pub answer_slack: Time,
     /// Time allowed for repeating a failed subscription to the list of servers.
-    pub ask_within: Time,
+    pub resubscribe_within: Time,
     /// Time after the news that a server drains in which attempts may still reach it. Not used by the module.
     pub drain_grace: Time,
     /// Share of a warm server's work that a server can do right after its start.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// How long a server is cold after its start.
-    pub cold_for: Time,
+    pub cold_duration: Time,
     /// A cold server falls over when it gets more than this multiple of the work it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Window over which the work sent to a cold server is counted. Not used by the module.
-    pub tip_after: Time,
+    pub overload_window: Time,
 }
 
 /// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Listed {
+pub enum ServerStatus {
     /// Takes new work.
     #[default]
     Running,
@@ -191,10 +191,10 @@
 
 /// One entry of the list of servers.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct ServerEntry {
     pub server: ServerId,
     /// Status of the server.
-    pub listed: Listed,
+    pub listed: ServerStatus,
     /// Position of its kind in [`Settings::roles`] and [`Settings::kv_tokens`].
     pub kind: usize,
     pub zone: u32,
@@ -221,29 +221,29 @@
 /// A request received from a client.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    pub id: ReqId,
+    pub id: RequestId,
     /// Position in [`Settings::classes`].
     pub class: usize,
     /// Position in [`Settings::tenants`].
     pub tenant: usize,
     /// The session that the request continues.
-    pub session: Option<TextKey>,
+    pub session: Option<CacheKey>,
     /// A prefix that the prompt shares with other requests.
-    pub prefix: Option<TextKey>,
+    pub prefix: Option<CacheKey>,
     /// Time until the client's deadline.
     pub time_left: Time,
     /// Estimated length of the answer: output tokens times the TPOT target; 0 if unknown.
-    pub hint: Time,
+    pub output_time_hint: Time,
     /// Prompt tokens.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Prompt tokens in the shared prefix.
-    pub shared: f64,
+    pub shared_tokens: f64,
     /// Maximum number of output tokens.
-    pub max_out: f64,
+    pub max_output_tokens: f64,
     /// The client marks the request as a repeat. Not used by the module.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// The client marks the request as one that comes again after an interruption. Not used by the module.
-    pub returned: bool,
+    pub is_resumed: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -280,19 +280,19 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A list of servers has arrived.
-    Servers { mode: ListMode, entries: Vec<Entry> },
+    Servers { mode: ListMode, entries: Vec<ServerEntry> },
     /// A client has sent a request.
     Arrived(Arrival),
     /// An attempt has ended.
     Ended {
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt, counted from 0.
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
         took: Time,
         /// The client needs no further final answer.
-        settled: bool,
+        is_settled: bool,
         /// For `Read`: prompt tokens found in the cache. For `Full`: 1 if the writer found no KV state to
         /// fetch.
         note: u64,
@@ -300,9 +300,9 @@
         load: Option<Vec<f64>>,
     },
     /// The first token of an answer has arrived.
-    Streaming { id: ReqId, attempt: u32, server: ServerId, took: Time },
+    Streaming { id: RequestId, attempt: u32, server: ServerId, took: Time },
     /// The client has disconnected.
-    ClientGone { id: ReqId },
+    ClientGone { id: RequestId },
     /// A probe has ended.
     Probed {
         server: ServerId,
@@ -312,7 +312,7 @@
         load: Option<Vec<f64>>,
     },
     /// A place at a server was reserved or lost. Ignored by the module.
-    Place { id: ReqId, attempt: u32, server: ServerId, held: bool },
+    Place { id: RequestId, attempt: u32, server: ServerId, held: bool },
     /// A timer set with [`Action::Timer`] has expired.
     Timer { name: u64 },
     /// This front shuts down: no new requests arrive, and what still runs after `within` is cut.
@@ -323,15 +323,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an attempt to a server and end it after `timeout`.
-    Send { id: ReqId, server: ServerId, timeout: Time },
+    Send { id: RequestId, server: ServerId, timeout: Time },
     /// Final answer: refused, and trying again does no harm. A `retry_after` of 0 means no advice.
-    Refuse { id: ReqId, retry_after: Time },
+    Refuse { id: RequestId, retry_after: Time },
     /// Final answer: failed. Whether trying again is harmless is unknown.
-    Fail { id: ReqId },
+    Fail { id: RequestId },
     /// Cancel an attempt in flight.
-    Cancel { id: ReqId, attempt: u32 },
+    Cancel { id: RequestId, attempt: u32 },
     /// Release every KV state and place held for the request.
-    Release { id: ReqId },
+    Release { id: RequestId },
     /// Probe a server for its load.
     Probe { server: ServerId },
     /// Report [`Event::Timer`] with this name after this time.
@@ -339,5 +339,5 @@
     /// Subscribe to changes of the list of servers.
     Subscribe,
     /// End a running stream cleanly; its client sends the request again.
-    Move { id: ReqId },
+    Move { id: RequestId },
 }
--- a/src/bin/elderstage-simhost/main.rs
+++ b/src/bin/elderstage-simhost/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use elderstage::{Action, Entry, Event, ListMode, Outcome, Router, settings};
+use elderstage::{Action, Event, ListMode, Outcome, Router, ServerEntry, settings};
 use wire::{Line, LineError};
 
 /// The state of the process: all routers and all lists of servers.
@@ -19,10 +19,10 @@
 struct Host {
     routers: BTreeMap<u64, Router>,
     /// Numbered lists of servers, shared by all instances of the process.
-    lists: BTreeMap<u64, Rc<Vec<Entry>>>,
+    lists: BTreeMap<u64, Rc<Vec<ServerEntry>>>,
     /// A list whose entries are still being read: its number, the number of missing entries, and the entries
     /// read so far.
-    incomplete_list: Option<(u64, u64, Vec<Entry>)>,
+    incomplete_list: Option<(u64, u64, Vec<ServerEntry>)>,
     /// Time of the current batch; `None` between batches.
     now: Option<u64>,
     batch_serial: String,
@@ -131,7 +131,7 @@
         let now = self.now.ok_or_else(|| LineError::new("MARK", "the event is outside a batch"))?;
         let router = self.routers.get_mut(&instance);
         let router = router.ok_or_else(|| LineError::new("who", format!("{instance} is not attached")))?;
-        if let Event::Ended { outcome: Outcome::Served, settled: false, .. } = &event {
+        if let Event::Ended { outcome: Outcome::Served, is_settled: false, .. } = &event {
             return Err(LineError::new("settled", "must be 1 for the disposition OK"));
         }
         if self.replies.last().is_none_or(|(replying, _)| *replying != instance) {
--- a/src/bin/elderstage-simhost/wire.rs
+++ b/src/bin/elderstage-simhost/wire.rs
@@ -5,7 +5,9 @@
 
 use std::fmt;
 
-use elderstage::{Action, Arrival, Entry, Event, ListMode, Listed, Outcome, ReqId, ServerId, TextKey};
+use elderstage::{
+    Action, Arrival, CacheKey, Event, ListMode, Outcome, RequestId, ServerEntry, ServerId, ServerStatus,
+};
 
 /// An invalid line: which field is wrong, and why.
 #[derive(Debug)]
@@ -102,9 +104,9 @@
         u32::try_from(self.int_or_0(key)?).map_err(|_| LineError::new(key, "is out of range"))
     }
 
-    fn id(&self) -> Result<ReqId, LineError> {
+    fn id(&self) -> Result<RequestId, LineError> {
         self.text("id")?;
-        Ok(ReqId(self.int_u32("id")?))
+        Ok(RequestId(self.int_u32("id")?))
     }
 
     fn number(&self, key: &str, default: f64) -> Result<f64, LineError> {
@@ -173,14 +175,14 @@
 }
 
 /// The entry of a list on an `ENGINE` line.
-pub fn parse_entry(line: &Line) -> Result<Entry, LineError> {
+pub fn parse_entry(line: &Line) -> Result<ServerEntry, LineError> {
     let listed = match line.text("status")? {
-        "Running" => Listed::Running,
-        "Stopping" => Listed::Draining,
-        "Deleted" => Listed::Gone,
+        "Running" => ServerStatus::Running,
+        "Stopping" => ServerStatus::Draining,
+        "Deleted" => ServerStatus::Gone,
         other => return Err(LineError::new("status", format!("{other:?} is not a known status"))),
     };
-    Ok(Entry {
+    Ok(ServerEntry {
         server: line.server()?,
         listed,
         kind: line.int_u32("shape")? as usize,
@@ -198,15 +200,15 @@
             id: line.id()?,
             class: line.int_u32("tier-class")? as usize,
             tenant: line.int_u32("account")? as usize,
-            session: line.find("session-id").map(|key| TextKey(key.into())),
-            prefix: line.find("prefix-id").map(|key| TextKey(key.into())),
+            session: line.find("session-id").map(|key| CacheKey(key.into())),
+            prefix: line.find("prefix-id").map(|key| CacheKey(key.into())),
             time_left: line.int("time-left-us")?,
-            hint: line.int_or_0("hint-us")?,
-            prompt: line.number("n-prompt", 0.0)?,
-            shared: line.number("shared-len", 0.0)?,
-            max_out: line.number("n-max", 0.0)?,
-            repeat: line.flag("repeat")?,
-            returned: line.flag("returned")?,
+            output_time_hint: line.int_or_0("hint-us")?,
+            prompt_tokens: line.number("n-prompt", 0.0)?,
+            shared_tokens: line.number("shared-len", 0.0)?,
+            max_output_tokens: line.number("n-max", 0.0)?,
+            is_repeat: line.flag("repeat")?,
+            is_resumed: line.flag("returned")?,
         }),
         "ANSWER" => Event::Ended {
             id: line.id()?,
@@ -214,7 +216,7 @@
             server: line.server()?,
             outcome: line.outcome()?,
             took: line.int_or_0("took-us")?,
-            settled: line.flag("settled")?,
+            is_settled: line.flag("settled")?,
             note: line.int_or_0("note")?,
             load: line.load()?,
         },
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -6,20 +6,20 @@
 
 impl Router {
     /// Requests without an attempt in flight, in the order of their ids.
-    pub(super) fn held_requests(&self) -> impl Iterator<Item = ReqId> {
+    pub(super) fn held_requests(&self) -> impl Iterator<Item = RequestId> {
         self.requests.iter().filter(|(_, request)| request.in_flight.is_none()).map(|(id, _)| *id)
     }
 
     /// Places held requests, the most valuable first. After an arrival only the new request is tried, since
     /// it changes nothing for the others.
-    pub(super) fn dispatch_held(&mut self, now: Time, only: Option<ReqId>, actions: &mut Vec<Action>) {
-        let mut queue: Vec<(bool, bool, Reverse<u64>, Time, ReqId)> = Vec::new();
+    pub(super) fn dispatch_held(&mut self, now: Time, only: Option<RequestId>, actions: &mut Vec<Action>) {
+        let mut queue: Vec<(bool, bool, Reverse<u64>, Time, RequestId)> = Vec::new();
         for id in self.held_requests().filter(|id| only.is_none_or(|only| only == *id)) {
             let Some(request) = self.requests.get(&id) else { continue };
             let worth = self.settings.classes.get(request.arrival.class).map_or(0.0, |class| class.worth);
             let cached = self.cache_index.most_cached_tokens(&request.arrival);
-            let gain =
-                worth * request.arrival.prompt / (request.arrival.prompt - cached).max(MIN_READ_TOKENS);
+            let gain = worth * request.arrival.prompt_tokens
+                / (request.arrival.prompt_tokens - cached).max(MIN_READ_TOKENS);
             queue.push((
                 request.is_late(now),
                 request.is_over_quota,
@@ -67,7 +67,7 @@
     pub(super) fn send(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         server: &ServerId,
         kind: AttemptKind,
         actions: &mut Vec<Action>,
@@ -82,18 +82,18 @@
         let work_tokens = if includes_read {
             self.tokens_ahead(view, now) + uncached_tokens
         } else {
-            request.arrival.prompt
+            request.arrival.prompt_tokens
         };
         let predicted = self.predict_latency(view, kind, work_tokens, now);
         let class = self.settings.classes.get(request.arrival.class);
-        let tpot_target = class.map_or(0.0, |class| class.tpot_aim);
-        let output_tokens = if request.arrival.hint > 0 && tpot_target > 0.0 {
-            request.arrival.hint as f64 / tpot_target
+        let tpot_target = class.map_or(0.0, |class| class.tpot_target);
+        let output_tokens = if request.arrival.output_time_hint > 0 && tpot_target > 0.0 {
+            request.arrival.output_time_hint as f64 / tpot_target
         } else {
-            request.arrival.max_out * DEFAULT_OUTPUT_SHARE
+            request.arrival.max_output_tokens * DEFAULT_OUTPUT_SHARE
         };
         let must_not_repeat =
-            kind != AttemptKind::Read && class.is_none_or(|class| class.repeat == Repeat::Unsafe);
+            kind != AttemptKind::Read && class.is_none_or(|class| class.repeat == RepeatPolicy::Unsafe);
         let min_timeout = request.ttft_target
             * if self.has_sparse_traffic() { MIN_TIMEOUT_TARGETS_SPARSE } else { MIN_TIMEOUT_TARGETS };
         let patience = (TIMEOUT_FACTOR * predicted).max(min_timeout)
@@ -109,7 +109,8 @@
             predicted_end: now + predicted as Time,
             work_tokens,
             uncached_tokens,
-            kv_tokens: request.arrival.prompt + if kind == AttemptKind::Read { 0.0 } else { output_tokens },
+            kv_tokens: request.arrival.prompt_tokens
+                + if kind == AttemptKind::Read { 0.0 } else { output_tokens },
             first_token_at: None,
         };
         let Some(request) = self.requests.get_mut(&id) else { return false };
--- a/src/policy/guards.rs
+++ b/src/policy/guards.rs
@@ -6,18 +6,18 @@
 
 impl Router {
     /// Whether another attempt is allowed, at any server or, if `to` is given, at that one.
-    pub(super) fn may_attempt(&self, now: Time, id: ReqId, to: Option<&ServerView>) -> bool {
+    pub(super) fn may_attempt(&self, now: Time, id: RequestId, to: Option<&ServerView>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let is_open = !request.is_settled
             && !request.is_streaming
             && request.in_flight.is_none()
-            && request.attempts < self.settings.most_tries
+            && request.attempts < self.settings.max_attempts
             && now < request.deadline;
         let is_repeat_allowed =
             match (&request.may_have_run, self.settings.classes.get(request.arrival.class).map(|c| c.repeat))
             {
-                (None, _) | (_, Some(Repeat::Safe)) => true,
-                (Some((_, sent)), Some(Repeat::Keyed { memory, .. })) => {
+                (None, _) | (_, Some(RepeatPolicy::Safe)) => true,
+                (Some((_, sent)), Some(RepeatPolicy::Keyed { memory, .. })) => {
                     now + self.settings.connect_timeout + SEND_TICKS * self.settings.tick < sent + memory
                 }
                 _ => false,
@@ -28,21 +28,23 @@
     /// Whether a request for which another attempt is allowed may go to this server.
     pub(super) fn may_attempt_at(&self, now: Time, request: &Request, to: &ServerView) -> bool {
         let is_same_group =
-            |group: Group, first_server: &ServerId| match (group, self.views.get(first_server)) {
-                (Group::All, _) => true,
-                (Group::Zone, Some(first)) => first.entry.zone == to.entry.zone,
-                (Group::Cell, Some(first)) => first.entry.cell == to.entry.cell,
+            |group: RepeatGroup, first_server: &ServerId| match (group, self.views.get(first_server)) {
+                (RepeatGroup::All, _) => true,
+                (RepeatGroup::Zone, Some(first)) => first.entry.zone == to.entry.zone,
+                (RepeatGroup::Cell, Some(first)) => first.entry.cell == to.entry.cell,
                 (_, None) => false,
             };
         let is_repeat_allowed =
             match (&request.may_have_run, self.settings.classes.get(request.arrival.class).map(|c| c.repeat))
             {
-                (Some((first_server, _)), Some(Repeat::Keyed { group, .. })) => {
+                (Some((first_server, _)), Some(RepeatPolicy::Keyed { group, .. })) => {
                     is_same_group(group, first_server)
                 }
                 _ => true,
             };
-        to.entry.listed == Listed::Running && is_repeat_allowed && self.passes_cold_limit(to, request, now)
+        to.entry.listed == ServerStatus::Running
+            && is_repeat_allowed
+            && self.passes_cold_limit(to, request, now)
     }
 
     /// Whether a server started so recently that it is still cold.
@@ -52,7 +54,7 @@
 
     /// Whether a server that became ready at `ready_at` is still cold.
     pub(super) fn is_cold(&self, ready_at: Time, now: Time) -> bool {
-        ready_at > 0 && now < ready_at + self.settings.cold_for
+        ready_at > 0 && now < ready_at + self.settings.cold_duration
     }
 
     /// Limits the load on a server that has just started. An attempt passes by a random draw, so that all
@@ -77,18 +79,18 @@
             .get(&view.entry.cell)
             .filter(|_| source_cell == Some(view.entry.cell));
         let cell_share = cell_weight.map_or(overall_share, |cell| weight_share(*cell));
-        let cold_factor =
-            self.settings.fall_multiple * self.settings.cold_from * (answered + 1.0) / (sent + 1.0);
+        let cold_factor = self.settings.overload_multiple * self.settings.cold_start_share * (answered + 1.0)
+            / (sent + 1.0);
         let draw = hash(view.name_hash, &format!("{} {}", request.arrival.id.0, request.attempts));
         let is_prompt_short =
-            request.arrival.prompt <= self.settings.fall_multiple * self.mean_log_prompt.exp();
+            request.arrival.prompt_tokens <= self.settings.overload_multiple * self.mean_log_prompt.exp();
         is_prompt_short
             && unit_interval(draw) <= COLD_BUDGET_SHARE * cold_factor * (overall_share * cell_share).sqrt()
     }
 
     /// Gives the one final answer: a refusal if nothing can have run or repeats are harmless, otherwise a
     /// failure.
-    pub(super) fn finish(&mut self, now: Time, id: ReqId, actions: &mut Vec<Action>) {
+    pub(super) fn finish(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         if request.attempts > 0 && !request.is_streaming {
             actions.push(Action::Release { id });
@@ -97,8 +99,8 @@
             return;
         }
         let is_retry_safe = match self.settings.classes.get(request.arrival.class).map(|class| class.repeat) {
-            Some(Repeat::Safe) => true,
-            Some(Repeat::Keyed { group: Group::All, memory }) => {
+            Some(RepeatPolicy::Safe) => true,
+            Some(RepeatPolicy::Keyed { group: RepeatGroup::All, memory }) => {
                 request.may_have_run.as_ref().is_none_or(|(_, sent)| now < sent + memory)
             }
             _ => request.may_have_run.is_none(),
--- a/src/policy/hand_over.rs
+++ b/src/policy/hand_over.rs
@@ -6,7 +6,7 @@
 impl Router {
     /// Sends a request whose prompt has been read to the writer with the lowest cost. Ties are broken at
     /// random, so that fronts do not all choose the same writer.
-    pub(super) fn hand_over(&mut self, now: Time, id: ReqId, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn hand_over(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let salt = self.next_random().to_string();
         match self.pick_writer(now, id, &salt) {
             Some((server, kind)) => self.send(now, id, &server, kind, actions),
@@ -16,7 +16,7 @@
 
     /// Finds the writer with the lowest cost. Writers of the reader's cell come first and set the bound; any
     /// writer whose token count alone makes it worse is skipped without computing its full cost.
-    fn pick_writer(&self, now: Time, id: ReqId, salt: &str) -> Option<(ServerId, AttemptKind)> {
+    fn pick_writer(&self, now: Time, id: RequestId, salt: &str) -> Option<(ServerId, AttemptKind)> {
         let request = self.requests.get(&id)?;
         let (reader, _) = request.kv_state.as_ref()?;
         if !self.may_attempt(now, id, None) {
@@ -61,7 +61,8 @@
     ) -> WriterCost {
         let is_remote = fetch_kind(view, cell) == AttemptKind::RemoteFetch;
         let tokens = self.estimated_tokens(view, now);
-        let penalty_tokens = if is_remote { PENALTY_TOKEN_FACTOR * (arrival.prompt + tokens) } else { 0.0 };
+        let penalty_tokens =
+            if is_remote { PENALTY_TOKEN_FACTOR * (arrival.prompt_tokens + tokens) } else { 0.0 };
         WriterCost {
             health_penalty: 0,
             load_penalty: 0,
@@ -85,8 +86,8 @@
             (kind == AttemptKind::RemoteFetch, request.ttft_target - (now - request.arrived_at) as f64);
         let tokens = self.estimated_tokens(view, now);
         let penalties = f64::from(u32::from(is_remote) + u32::from(requirement.is_unmet_by(view, now)));
-        let penalty_tokens = PENALTY_TOKEN_FACTOR * penalties * (arrival.prompt + tokens);
-        let fetch_time = self.predict_latency(view, kind, arrival.prompt, now);
+        let penalty_tokens = PENALTY_TOKEN_FACTOR * penalties * (arrival.prompt_tokens + tokens);
+        let fetch_time = self.predict_latency(view, kind, arrival.prompt_tokens, now);
         let is_late =
             fetch_time.max(view.oldest_wait(now)).max(if is_remote { link_wait } else { 0.0 }) > time_left;
         let is_suspect = Self::suspect_health(view, arrival.class).is_some();
--- a/src/policy/index.rs
+++ b/src/policy/index.rs
@@ -65,11 +65,11 @@
 
 /// Which servers cache which texts: the contents of [`ServerView::cached_texts`], ordered by text.
 #[derive(Default)]
-pub(super) struct CacheIndex(BTreeMap<TextKey, CacheHolders>);
+pub(super) struct CacheIndex(BTreeMap<CacheKey, CacheHolders>);
 
 impl CacheIndex {
     /// Adds a text of a server, or replaces its number of tokens.
-    pub(super) fn insert(&mut self, key: &TextKey, server: &ServerId, tokens: f64) {
+    pub(super) fn insert(&mut self, key: &CacheKey, server: &ServerId, tokens: f64) {
         let holders = self.0.entry(key.clone()).or_default();
         let previous = holders.tokens_by_server.insert(server.clone(), tokens);
         if previous.is_some_and(|previous| previous > tokens) {
@@ -79,7 +79,7 @@
     }
 
     /// Removes a text of a server.
-    pub(super) fn remove(&mut self, key: &TextKey, server: &ServerId) {
+    pub(super) fn remove(&mut self, key: &CacheKey, server: &ServerId) {
         let Some(holders) = self.0.get_mut(key) else { return };
         holders.tokens_by_server.remove(server);
         if holders.tokens_by_server.is_empty() {
@@ -92,10 +92,10 @@
     /// The most prompt tokens of a request that any single server is assumed to cache.
     pub(super) fn most_cached_tokens(&self, arrival: &Arrival) -> f64 {
         let cached =
-            |key: &Option<TextKey>, limit: f64| Some(self.0.get(key.as_ref()?)?.max_tokens.min(limit));
-        cached(&arrival.session, arrival.prompt)
+            |key: &Option<CacheKey>, limit: f64| Some(self.0.get(key.as_ref()?)?.max_tokens.min(limit));
+        cached(&arrival.session, arrival.prompt_tokens)
             .unwrap_or(0.0)
-            .max(cached(&arrival.prefix, arrival.shared).unwrap_or(0.0))
+            .max(cached(&arrival.prefix, arrival.shared_tokens).unwrap_or(0.0))
     }
 }
 
@@ -108,16 +108,16 @@
 
 /// KV states that wait for the link out of a cell: by cell and request, since when.
 #[derive(Default)]
-pub(super) struct PendingTransfers(BTreeMap<Option<u32>, BTreeMap<ReqId, Time>>);
+pub(super) struct PendingTransfers(BTreeMap<Option<u32>, BTreeMap<RequestId, Time>>);
 
 impl PendingTransfers {
     /// Adds the KV state of a request that waits to leave a cell.
-    pub(super) fn insert(&mut self, source_cell: Option<u32>, id: ReqId, since: Time) {
+    pub(super) fn insert(&mut self, source_cell: Option<u32>, id: RequestId, since: Time) {
         self.0.entry(source_cell).or_default().insert(id, since);
     }
 
     /// Removes the KV state of a request.
-    pub(super) fn remove(&mut self, source_cell: Option<u32>, id: ReqId) {
+    pub(super) fn remove(&mut self, source_cell: Option<u32>, id: RequestId) {
         let Some(waits) = self.0.get_mut(&source_cell) else { return };
         waits.remove(&id);
         if waits.is_empty() {
@@ -153,7 +153,7 @@
     pub(super) fn rebuild_server_index(&mut self) {
         let mut index = ServerIndex { version: self.server_index.version + 1, ..ServerIndex::default() };
         let (mut weight_by_role, mut readers, mut writers) = ([0.0; 3], BTreeMap::new(), BTreeMap::new());
-        for view in self.views.values().filter(|v| v.entry.listed == Listed::Running) {
+        for view in self.views.values().filter(|v| v.entry.listed == ServerStatus::Running) {
             let entry = &view.entry;
             let weight_by_cell = if view.role == Role::Prefill { &mut readers } else { &mut writers };
             *weight_by_cell.entry(entry.cell).or_insert(0.0) += entry.weight;
@@ -162,7 +162,7 @@
                 index.writers.entry(entry.cell).or_default().push(entry.server.clone());
             }
         }
-        for view in self.views.values().filter(|v| v.entry.listed == Listed::Running) {
+        for view in self.views.values().filter(|v| v.entry.listed == ServerStatus::Running) {
             let entry = &view.entry;
             if view.role == Role::Prefill {
                 let cell_weights = writers.get(&entry.cell).zip(readers.get(&entry.cell));
@@ -193,12 +193,14 @@
     }
 
     /// Records that a server caches the texts of a request after it has read or answered it.
-    pub(super) fn record_cached_texts(&mut self, server: &ServerId, id: ReqId, found: f64, now: Time) {
+    pub(super) fn record_cached_texts(&mut self, server: &ServerId, id: RequestId, found: f64, now: Time) {
         let (Some(view), Some(request)) = (self.views.get_mut(server), self.requests.get(&id)) else {
             return;
         };
         let arrival = &request.arrival;
-        for (key, tokens) in [(&arrival.session, arrival.prompt), (&arrival.prefix, arrival.shared)] {
+        for (key, tokens) in
+            [(&arrival.session, arrival.prompt_tokens), (&arrival.prefix, arrival.shared_tokens)]
+        {
             if let Some(key) = key.as_ref().filter(|_| tokens > 0.0) {
                 view.cached_texts.insert(key.clone(), (tokens, now));
                 self.cache_index.insert(key, server, tokens);
@@ -206,7 +208,7 @@
         }
         // A shared prefix that the server did not find has been evicted; older entries are then no longer
         // relied on.
-        if found < MIN_PREFIX_FOUND * arrival.shared || view.cached_texts.len() > MAX_CACHED_TEXTS {
+        if found < MIN_PREFIX_FOUND * arrival.shared_tokens || view.cached_texts.len() > MAX_CACHED_TEXTS {
             view.cached_texts.retain(|key, (_, at)| {
                 let is_kept = *at == now;
                 if !is_kept {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -28,7 +28,7 @@
     settings: Settings,
     rng_state: u64,
     views: BTreeMap<ServerId, ServerView>,
-    requests: BTreeMap<ReqId, Request>,
+    requests: BTreeMap<RequestId, Request>,
     latency_fits: [LinearFit; 4],
     /// By role: the highest total weight of running servers seen at once.
     peak_weight: [f64; 3],
@@ -79,7 +79,7 @@
             quota_buckets: vec![(0.0, 0); settings.tenants.len()],
             relies_on_reports: settings.may_probe
                 && !settings.report_fields.is_empty()
-                && settings.fronts > FEW_FRONTS,
+                && settings.front_count > FEW_FRONTS,
             settings,
             rng_state: seed | 1,
             ..Router::default()
@@ -114,9 +114,9 @@
 
     /// Replaces the settings at run time. The lists of classes, kinds and tenants must stay the same; their
     /// values may change.
-    pub fn adopt(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.relies_on_reports =
-            settings.may_probe && !settings.report_fields.is_empty() && settings.fronts > FEW_FRONTS;
+            settings.may_probe && !settings.report_fields.is_empty() && settings.front_count > FEW_FRONTS;
         for view in self.views.values_mut() {
             view.role = settings.roles.get(view.entry.kind).copied().unwrap_or(Role::Mixed);
             view.kv_capacity = settings.kv_tokens.get(view.entry.kind).copied().unwrap_or(0.0);
@@ -128,7 +128,7 @@
 
     /// Number of servers examined by all passes over the list since the start: the part of the work that
     /// grows with the size of the fleet.
-    pub fn examined(&self) -> u64 {
+    pub fn examined_servers(&self) -> u64 {
         self.examined.get()
     }
 
@@ -157,15 +157,15 @@
     }
 
     fn shortest_ttft_target(&self) -> f64 {
-        self.settings.classes.iter().map(|class| class.ttft_aim).min().unwrap_or(0) as f64
+        self.settings.classes.iter().map(|class| class.ttft_target).min().unwrap_or(0) as f64
     }
 
     fn sweep_interval(&self) -> Time {
-        (self.settings.let_go_by / SWEEPS_PER_RELEASE).max(self.settings.tick).max(1)
+        (self.settings.release_time_limit / SWEEPS_PER_RELEASE).max(self.settings.tick).max(1)
     }
 
     /// Whether the deadline may pass before a later sweep could answer: the request must be answered now.
-    fn must_answer_now(&self, now: Time, id: ReqId) -> bool {
+    fn must_answer_now(&self, now: Time, id: RequestId) -> bool {
         self.requests
             .get(&id)
             .is_none_or(|request| now + FINAL_SWEEPS * self.sweep_interval() >= request.deadline)
--- a/src/policy/monitor.rs
+++ b/src/policy/monitor.rs
@@ -11,14 +11,14 @@
         &mut self,
         now: Time,
         mode: ListMode,
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
         actions: &mut Vec<Action>,
     ) {
         if self.settings.discovery == Discovery::Asked {
             match mode {
                 ListMode::Restored => actions.push(Action::Subscribe),
                 ListMode::Failed => {
-                    self.subscribe_retry_at = Some(now + self.settings.ask_within / SUBSCRIBE_RETRIES)
+                    self.subscribe_retry_at = Some(now + self.settings.resubscribe_within / SUBSCRIBE_RETRIES)
                 }
                 _ => self.subscribe_retry_at = None,
             }
@@ -27,7 +27,7 @@
             return;
         }
         for view in self.views.values_mut().filter(|_| mode != ListMode::Changes) {
-            view.entry.listed = Listed::Gone;
+            view.entry.listed = ServerStatus::Gone;
         }
         for entry in entries {
             let role = self.settings.roles.get(entry.kind).copied().unwrap_or(Role::Mixed);
@@ -42,7 +42,8 @@
                 (name_hash(&server.0), entry, role, kv_capacity);
             self.views.insert(server, view);
         }
-        let has_left = |view: &ServerView| view.entry.listed == Listed::Gone && view.attempts.is_empty();
+        let has_left =
+            |view: &ServerView| view.entry.listed == ServerStatus::Gone && view.attempts.is_empty();
         let gone: Vec<ServerId> =
             self.views.iter().filter(|(_, view)| has_left(view)).map(|(server, _)| server.clone()).collect();
         for server in gone {
@@ -133,7 +134,7 @@
         } else {
             0.0
         };
-        reads_per_front * f64::from(self.settings.fronts - 1) / readers
+        reads_per_front * f64::from(self.settings.front_count - 1) / readers
     }
 
     /// Age of the oldest KV state of this front that waits for the link out of a cell; detects congested
@@ -207,7 +208,7 @@
         let may_try = |health: &ClassHealth| {
             now >= health.suspended_until && view.awaiting_first_token().next().is_none()
         };
-        view.entry.listed == Listed::Running && Self::suspect_health(view, class).is_none_or(may_try)
+        view.entry.listed == ServerStatus::Running && Self::suspect_health(view, class).is_none_or(may_try)
     }
 
     /// Whether this front reaches each server so rarely that its own answers do not show how the servers are
@@ -250,7 +251,7 @@
                     .filter(|attempt| attempt.sent_at > at)
                     .map(|attempt| attempt.kv_tokens);
                 share * view.kv_capacity
-                    + sent_since.sum::<f64>() * f64::from(self.settings.fronts.min(MAX_HERD_FRONTS))
+                    + sent_since.sum::<f64>() * f64::from(self.settings.front_count.min(MAX_HERD_FRONTS))
             }
             None => view.outstanding_tokens().max(self.mean_writer_tokens),
         }
@@ -276,8 +277,8 @@
         salt: &mut TurnSalt,
     ) -> bool {
         let slot = now / (read_time / (1.0 - NOMINAL_TPOT_SHARE)).max(1.0) as Time;
-        let draw = hash(view.name_hash, salt.for_slot(self.settings.me, slot));
-        unit_interval(draw) * f64::from(self.settings.fronts) <= COMBINED_TURNS
+        let draw = hash(view.name_hash, salt.for_slot(self.settings.front_number, slot));
+        unit_interval(draw) * f64::from(self.settings.front_count) <= COMBINED_TURNS
     }
 
     /// The least time that any stream of a writer has gained on its TPOT target at the nominal pace.
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -6,7 +6,7 @@
 
 impl Router {
     /// Applies rules 1, 2 and 3 in this order. The request stays held if no server accepts it.
-    pub(super) fn place_request(&mut self, now: Time, id: ReqId) -> (Placement, AttemptKind) {
+    pub(super) fn place_request(&mut self, now: Time, id: RequestId) -> (Placement, AttemptKind) {
         if !self.may_attempt(now, id, None) || !self.any_writer_can_start_stream(now, id) {
             return (Placement::NotFound, AttemptKind::Read);
         }
@@ -23,9 +23,9 @@
     }
 
     /// Rules 1 and 2: chooses a reader. The last attempt is left for the writer.
-    fn choose_reader(&self, now: Time, id: ReqId, order: &[RankedReader]) -> Placement {
+    fn choose_reader(&self, now: Time, id: RequestId, order: &[RankedReader]) -> Placement {
         let Some(request) = self.requests.get(&id) else { return Placement::NotFound };
-        if request.attempts + 1 >= self.settings.most_tries {
+        if request.attempts + 1 >= self.settings.max_attempts {
             return Placement::NotFound;
         }
         let (arrival, time_left) = (&request.arrival, request.time_left(now));
@@ -67,12 +67,12 @@
 
     /// Rule 3: reads and answers at one server, a mixed server or a writer. Its memory use is below the
     /// limit, and the slack of all its streams exceeds the duration of this read.
-    fn choose_combined_server(&self, now: Time, id: ReqId) -> Placement {
+    fn choose_combined_server(&self, now: Time, id: RequestId) -> Placement {
         let Some(request) = self.requests.get(&id) else { return Placement::NotFound };
         let (arrival, time_left, salt) = (&request.arrival, request.time_left(now), id.0.to_string());
         let mut turns = TurnSalt::default();
         let can_take = |view: &&ServerView| {
-            if view.role != Role::Mixed && !self.settings.writers_read {
+            if view.role != Role::Mixed && !self.settings.writers_may_read {
                 return false;
             }
             let read_time = self.predict_read(view, arrival, AttemptKind::Combined, now);
@@ -131,7 +131,7 @@
             view.oldest_wait(now).max(self.predict_latency(
                 view,
                 AttemptKind::LocalFetch,
-                request.arrival.prompt,
+                request.arrival.prompt_tokens,
                 now,
             ))
         };
@@ -141,7 +141,7 @@
             && fetch_time() < request.time_left(now)
     }
 
-    fn any_writer_can_start_stream(&self, now: Time, id: ReqId) -> bool {
+    fn any_writer_can_start_stream(&self, now: Time, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         self.scan_servers().any(|view| self.can_start_stream(view, request, now))
     }
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -8,7 +8,7 @@
     /// Readers that are a home of the shared prefix come first. Within them the order is a weighted hash of
     /// session and reader. The weights depend only on what all fronts see alike: the writers of the reader's
     /// cell, so that few KV states leave the cell, and the reader's own weight.
-    pub(super) fn ranking(&mut self, id: ReqId) -> Ranking {
+    pub(super) fn ranking(&mut self, id: RequestId) -> Ranking {
         let cached = self.requests.get_mut(&id).and_then(|request| request.ranking.take());
         if let Some(ranking) = cached.filter(|ranking| ranking.version == self.server_index.version) {
             return ranking;
@@ -16,8 +16,10 @@
         let (salt, version) = (id.0.to_string(), self.server_index.version);
         let Some(request) = self.requests.get(&id) else { return Ranking { version, order: Vec::new() } };
         let arrival = &request.arrival;
-        let shared_prefix =
-            arrival.prefix.as_ref().filter(|_| arrival.shared > MIN_SHARED_PREFIX * arrival.prompt);
+        let shared_prefix = arrival
+            .prefix
+            .as_ref()
+            .filter(|_| arrival.shared_tokens > MIN_SHARED_PREFIX * arrival.prompt_tokens);
         let home_share = PREFIX_HOMES / self.server_index.reader_weight.max(1.0);
         let rank = |(slot, reader): (usize, &ReaderSlot)| {
             self.count_examined();
@@ -44,7 +46,7 @@
         order: &'a [RankedReader],
     ) -> impl Iterator<Item = &'a ServerView> {
         let requirement = self.proof_requirement(true, request.arrival.class);
-        let has_cold_readers = now < self.server_index.last_reader_start + self.settings.cold_for;
+        let has_cold_readers = now < self.server_index.last_reader_start + self.settings.cold_duration;
         let turns = [(false, true), (false, false), (true, true), (true, false)];
         let turns = turns.into_iter().filter(move |(is_unproven, is_cold)| {
             (requirement.is_active || !is_unproven) && (has_cold_readers || !is_cold)
@@ -79,7 +81,7 @@
             } else {
                 (AttemptKind::RemoteFetch, self.oldest_pending_transfer(Some(cell), now))
             };
-            let fetch_time = self.latency_fits[kind as usize].predict(arrival.prompt).max(link_wait);
+            let fetch_time = self.latency_fits[kind as usize].predict(arrival.prompt_tokens).max(link_wait);
             let total_time = (self.predict_read(view, arrival, AttemptKind::Read, now) + fetch_time)
                 * TIE_STEPS_PER_TARGET
                 / request.ttft_target.max(1.0);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -9,12 +9,12 @@
     pub(super) fn on_arrival(&mut self, now: Time, arrival: Arrival) {
         let ttft_target =
             self.settings.classes.get(arrival.class).map_or(arrival.time_left as f64, |class| {
-                class.ttft_aim as f64 + class.ttft_aim_per_1000 * arrival.prompt / 1000.0
+                class.ttft_target as f64 + class.ttft_target_per_1000_tokens * arrival.prompt_tokens / 1000.0
             });
         let (tenant, bucket) =
             (self.settings.tenants.get(arrival.tenant), self.quota_buckets.get_mut(arrival.tenant));
         let is_over_quota = tenant.zip(bucket).is_some_and(|(tenant, (level, updated_at))| {
-            let rate = tenant.quota_per_s / f64::from(self.settings.fronts);
+            let rate = tenant.quota_per_s / f64::from(self.settings.front_count);
             *level = (*level - rate * (now - *updated_at) as f64 / 1e6).max(0.0);
             *updated_at = now;
             let is_over = *level > QUOTA_BURST_S * rate;
@@ -23,7 +23,7 @@
         });
         let (weight, gap) =
             if self.last_arrival > 0 { (AVERAGE_WEIGHT, now - self.last_arrival) } else { (1.0, 0) };
-        self.mean_log_prompt += weight * (arrival.prompt.max(1.0).ln() - self.mean_log_prompt);
+        self.mean_log_prompt += weight * (arrival.prompt_tokens.max(1.0).ln() - self.mean_log_prompt);
         self.mean_arrival_gap += weight * (gap as f64 - self.mean_arrival_gap);
         self.last_arrival = now;
         let id = arrival.id;
@@ -35,7 +35,7 @@
     }
 
     /// Records that the stream has started: the writer has fetched the KV state and has answered.
-    pub(super) fn on_first_token(&mut self, now: Time, id: ReqId, server: &ServerId) {
+    pub(super) fn on_first_token(&mut self, now: Time, id: RequestId, server: &ServerId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_streaming = true;
         request.kv_state = None;
@@ -55,7 +55,7 @@
     /// Records how an attempt ended, releases a KV state that can no longer be used, and hands over, retries
     /// or finishes the request.
     pub(super) fn on_attempt_ended(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        let Event::Ended { id, server, outcome, settled, note, load, .. } = event else { return };
+        let Event::Ended { id, server, outcome, is_settled: settled, note, load, .. } = event else { return };
         let server = &server;
         self.record_report(now, server, load);
         let attempt = self.views.get_mut(server).and_then(|view| view.attempts.remove(&id));
@@ -82,7 +82,10 @@
         let is_state_gone = is_released && matches!(outcome, Outcome::NoConnection | Outcome::TimedOut);
         if is_state_missing
             || is_state_gone
-            || request.kv_state.as_ref().is_some_and(|(_, since)| now > since + self.settings.let_go_by)
+            || request
+                .kv_state
+                .as_ref()
+                .is_some_and(|(_, since)| now > since + self.settings.release_time_limit)
         {
             request.kv_state = None;
             actions.push(Action::Release { id });
@@ -92,7 +95,7 @@
         match outcome {
             Outcome::Read => {
                 request.kv_state = Some((server.clone(), now));
-                let prompt = request.arrival.prompt;
+                let prompt = request.arrival.prompt_tokens;
                 if let Some(attempt) = attempt.as_ref().filter(|_| self.views.contains_key(server)) {
                     self.record_cached_texts(server, id, note as f64, now);
                     let work_tokens =
@@ -146,7 +149,7 @@
 
     /// Marks the request as settled and cancels the attempt in flight, or finishes the request if there is
     /// none.
-    pub(super) fn on_client_gone(&mut self, now: Time, id: ReqId, actions: &mut Vec<Action>) {
+    pub(super) fn on_client_gone(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_settled = true;
         match &request.in_flight {
@@ -163,13 +166,13 @@
     pub(super) fn sweep(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.is_sweep_scheduled = false;
         if self.subscribe_retry_at.is_some_and(|at| now >= at) {
-            self.subscribe_retry_at = Some(now + self.settings.ask_within / SUBSCRIBE_RETRIES);
+            self.subscribe_retry_at = Some(now + self.settings.resubscribe_within / SUBSCRIBE_RETRIES);
             actions.push(Action::Subscribe);
         }
         self.move_streams(now, actions);
-        let max_wait = (RELEASE_SHARE * self.settings.let_go_by as f64) as Time;
+        let max_wait = (RELEASE_SHARE * self.settings.release_time_limit as f64) as Time;
         self.release_states_in_flight(now, actions);
-        let held: Vec<ReqId> = self.held_requests().collect();
+        let held: Vec<RequestId> = self.held_requests().collect();
         for id in held {
             let Some(request) = self.requests.get_mut(&id) else { return };
             if request.kv_state.as_ref().is_some_and(|(_, since)| now >= since + max_wait) {
@@ -194,7 +197,7 @@
     /// have arrived, and nothing reports that. A server keeps a state that an attempt is already waiting for,
     /// so an attempt that has arrived loses nothing.
     fn release_states_in_flight(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let max_wait = (RELEASE_SHARE_IN_FLIGHT * self.settings.let_go_by as f64) as Time;
+        let max_wait = (RELEASE_SHARE_IN_FLIGHT * self.settings.release_time_limit as f64) as Time;
         for (id, request) in &mut self.requests {
             let is_due = request.kv_state.as_ref().is_some_and(|(_, since)| now >= since + max_wait);
             if is_due && request.in_flight.is_some() && !request.is_state_released {
@@ -207,14 +210,16 @@
     /// Before this front ends, moves the streams that would be cut, one after the other over the remaining
     /// time. Otherwise all their clients would come back at once, which no reader can serve.
     fn move_streams(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let shutdown = self.shutdown.filter(|(next_move, _, _)| self.settings.resume && now >= *next_move);
+        let shutdown =
+            self.shutdown.filter(|(next_move, _, _)| self.settings.may_resume && now >= *next_move);
         let Some((_, last_move, end)) = shutdown else { return };
-        let tpot_target =
-            |request: &Request| self.settings.classes.get(request.arrival.class).map_or(0.0, |c| c.tpot_aim);
+        let tpot_target = |request: &Request| {
+            self.settings.classes.get(request.arrival.class).map_or(0.0, |c| c.tpot_target)
+        };
         // A stream past its end at the nominal pace is at a slow writer: its end is unknown.
-        let end_past_shutdown = |id: &ReqId, request: &Request| {
+        let end_past_shutdown = |id: &RequestId, request: &Request| {
             let attempt = self.views.get(&request.in_flight.as_ref()?.0)?.attempts.get(id)?;
-            let output_tokens = attempt.kv_tokens - request.arrival.prompt;
+            let output_tokens = attempt.kv_tokens - request.arrival.prompt_tokens;
             let predicted_end =
                 attempt.first_token_at? + (output_tokens * NOMINAL_TPOT_SHARE * tpot_target(request)) as Time;
             Some(if predicted_end < now { Time::MAX } else { predicted_end })
--- a/src/policy/views.rs
+++ b/src/policy/views.rs
@@ -88,17 +88,17 @@
 /// What the router knows about one server.
 #[derive(Default)]
 pub(super) struct ServerView {
-    pub(super) entry: Entry,
+    pub(super) entry: ServerEntry,
     /// Hash of the server's name, see [`name_hash`].
     pub(super) name_hash: u64,
     pub(super) role: Role,
     /// KV memory in tokens.
     pub(super) kv_capacity: f64,
-    pub(super) attempts: BTreeMap<ReqId, Attempt>,
+    pub(super) attempts: BTreeMap<RequestId, Attempt>,
     /// By kind of attempt: relative slowdown against the shared fit; 0 means equally fast.
     pub(super) slowdown: [f64; 4],
     /// Cached texts: number of tokens, and when they were last recorded.
-    pub(super) cached_texts: BTreeMap<TextKey, (f64, Time)>,
+    pub(super) cached_texts: BTreeMap<CacheKey, (f64, Time)>,
     /// Last load report: share of KV memory, waiting prompt tokens, and when it arrived.
     pub(super) load_report: Option<(f64, f64, Time)>,
     /// When the server was last probed.
@@ -127,16 +127,16 @@
 
     /// Prompt tokens that the server is assumed not to cache.
     pub(super) fn uncached_tokens(&self, arrival: &Arrival) -> f64 {
-        (arrival.prompt - self.cached_tokens(arrival)).max(0.0)
+        (arrival.prompt_tokens - self.cached_tokens(arrival)).max(0.0)
     }
 
     /// Prompt tokens that the server is assumed to cache, of the session or of the shared prefix.
     pub(super) fn cached_tokens(&self, arrival: &Arrival) -> f64 {
         let cached =
-            |key: &Option<TextKey>, limit: f64| Some(self.cached_texts.get(key.as_ref()?)?.0.min(limit));
-        cached(&arrival.session, arrival.prompt)
+            |key: &Option<CacheKey>, limit: f64| Some(self.cached_texts.get(key.as_ref()?)?.0.min(limit));
+        cached(&arrival.session, arrival.prompt_tokens)
             .unwrap_or(0.0)
-            .max(cached(&arrival.prefix, arrival.shared).unwrap_or(0.0))
+            .max(cached(&arrival.prefix, arrival.shared_tokens).unwrap_or(0.0))
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-use crate::api::{Class, Discovery, Group, Repeat, ReportField, Role, Settings, Tenant, Time};
+use crate::api::{Class, Discovery, RepeatGroup, RepeatPolicy, ReportField, Role, Settings, Tenant, Time};
 
 /// An invalid value in the settings and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,15 +15,15 @@
     /// Keys and positions that lead to the value; empty for the whole object.
     pub path: String,
     /// What is wrong with the value.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.path.is_empty() {
-            write!(formatter, "{}", self.what)
+            write!(formatter, "{}", self.message)
         } else {
-            write!(formatter, "{}: {}", self.path, self.what)
+            write!(formatter, "{}: {}", self.path, self.message)
         }
     }
 }
@@ -33,7 +33,7 @@
 /// The names that the settings use, in the order of the positions that the module uses, and the limits for
 /// sockets and clients, which the module does not need.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Names {
+pub struct SettingNames {
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the kinds of servers.
@@ -48,7 +48,7 @@
     pub deadlines: Vec<Time>,
 }
 
-impl Names {
+impl SettingNames {
     /// The longest time that a client of any class waits.
     pub fn longest_wait(&self) -> Time {
         self.deadlines.iter().copied().max().unwrap_or(NO_DEADLINE)
@@ -56,8 +56,8 @@
 
     /// Whether requests, lists and sockets are read in the same way under both. Only the deadlines of clients
     /// may differ, since they may change at any time.
-    pub fn reads_like(&self, other: &Names) -> bool {
-        *self == Names { deadlines: self.deadlines.clone(), ..other.clone() }
+    pub fn has_same_layout(&self, other: &SettingNames) -> bool {
+        *self == SettingNames { deadlines: self.deadlines.clone(), ..other.clone() }
     }
 }
 
@@ -77,7 +77,7 @@
     }
 
     fn invalid<T>(&self, expected: &str) -> Result<T, SettingsError> {
-        Err(SettingsError { path: self.path.clone(), what: format!("{} is not {expected}", self.value) })
+        Err(SettingsError { path: self.path.clone(), message: format!("{} is not {expected}", self.value) })
     }
 
     fn number(&self, default: f64) -> Result<f64, SettingsError> {
@@ -134,12 +134,12 @@
 /// Reads the settings from JSON text.
 pub fn read(text: &str) -> Result<Settings, SettingsError> {
     let object: Value = serde_json::from_str(text)
-        .map_err(|error| SettingsError { path: String::new(), what: format!("bad JSON: {error}") })?;
+        .map_err(|error| SettingsError { path: String::new(), message: format!("bad JSON: {error}") })?;
     from_value(&object)
 }
 
 /// Reads the names and the limits for sockets and clients.
-pub fn names(object: &Value) -> Result<Names, SettingsError> {
+pub fn read_names(object: &Value) -> Result<SettingNames, SettingsError> {
     let root = ValueAtPath { value: object, path: String::new() };
     let strings = |key: &str| -> Result<Vec<String>, SettingsError> {
         root.get(key).array()?.iter().map(|item| item.string().map(str::to_owned)).collect()
@@ -152,7 +152,7 @@
         deadlines.push(class.get("give-up-us").integer(NO_DEADLINE)?);
     }
     let idle_close = root.get("limits").get("idle-close-us").integer(0)?;
-    Ok(Names {
+    Ok(SettingNames {
         zones: strings("zones")?,
         kinds: strings("skus")?,
         classes: names_of("services")?,
@@ -182,22 +182,22 @@
     for (index, class) in root.get("services").array()?.iter().enumerate() {
         let deadline = class.get("give-up-us").integer(NO_DEADLINE)?;
         let group = match class.get("group").string()? {
-            "" | "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+            "" | "all" => RepeatGroup::All,
+            "zone" => RepeatGroup::Zone,
+            "cell" => RepeatGroup::Cell,
             _ => return class.get("group").invalid("all, zone or cell"),
         };
         let repeat = match class.get("semantics").string()? {
-            "pure" => Repeat::Safe,
-            "token" => Repeat::Keyed { group, memory: class.get("memory-span-us").integer(0)? },
-            "" | "side_effect" => Repeat::Unsafe,
+            "pure" => RepeatPolicy::Safe,
+            "token" => RepeatPolicy::Keyed { group, memory: class.get("memory-span-us").integer(0)? },
+            "" | "side_effect" => RepeatPolicy::Unsafe,
             _ => return class.get("semantics").invalid("pure, token or side_effect"),
         };
         classes.push(Class {
             repeat,
-            ttft_aim: class.get("aim-us").integer(deadline)?,
-            ttft_aim_per_1000: number_at(&domain.get("aim-us-per-1000-prompt-tokens"), index, 0.0)?,
-            tpot_aim: number_at(&domain.get("token-aim-us"), index, 0.0)?,
+            ttft_target: class.get("aim-us").integer(deadline)?,
+            ttft_target_per_1000_tokens: number_at(&domain.get("aim-us-per-1000-prompt-tokens"), index, 0.0)?,
+            tpot_target: number_at(&domain.get("token-aim-us"), index, 0.0)?,
             worth: class.get("worth").number(1.0)?,
             late_worth: class.get("late-value").number(0.0)?,
         });
@@ -232,19 +232,19 @@
         });
     }
     Ok(Settings {
-        me: root.get("me").integer_u32(0)?,
+        front_number: root.get("me").integer_u32(0)?,
         zone: root.get("zone").integer_u32(0)?,
-        fronts: root.get("n-instances").integer_u32(1)?.max(1),
+        front_count: root.get("n-instances").integer_u32(1)?.max(1),
         tick: root.get("tick-us").integer(0)?,
         classes,
         tenants,
-        over_share_worth: root.get("over-share-worth").number(1.0)?,
+        over_quota_worth: root.get("over-share-worth").number(1.0)?,
         roles,
         kv_tokens,
-        writers_read: domain.get("self-prefill").boolean()?,
-        places_ahead: domain.get("holds-allowed").boolean()?,
-        resume: domain.get("resume").boolean()?,
-        let_go_by: domain.get("let-go-by-us").integer(0)?,
+        writers_may_read: domain.get("self-prefill").boolean()?,
+        may_reserve_places: domain.get("holds-allowed").boolean()?,
+        may_resume: domain.get("resume").boolean()?,
+        release_time_limit: domain.get("let-go-by-us").integer(0)?,
         discovery: match root.get("discovery").string()? {
             "" | "automatic" => Discovery::Pushed,
             "subscribe" => Discovery::Asked,
@@ -256,15 +256,15 @@
         may_probe: limits.get("probes").boolean()?,
         may_advise: limits.get("retry-after").boolean()?,
         may_duplicate: limits.get("may-duplicate").boolean()?,
-        most_tries: limits.get("most-tries").integer_u32(1)?,
+        max_attempts: limits.get("most-tries").integer_u32(1)?,
         connect_timeout: limits.get("connect-timeout-us").integer(0)?,
         max_retry_after: limits.get("max-retry-after-us").integer(0)?,
         answer_slack: rules.get("answer-slack-us").integer(0)?,
-        ask_within: rules.get("ask-within-us").integer(0)?,
+        resubscribe_within: rules.get("ask-within-us").integer(0)?,
         drain_grace: rules.get("drain-grace-us").integer(0)?,
-        cold_from: rules.get("cold-from").number(1.0)?,
-        cold_for: rules.get("cold-us").integer(0)?,
-        fall_multiple: rules.get("fall-multiple").number(f64::MAX)?,
-        tip_after: rules.get("tip-after-us").integer(0)?,
+        cold_start_share: rules.get("cold-from").number(1.0)?,
+        cold_duration: rules.get("cold-us").integer(0)?,
+        overload_multiple: rules.get("fall-multiple").number(f64::MAX)?,
+        overload_window: rules.get("tip-after-us").integer(0)?,
     })
 }
--- a/tests/invariance.rs
+++ b/tests/invariance.rs
@@ -36,72 +36,72 @@
         let f = self.factor;
         let class = |repeat, aim: Time, worth| Class {
             repeat,
-            ttft_aim: aim * f,
-            ttft_aim_per_1000: 40.0 * (MS * f) as f64,
-            tpot_aim: 60.0 * (MS * f) as f64,
+            ttft_target: aim * f,
+            ttft_target_per_1000_tokens: 40.0 * (MS * f) as f64,
+            tpot_target: 60.0 * (MS * f) as f64,
             worth,
             late_worth: 0.1,
         };
-        let keyed = Repeat::Keyed { group: Group::Zone, memory: 5_000 * MS * f };
+        let keyed = RepeatPolicy::Keyed { group: RepeatGroup::Zone, memory: 5_000 * MS * f };
         let classes = vec![
-            class(Repeat::Safe, 1_200 * MS, 1.0),
-            class(Repeat::Unsafe, 2_000 * MS, 5.0),
+            class(RepeatPolicy::Safe, 1_200 * MS, 1.0),
+            class(RepeatPolicy::Unsafe, 2_000 * MS, 5.0),
             class(keyed, 1_600 * MS, 2.0),
         ];
         let quota = |per_s: f64| Tenant { quota_per_s: per_s / f as f64 };
         Settings {
-            me: 3,
-            fronts: 40,
+            front_number: 3,
+            front_count: 40,
             tick: 2 * MS * f,
             classes: self.order(classes),
             tenants: self.order(vec![quota(self.quota), quota(800.0), quota(900.0)]),
-            over_share_worth: 0.1,
+            over_quota_worth: 0.1,
             roles: self.order(vec![Role::Prefill, Role::Decode, Role::Mixed]),
             kv_tokens: self.order(vec![200_000.0, 60_000.0, 90_000.0]),
-            writers_read: true,
-            let_go_by: 300 * MS * f,
+            writers_may_read: true,
+            release_time_limit: 300 * MS * f,
             report_fields: vec![ReportField::MemoryShare, ReportField::PendingThousands],
             may_cancel: true,
             may_probe: true,
             may_advise: true,
-            most_tries: 4,
+            max_attempts: 4,
             connect_timeout: 250 * MS * f,
             max_retry_after: 500 * MS * f,
             answer_slack: 8 * MS * f,
-            ask_within: 10_000 * MS * f,
+            resubscribe_within: 10_000 * MS * f,
             drain_grace: 2_000 * MS * f,
-            cold_from: 0.3,
-            cold_for: 8_000 * MS * f,
-            fall_multiple: 4.0,
-            tip_after: 2_000 * MS * f,
+            cold_start_share: 0.3,
+            cold_duration: 8_000 * MS * f,
+            overload_multiple: 4.0,
+            overload_window: 2_000 * MS * f,
             ..Settings::default()
         }
     }
 
     /// Six readers, four writers and two mixed servers in three cells, each cell in a zone of its own.
-    fn entry(self, name: &str, listed: Listed, ready_at: Time) -> Entry {
+    fn entry(self, name: &str, listed: ServerStatus, ready_at: Time) -> ServerEntry {
         let kind = ["r", "w", "m"].iter().position(|kind| name.starts_with(kind)).unwrap();
         let cell = name[1..2].parse::<usize>().unwrap();
         let (kind, cell) = (self.position(kind, 3), self.position(cell, 3) as u32);
-        Entry { server: ServerId(name.into()), listed, kind, zone: cell, cell, weight: 1.0, ready_at }
+        ServerEntry { server: ServerId(name.into()), listed, kind, zone: cell, cell, weight: 1.0, ready_at }
     }
 
     fn arrival(self, n: u32) -> Arrival {
-        let key = |text: String| Some(TextKey(text.as_str().into()));
+        let key = |text: String| Some(CacheKey(text.as_str().into()));
         let prompt = 400.0 + f64::from(n * 7_919 % 5_000);
         Arrival {
-            id: ReqId(n),
+            id: RequestId(n),
             class: self.position(n as usize % 3, 3),
             tenant: self.position(n as usize / 2 % 3, 3),
             session: key(format!("talk{}", n / 4)).filter(|_| !n.is_multiple_of(5)),
             prefix: key(format!("text{}", n % 7)).filter(|_| !n.is_multiple_of(3)),
             time_left: (2_000 + Time::from(n % 4) * 1_000) * MS * self.factor,
-            hint: 0,
-            prompt,
-            shared: 0.6 * prompt,
-            max_out: 300.0,
-            repeat: false,
-            returned: false,
+            output_time_hint: 0,
+            prompt_tokens: prompt,
+            shared_tokens: 0.6 * prompt,
+            max_output_tokens: 300.0,
+            is_repeat: false,
+            is_resumed: false,
         }
     }
 }
@@ -126,9 +126,9 @@
         self.queue.insert((now + span * self.variant.factor, self.next_order), event);
     }
 
-    fn send(&mut self, now: Time, id: ReqId, server: ServerId, timeout: Time) {
+    fn send(&mut self, now: Time, id: RequestId, server: ServerId, timeout: Time) {
         let attempt = *self.attempts.entry(id.0).and_modify(|attempts| *attempts += 1).or_insert(0);
-        let prompt = self.variant.arrival(id.0).prompt;
+        let prompt = self.variant.arrival(id.0).prompt_tokens;
         let here = self.prompts_by_server.entry(server.clone()).or_default();
         here.insert(id.0, prompt);
         let waiting: f64 = here.values().sum();
@@ -141,7 +141,7 @@
             server: server.clone(),
             outcome,
             took: 0,
-            settled,
+            is_settled: settled,
             note: 0,
             load: None,
         };
@@ -191,7 +191,7 @@
 /// Runs one simulated day and returns the log of events and actions, with times divided by the factor.
 fn run_day(variant: Variant) -> Vec<String> {
     let names = ["r0a", "r0b", "r1a", "r1b", "r2a", "r2b", "w0a", "w0b", "w1a", "w2a", "m1b", "m2b"];
-    let entries = |names: &[&str]| names.iter().map(|n| variant.entry(n, Listed::Running, 0)).collect();
+    let entries = |names: &[&str]| names.iter().map(|n| variant.entry(n, ServerStatus::Running, 0)).collect();
     let mut simulation = Simulation {
         variant,
         router: Router::new(variant.settings(), 5),
@@ -208,8 +208,10 @@
         simulation.schedule(start, Time::from(n) * 17 * MS + 1, Event::Arrived(variant.arrival(n)));
     }
     let started = start + 5_000 * MS * variant.factor;
-    let changes =
-        vec![variant.entry("r2b", Listed::Draining, 0), variant.entry("r2c", Listed::Running, started)];
+    let changes = vec![
+        variant.entry("r2b", ServerStatus::Draining, 0),
+        variant.entry("r2c", ServerStatus::Running, started),
+    ];
     simulation.schedule(start, 5_100 * MS, Event::Servers { mode: ListMode::Changes, entries: changes });
     let mut out = Vec::new();
     while let Some(((now, _), event)) = simulation.queue.pop_first() {
