--- a/tests/module.rs
+++ b/tests/module.rs
@@ -17,30 +17,30 @@
 
 /// Names encode kind and cell: `r` is a reader, `w` a writer, `m` a mixed server; the digit after it is the
 /// cell.
-fn entry(name: &str, listed: Listed, ready_at: Time) -> Entry {
+fn entry(name: &str, listed: ServerStatus, ready_at: Time) -> ServerEntry {
     let kind = match &name[..1] {
         "r" => 0,
         "w" => 1,
         _ => 2,
     };
     let cell = name[1..2].parse().unwrap();
-    Entry { server: server(name), listed, kind, zone: cell, cell, weight: 1.0, ready_at }
+    ServerEntry { server: server(name), listed, kind, zone: cell, cell, weight: 1.0, ready_at }
 }
 
 fn arrival(id: u32, prompt: f64) -> Arrival {
     Arrival {
-        id: ReqId(id),
+        id: RequestId(id),
         class: 0,
         tenant: 0,
         session: None,
         prefix: None,
         time_left: 6_000 * MS,
-        hint: 0,
-        prompt,
-        shared: 0.0,
-        max_out: 200.0,
-        repeat: false,
-        returned: false,
+        output_time_hint: 0,
+        prompt_tokens: prompt,
+        shared_tokens: 0.0,
+        max_output_tokens: 200.0,
+        is_repeat: false,
+        is_resumed: false,
     }
 }
 
@@ -48,7 +48,10 @@
     fn with(settings: Settings, names: &[&str]) -> Harness {
         let mut harness =
             Harness { router: Router::new(settings, 5), now: 1_000_000_000, actions: Vec::new() };
-        harness.update_list(ListMode::Restored, names.iter().map(|n| entry(n, Listed::Running, 0)).collect());
+        harness.update_list(
+            ListMode::Restored,
+            names.iter().map(|n| entry(n, ServerStatus::Running, 0)).collect(),
+        );
         harness
     }
 
@@ -67,7 +70,7 @@
             .collect()
     }
 
-    fn update_list(&mut self, mode: ListMode, entries: Vec<Entry>) -> Vec<Action> {
+    fn update_list(&mut self, mode: ListMode, entries: Vec<ServerEntry>) -> Vec<Action> {
         self.handle(Event::Servers { mode, entries })
     }
 
@@ -77,12 +80,21 @@
 
     fn end_attempt(&mut self, id: u32, attempt: u32, at: &str, outcome: Outcome, note: u64) -> Vec<Action> {
         let settled = outcome == Outcome::Served;
-        let (id, server) = (ReqId(id), server(at));
-        self.handle(Event::Ended { id, attempt, server, outcome, took: 0, settled, note, load: None })
+        let (id, server) = (RequestId(id), server(at));
+        self.handle(Event::Ended {
+            id,
+            attempt,
+            server,
+            outcome,
+            took: 0,
+            is_settled: settled,
+            note,
+            load: None,
+        })
     }
 
     fn first_token(&mut self, id: u32, attempt: u32, at: &str) -> Vec<Action> {
-        self.handle(Event::Streaming { id: ReqId(id), attempt, server: server(at), took: 0 })
+        self.handle(Event::Streaming { id: RequestId(id), attempt, server: server(at), took: 0 })
     }
 
     /// Advances the clock in sweep steps and returns all actions.
@@ -128,7 +140,7 @@
     actions.iter().filter(is_final).count()
 }
 
-fn settings_with_repeat(repeat: Repeat) -> Settings {
+fn settings_with_repeat(repeat: RepeatPolicy) -> Settings {
     let mut settings = example_settings();
     settings.classes[0].repeat = repeat;
     settings
@@ -180,7 +192,7 @@
     harness.first_token(1, 0, "w1");
     harness.now += 10 * MS;
     assert_eq!(sent_to(&harness.arrive(2, 1_000.0)), None, "a stream that has just begun has no slack");
-    harness.handle(Event::ClientGone { id: ReqId(2) });
+    harness.handle(Event::ClientGone { id: RequestId(2) });
     harness.now += 4_000 * MS;
     assert_eq!(sent_to(&harness.arrive(3, 1_000.0)).as_deref(), Some("w1"));
 }
@@ -188,7 +200,7 @@
 #[test]
 fn rule_3_needs_a_mixed_server_if_writers_cannot_read() {
     let mut settings = example_settings();
-    settings.writers_read = false;
+    settings.writers_may_read = false;
     assert_eq!(sent_to(&Harness::with(settings.clone(), &["w1"]).arrive(1, 1_000.0)), None);
     assert_eq!(sent_to(&Harness::with(settings, &["m1", "w1"]).arrive(1, 1_000.0)).as_deref(), Some("m1"));
 }
@@ -267,7 +279,7 @@
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     harness.end_attempt(1, 0, &reader, Outcome::Read, 0);
     let done = harness.end_attempt(1, 1, "w1", Outcome::Full, 1);
-    assert!(done.contains(&Action::Release { id: ReqId(1) }), "{done:?}");
+    assert!(done.contains(&Action::Release { id: RequestId(1) }), "{done:?}");
     assert_eq!(sent_to(&done).as_deref(), Some("r1"));
 }
 
@@ -286,7 +298,7 @@
     for attempt in 1..3 {
         harness.now += settings.connect_timeout;
         let done = harness.end_attempt(1, attempt, &writer, Outcome::NoConnection, 0);
-        let release = done.iter().position(|action| *action == Action::Release { id: ReqId(1) });
+        let release = done.iter().position(|action| *action == Action::Release { id: RequestId(1) });
         let send = done.iter().position(|action| matches!(action, Action::Send { .. }));
         released = released.or(release.map(|_| harness.now));
         assert!(release.is_none_or(|at| send.is_none_or(|send| at < send)), "{done:?}");
@@ -294,14 +306,14 @@
         writer = next;
     }
     let waited = released.expect("the KV state is released") - read;
-    assert!(waited <= 2 * settings.connect_timeout && waited > settings.let_go_by, "{waited} us");
+    assert!(waited <= 2 * settings.connect_timeout && waited > settings.release_time_limit, "{waited} us");
     // An attempt that reached its server restarts the release clock.
     let mut harness = Harness::new(&["r1", "w1a", "w1b", "w1c"]);
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     let writer = sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)).unwrap();
-    harness.now += settings.let_go_by + MS;
+    harness.now += settings.release_time_limit + MS;
     let done = harness.end_attempt(1, 1, &writer, Outcome::Full, 0);
-    assert!(sent_to(&done).is_some() && !done.contains(&Action::Release { id: ReqId(1) }), "{done:?}");
+    assert!(sent_to(&done).is_some() && !done.contains(&Action::Release { id: RequestId(1) }), "{done:?}");
 }
 
 // ---- The five rules ----
@@ -335,15 +347,15 @@
 fn held_requests_with_fewer_uncached_tokens_go_first() {
     let mut harness = Harness::new(&["r1", "w1"]);
     let of_session =
-        |id, session: &str| Arrival { session: Some(TextKey(session.into())), ..arrival(id, 4_000.0) };
+        |id, session: &str| Arrival { session: Some(CacheKey(session.into())), ..arrival(id, 4_000.0) };
     harness.handle(Event::Arrived(of_session(1, "known")));
     harness.end_attempt(1, 0, "r1", Outcome::Read, 0);
     harness.end_attempt(1, 1, "w1", Outcome::Served, 0);
-    harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Draining, 0)]);
+    harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Draining, 0)]);
     assert_eq!(sent_to(&harness.handle(Event::Arrived(of_session(2, "new")))), None);
     assert_eq!(sent_to(&harness.handle(Event::Arrived(of_session(3, "known")))), None);
-    let done = harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Running, 0)]);
-    assert!(matches!(&done[0], Action::Send { id: ReqId(3), .. }), "{done:?}");
+    let done = harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Running, 0)]);
+    assert!(matches!(&done[0], Action::Send { id: RequestId(3), .. }), "{done:?}");
 }
 
 #[test]
@@ -358,7 +370,7 @@
         let idle = Event::Probed { server: server("r1"), outcome, took: 0, load: Some(vec![0.0, 0.0]) };
         harness.handle(idle);
         let sent = sent_to(&harness.arrive(id, 1_000.0));
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         sent
     };
     assert_eq!(report(vec![0.5, 20.0], 1), None);
@@ -380,19 +392,19 @@
     for (outcome, fails) in
         [(Outcome::Error, true), (Outcome::Broken, true), (Outcome::TimedOut, true), (Outcome::Full, false)]
     {
-        let mut harness = Harness::with(settings_with_repeat(Repeat::Unsafe), &["r1", "w1a", "w1b"]);
+        let mut harness = Harness::with(settings_with_repeat(RepeatPolicy::Unsafe), &["r1", "w1a", "w1b"]);
         let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
         let writer = sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)).unwrap();
         let done = harness.end_attempt(1, 1, &writer, outcome, 0);
-        assert_eq!(done.contains(&Action::Fail { id: ReqId(1) }), fails, "{outcome:?} {done:?}");
+        assert_eq!(done.contains(&Action::Fail { id: RequestId(1) }), fails, "{outcome:?} {done:?}");
         assert_eq!(sent_to(&done).is_none(), fails, "{outcome:?} {done:?}");
-        assert_eq!(done.contains(&Action::Release { id: ReqId(1) }), fails, "{outcome:?} {done:?}");
+        assert_eq!(done.contains(&Action::Release { id: RequestId(1) }), fails, "{outcome:?} {done:?}");
     }
 }
 
 #[test]
 fn an_unsafe_request_is_sent_to_a_writer_with_its_whole_remaining_time() {
-    let mut harness = Harness::with(settings_with_repeat(Repeat::Unsafe), &["r1", "w1"]);
+    let mut harness = Harness::with(settings_with_repeat(RepeatPolicy::Unsafe), &["r1", "w1"]);
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     let done = harness.end_attempt(1, 0, &reader, Outcome::Read, 0);
     assert!(
@@ -403,19 +415,21 @@
 
 #[test]
 fn a_failed_read_counts_as_no_effect() {
-    let mut harness = Harness::with(settings_with_repeat(Repeat::Unsafe), &["r1", "r2", "w1"]);
+    let mut harness = Harness::with(settings_with_repeat(RepeatPolicy::Unsafe), &["r1", "r2", "w1"]);
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     assert!(sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Error, 0)).is_some());
 }
 
 #[test]
 fn a_keyed_request_is_repeated_only_in_its_group_and_within_the_memory() {
-    for (group, second) in [(Group::All, Some("w2")), (Group::Zone, None), (Group::Cell, None)] {
-        let settings = settings_with_repeat(Repeat::Keyed { group, memory: 3_000 * MS });
+    for (group, second) in
+        [(RepeatGroup::All, Some("w2")), (RepeatGroup::Zone, None), (RepeatGroup::Cell, None)]
+    {
+        let settings = settings_with_repeat(RepeatPolicy::Keyed { group, memory: 3_000 * MS });
         let mut harness = Harness::with(settings.clone(), &["r1", "w1", "w2"]);
         let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
         assert_eq!(sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)).as_deref(), Some("w1"));
-        harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Draining, 0)]);
+        harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Draining, 0)]);
         let done = harness.end_attempt(1, 1, "w1", Outcome::Error, 0);
         assert_eq!(sent_to(&done).as_deref(), second, "{group:?}");
 
@@ -427,7 +441,7 @@
         assert_eq!(sent_to(&done), None, "{group:?}: the memory for repeats has nearly expired");
         assert_eq!(final_answers(&done, 1), 1, "{group:?}");
         let refused = done.iter().any(|a| matches!(a, Action::Refuse { .. }));
-        assert_eq!(refused, group == Group::All, "{group:?} {done:?}");
+        assert_eq!(refused, group == RepeatGroup::All, "{group:?} {done:?}");
     }
 }
 
@@ -436,9 +450,9 @@
     for mode in [ListMode::Changes, ListMode::Full] {
         let mut harness = Harness::new(&["r1", "r2", "w1"]);
         let entries = if mode == ListMode::Changes {
-            vec![entry("r1", Listed::Draining, 0)]
+            vec![entry("r1", ServerStatus::Draining, 0)]
         } else {
-            vec![entry("r2", Listed::Running, 0), entry("w1", Listed::Running, 0)]
+            vec![entry("r2", ServerStatus::Running, 0), entry("w1", ServerStatus::Running, 0)]
         };
         harness.update_list(mode, entries);
         for id in 1..6 {
@@ -451,7 +465,7 @@
 fn a_cold_server_gets_at_most_its_share() {
     let mut harness = Harness::new(&["r1a", "w1"]);
     let started = harness.now;
-    harness.update_list(ListMode::Changes, vec![entry("r1b", Listed::Running, started)]);
+    harness.update_list(ListMode::Changes, vec![entry("r1b", ServerStatus::Running, started)]);
     let (mut warm, mut cold) = (0, 0);
     for id in 0..30 {
         let reader = sent_to(&harness.arrive(id, 100.0)).unwrap();
@@ -476,20 +490,20 @@
 fn a_kv_state_that_no_writer_takes_is_released_in_time() {
     let mut harness = Harness::new(&["r1", "w1"]);
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
-    harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Draining, 0)]);
+    harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Draining, 0)]);
     assert_eq!(sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)), None);
     let done = harness.advance(280 * MS);
-    assert!(done.contains(&Action::Release { id: ReqId(1) }), "{done:?}");
+    assert!(done.contains(&Action::Release { id: RequestId(1) }), "{done:?}");
 }
 
 #[test]
 fn a_kv_state_is_released_if_the_client_disconnected_during_the_read() {
     let mut harness = Harness::new(&["r1", "w1"]);
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
-    let done = harness.handle(Event::ClientGone { id: ReqId(1) });
-    assert!(done.contains(&Action::Cancel { id: ReqId(1), attempt: 0 }), "{done:?}");
+    let done = harness.handle(Event::ClientGone { id: RequestId(1) });
+    assert!(done.contains(&Action::Cancel { id: RequestId(1), attempt: 0 }), "{done:?}");
     let done = harness.end_attempt(1, 0, &reader, Outcome::Read, 0);
-    assert_eq!(done, [Action::Release { id: ReqId(1) }]);
+    assert_eq!(done, [Action::Release { id: RequestId(1) }]);
 }
 
 #[test]
@@ -535,7 +549,7 @@
             actions = harness.end_attempt(id, attempt, &at, Outcome::Read, 0);
             attempt += 1;
         }
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         harness.end_attempt(id, attempt, "w1", Outcome::Cancelled, 0);
     }
     assert!((1..=5).contains(&to_hanging), "{to_hanging} of 39 went to the hanging reader");
@@ -591,7 +605,7 @@
         harness.end_attempt(id, 1, "w1", Outcome::Served, 0);
     }
     let started = harness.now;
-    let entries = vec![entry("r1a", Listed::Gone, 0), entry("r1b", Listed::Running, started)];
+    let entries = vec![entry("r1a", ServerStatus::Gone, 0), entry("r1b", ServerStatus::Running, started)];
     harness.update_list(ListMode::Changes, entries);
     let mut reads = 0;
     for id in 100..130 {
@@ -608,7 +622,7 @@
 #[test]
 fn an_answer_far_longer_than_its_hint_does_not_exclude_empty_writers() {
     let mut harness = Harness::new(&["r1", "w1"]);
-    harness.handle(Event::Arrived(Arrival { hint: 60 * MS, ..arrival(1, 1_000.0) }));
+    harness.handle(Event::Arrived(Arrival { output_time_hint: 60 * MS, ..arrival(1, 1_000.0) }));
     harness.end_attempt(1, 0, "r1", Outcome::Read, 0);
     harness.first_token(1, 1, "w1");
     harness.now += 2_000 * MS;
@@ -625,7 +639,7 @@
         let far = sent_to(&harness.end_attempt(id, 0, "r1", Outcome::Read, 0)).unwrap();
         harness.now += 2_000 * MS;
         harness.end_attempt(id, 1, &far, Outcome::TimedOut, 0);
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         for at in ["w2a", "w2b"] {
             harness.end_attempt(id, 2, at, Outcome::Cancelled, 0);
         }
@@ -633,7 +647,7 @@
     }
     // The local writer holds many tokens. Without the congested link the empty remote writer, which failed
     // nothing, would be chosen.
-    let new_entries = ["w1", "w3"].map(|name| entry(name, Listed::Running, 0));
+    let new_entries = ["w1", "w3"].map(|name| entry(name, ServerStatus::Running, 0));
     harness.update_list(ListMode::Changes, vec![new_entries[0].clone()]);
     harness.arrive(50, 80_000.0);
     assert_eq!(sent_to(&harness.end_attempt(50, 0, "r1", Outcome::Read, 0)).as_deref(), Some("w1"));
@@ -647,15 +661,15 @@
 fn sixty_fronts_use_a_cold_server_within_its_limit() {
     let (mut cold, mut warm) = (0, 0);
     for seed in 0..60u64 {
-        let settings = Settings { fronts: 60, ..example_settings() };
+        let settings = Settings { front_count: 60, ..example_settings() };
         let mut harness = Harness {
             router: Router::new(settings, seed * 977 + 3),
             now: 1_000_000_000,
             actions: Vec::new(),
         };
-        let names = ["r1a", "r1b", "r1c", "r1d", "w1"].map(|name| entry(name, Listed::Running, 0));
+        let names = ["r1a", "r1b", "r1c", "r1d", "w1"].map(|name| entry(name, ServerStatus::Running, 0));
         harness.update_list(ListMode::Restored, names.to_vec());
-        harness.update_list(ListMode::Changes, vec![entry("r1e", Listed::Running, harness.now)]);
+        harness.update_list(ListMode::Changes, vec![entry("r1e", ServerStatus::Running, harness.now)]);
         // Two requests per front within the window of the rule.
         for turn in 0..2 {
             let id = (seed * 40_503 + turn * 7_919) as u32;
@@ -676,13 +690,13 @@
 fn sixty_new_fronts_do_not_all_choose_the_same_writer() {
     let mut taken = std::collections::BTreeMap::new();
     for seed in 0..60u64 {
-        let settings = Settings { fronts: 60, ..example_settings() };
+        let settings = Settings { front_count: 60, ..example_settings() };
         let mut harness = Harness {
             router: Router::new(settings, seed * 977 + 3),
             now: 1_000_000_000,
             actions: Vec::new(),
         };
-        let names = ["r1", "w1a", "w1b", "w1c", "w1d"].map(|name| entry(name, Listed::Running, 0));
+        let names = ["r1", "w1a", "w1b", "w1c", "w1d"].map(|name| entry(name, ServerStatus::Running, 0));
         harness.update_list(ListMode::Restored, names.to_vec());
         harness.arrive(1, 1_000.0);
         let writer = sent_to(&harness.end_attempt(1, 0, "r1", Outcome::Read, 0)).unwrap();
@@ -702,7 +716,7 @@
         let at = sent_to(&harness.handle(of_class(id, 1))).unwrap();
         harness.now += 50 * MS;
         harness.end_attempt(id, 0, &at, Outcome::Read, 0);
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         for writer in ["w1", "w2"] {
             harness.end_attempt(id, 1, writer, Outcome::Cancelled, 0);
         }
@@ -710,20 +724,20 @@
     let failing = sent_to(&harness.handle(of_class(20, 0))).unwrap();
     harness.now += 600 * MS;
     harness.end_attempt(20, 0, &failing, Outcome::TimedOut, 0);
-    harness.handle(Event::ClientGone { id: ReqId(20) });
+    harness.handle(Event::ClientGone { id: RequestId(20) });
     for at in ["r1", "r2"] {
         harness.end_attempt(20, 1, at, Outcome::Cancelled, 0);
     }
     let other = sent_to(&harness.handle(of_class(21, 0))).unwrap();
     assert_ne!(other, failing, "class 0 avoids the failing reader");
-    harness.handle(Event::ClientGone { id: ReqId(21) });
+    harness.handle(Event::ClientGone { id: RequestId(21) });
     harness.end_attempt(21, 0, &other, Outcome::Cancelled, 0);
     // An answer to class 1 after the failure clears the server for that class only.
     let again = (30..60).any(|id| {
         harness.now += 700 * MS;
         let at = sent_to(&harness.handle(of_class(id, 1))).unwrap();
         harness.end_attempt(id, 0, &at, Outcome::Read, 0);
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         for writer in ["w1", "w2"] {
             harness.end_attempt(id, 1, writer, Outcome::Cancelled, 0);
         }
@@ -736,7 +750,7 @@
 fn a_reader_that_reports_waiting_work_is_skipped_for_an_idle_one() {
     let mut settings = example_settings();
     (settings.report_fields, settings.may_probe) = (vec![ReportField::PendingThousands], true);
-    settings.fronts = 100;
+    settings.front_count = 100;
     let mut harness = Harness::with(settings, &["r1a", "r1b", "w1"]);
     harness.arrive(1, 1_000.0);
     let probed_server = |actions: &[Action]| {
@@ -763,11 +777,11 @@
     let mut harness = Harness::new(&["r1", "w2"]);
     harness.arrive(1, 1_000.0);
     assert_eq!(sent_to(&harness.end_attempt(1, 0, "r1", Outcome::Read, 0)).as_deref(), Some("w2"));
-    harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Running, 0)]);
+    harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Running, 0)]);
     harness.arrive(2, 80_000.0);
     assert_eq!(sent_to(&harness.end_attempt(2, 0, "r1", Outcome::Read, 0)).as_deref(), Some("w1"));
     harness.first_token(2, 1, "w1");
-    harness.update_list(ListMode::Changes, vec![entry("w3", Listed::Running, 0)]);
+    harness.update_list(ListMode::Changes, vec![entry("w3", ServerStatus::Running, 0)]);
     // The first KV state has waited longer than the TTFT target of the next request; the empty w3 is behind
     // the same link.
     harness.now += 1_500 * MS;
@@ -780,10 +794,12 @@
 /// One of 60 fronts, at servers that report memory and waiting work when probed.
 fn front_of_sixty(me: u32, names: &[&str]) -> Harness {
     let report_fields = vec![ReportField::MemoryShare, ReportField::PendingThousands];
-    let settings = Settings { me, fronts: 60, may_probe: true, report_fields, ..example_settings() };
+    let settings =
+        Settings { front_number: me, front_count: 60, may_probe: true, report_fields, ..example_settings() };
     let router = Router::new(settings, u64::from(me) * 977 + 3);
     let mut harness = Harness { router, now: 1_000_000_000, actions: Vec::new() };
-    harness.update_list(ListMode::Restored, names.iter().map(|n| entry(n, Listed::Running, 0)).collect());
+    harness
+        .update_list(ListMode::Restored, names.iter().map(|n| entry(n, ServerStatus::Running, 0)).collect());
     harness
 }
 
@@ -802,9 +818,9 @@
         prefix: Option<&str>,
         prompt: f64,
     ) -> Vec<Action> {
-        let key = |text: &str| Some(TextKey(text.into()));
+        let key = |text: &str| Some(CacheKey(text.into()));
         let (session, prefix, shared) = (key(&session), prefix.and_then(key), 0.8 * prompt);
-        self.handle(Event::Arrived(Arrival { session, prefix, shared, ..arrival(id, prompt) }))
+        self.handle(Event::Arrived(Arrival { session, prefix, shared_tokens: shared, ..arrival(id, prompt) }))
     }
 }
 
@@ -875,12 +891,13 @@
     harness.arrive_with_texts(2, "next".into(), Some("shared"), 4_000.0);
     harness.end_attempt(2, 0, "r1", Outcome::Read, 3_100);
     harness.end_attempt(2, 1, "w1", Outcome::Served, 0);
-    harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Draining, 0)]);
-    let text = |id, session: &str| Arrival { session: Some(TextKey(session.into())), ..arrival(id, 4_000.0) };
+    harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Draining, 0)]);
+    let text =
+        |id, session: &str| Arrival { session: Some(CacheKey(session.into())), ..arrival(id, 4_000.0) };
     harness.handle(Event::Arrived(text(3, "new")));
     harness.handle(Event::Arrived(text(4, "known")));
-    let done = harness.update_list(ListMode::Changes, vec![entry("w1", Listed::Running, 0)]);
-    assert!(matches!(&done[0], Action::Send { id: ReqId(4), .. }), "{done:?}");
+    let done = harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Running, 0)]);
+    assert!(matches!(&done[0], Action::Send { id: RequestId(4), .. }), "{done:?}");
 }
 
 /// Each front sent its own first combined attempt to a writer: sixty at once overloaded it.
@@ -928,14 +945,14 @@
         })
     };
     let before = timeout(&harness.arrive(1, 1_000.0)).unwrap();
-    harness.handle(Event::ClientGone { id: ReqId(1) });
+    harness.handle(Event::ClientGone { id: RequestId(1) });
     for at in ["r1", "r2"] {
         harness.end_attempt(1, 0, at, Outcome::Cancelled, 0);
     }
     for id in 10..12 {
         let reader = sent_to(&harness.arrive(id, 1_000.0)).unwrap();
         harness.now += 900 * MS;
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         harness.end_attempt(id, 0, &reader, Outcome::TimedOut, 0);
         harness.now += 9_000 * MS;
     }
@@ -966,7 +983,7 @@
         harness.report_load("w1", 0.1, 0.0);
         let sent = sent_to(&harness.arrive(id, 1_000.0)).is_some_and(|at| at == "r1");
         assert_eq!(sent, is_expected, "{thousands}");
-        harness.handle(Event::ClientGone { id: ReqId(id) });
+        harness.handle(Event::ClientGone { id: RequestId(id) });
         for at in ["r1", "w1"] {
             harness.end_attempt(id, 0, at, Outcome::Cancelled, 0);
         }
@@ -993,12 +1010,15 @@
 #[test]
 fn a_front_that_shuts_down_moves_the_streams_it_would_cut() {
     for resume in [true, false] {
-        let mut harness = Harness::with(Settings { resume, ..example_settings() }, &["r1", "w1", "w2"]);
+        let mut harness =
+            Harness::with(Settings { may_resume: resume, ..example_settings() }, &["r1", "w1", "w2"]);
         for id in 1..=8 {
             // Tokens times the TPOT target of 60 ms: about 6 s and about 300 ms at the nominal pace.
             let hint = if id <= 6 { 10_000 * MS } else { 500 * MS };
-            let reader =
-                sent_to(&harness.handle(Event::Arrived(Arrival { hint, ..arrival(id, 800.0) }))).unwrap();
+            let reader = sent_to(
+                &harness.handle(Event::Arrived(Arrival { output_time_hint: hint, ..arrival(id, 800.0) })),
+            )
+            .unwrap();
             harness.now += 10 * MS;
             let writer = sent_to(&harness.end_attempt(id, 0, &reader, Outcome::Read, 0)).unwrap();
             harness.first_token(id, 1, &writer);
@@ -1055,7 +1075,7 @@
         let mut harness = Harness::new(&["r1", "r2", "w1"]);
         let reader = sent_to(&harness.arrive(1, 800.0)).unwrap();
         let actions = harness.end_attempt(1, 0, &reader, outcome, 0);
-        assert_eq!(actions.first(), Some(&Action::Release { id: ReqId(1) }), "{outcome:?}");
+        assert_eq!(actions.first(), Some(&Action::Release { id: RequestId(1) }), "{outcome:?}");
     }
 }
 
@@ -1088,9 +1108,9 @@
     let mut harness = Harness::new(&["r1", "w1"]);
     harness.learn_latencies();
     assert_eq!(sent_to(&harness.arrive(1, 800.0)).as_deref(), Some("r1"));
-    harness.router.adopt(Settings {
-        writers_read: false,
-        most_tries: 1,
+    harness.router.update_settings(Settings {
+        writers_may_read: false,
+        max_attempts: 1,
         roles: vec![Role::Decode; 3],
         ..example_settings()
     });
@@ -1138,7 +1158,7 @@
     };
     let (mut harness, names) = sparse_front(0);
     names.iter().for_each(|name| drop(harness.report_load(name, 0.1, 0.0)));
-    let aim = example_settings().classes[0].ttft_aim;
+    let aim = example_settings().classes[0].ttft_target;
     assert!(timeout(&mut harness).unwrap() >= aim);
     let mut busy = Harness::new(&["r1", "r2", "w1"]);
     busy.learn_latencies();
@@ -1152,7 +1172,7 @@
     for me in 0..40 {
         let (mut harness, mut names) = sparse_front(me);
         names.push("r1new".into());
-        harness.update_list(ListMode::Changes, vec![entry("r1new", Listed::Running, harness.now)]);
+        harness.update_list(ListMode::Changes, vec![entry("r1new", ServerStatus::Running, harness.now)]);
         for id in 0..12 {
             let id = me * 1_000 + id;
             let reader = harness.arrive_with_idle_servers(&names, id, format!("s{id}")).unwrap();
@@ -1211,7 +1231,7 @@
     for me in 0..350 {
         let mut harness = front_of_sixty(me, &[]);
         let start = |name: &String| if name.starts_with('r') { harness.now - 1_000 * MS } else { 0 };
-        let entries = names.iter().map(|name| entry(name, Listed::Running, start(name))).collect();
+        let entries = names.iter().map(|name| entry(name, ServerStatus::Running, start(name))).collect();
         harness.update_list(ListMode::Full, entries);
         let reader = harness.arrive_with_idle_servers(&names, me, format!("s{me}"));
         (all, one) = (all + 1, one + u32::from(reader.as_deref() == Some("r17")));
@@ -1230,7 +1250,7 @@
     let (mut cold, mut all) = (0, 0);
     for me in 0..40 {
         let mut harness = front_of_sixty(me, &names.iter().map(String::as_str).collect::<Vec<_>>());
-        harness.update_list(ListMode::Changes, vec![entry("w1new", Listed::Running, harness.now)]);
+        harness.update_list(ListMode::Changes, vec![entry("w1new", ServerStatus::Running, harness.now)]);
         for n in 0..24 {
             let id = me * 1_000 + n;
             let reader = harness.arrive_with_idle_servers(&names, id, format!("s{id}")).unwrap();
@@ -1254,14 +1274,14 @@
     for me in 0..40 {
         let (mut harness, mut names) = sparse_front(me);
         names.push("r1new".into());
-        harness.update_list(ListMode::Changes, vec![entry("r1new", Listed::Running, harness.now)]);
+        harness.update_list(ListMode::Changes, vec![entry("r1new", ServerStatus::Running, harness.now)]);
         for n in 0..20 {
             names.iter().for_each(|name| drop(harness.report_load(name, 0.1, 0.0)));
             let (id, prompt) = (me * 1_000 + n, if n % 2 == 0 { 1_000.0 } else { 20_000.0 });
             let cold = sent_to(&harness.arrive_with_texts(id, format!("s{id}"), None, prompt)).as_deref()
                 == Some("r1new");
             (usual, long) = (usual + u32::from(cold && n % 2 == 0), long + u32::from(cold && n % 2 == 1));
-            harness.handle(Event::ClientGone { id: ReqId(id) });
+            harness.handle(Event::ClientGone { id: RequestId(id) });
             harness.end_attempt(id, 0, "r1new", Outcome::Cancelled, 0);
         }
     }
@@ -1277,7 +1297,7 @@
     let mut far = 0;
     for me in 0..40 {
         let mut harness = front_of_sixty(me, &names.iter().map(String::as_str).collect::<Vec<_>>());
-        harness.update_list(ListMode::Changes, vec![entry("m8new", Listed::Running, harness.now)]);
+        harness.update_list(ListMode::Changes, vec![entry("m8new", ServerStatus::Running, harness.now)]);
         for n in 0..12 {
             let id = me * 1_000 + n;
             let reader = harness.arrive_with_idle_servers(&names, id, format!("s{id}")).unwrap();
@@ -1298,7 +1318,7 @@
     let reader = sent_to(&harness.arrive(1, 1_000.0)).unwrap();
     assert!(sent_to(&harness.end_attempt(1, 0, &reader, Outcome::Read, 0)).is_some());
     let done = harness.advance(400 * MS);
-    assert_eq!(done, [Action::Release { id: ReqId(1) }], "released once, and the attempt continues");
+    assert_eq!(done, [Action::Release { id: RequestId(1) }], "released once, and the attempt continues");
 }
 
 /// A timed-out attempt may never have arrived, and then it did not stop the clock: the time counts from the
@@ -1311,5 +1331,5 @@
     harness.now += 150 * MS;
     assert!(sent_to(&harness.end_attempt(1, 1, &first, Outcome::TimedOut, 0)).is_some());
     let done = harness.advance(140 * MS);
-    assert_eq!(done, [Action::Release { id: ReqId(1) }]);
+    assert_eq!(done, [Action::Release { id: RequestId(1) }]);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -25,9 +25,9 @@
 enum SimEvent {
     Arrives(u32),
     Probed(ServerId),
-    Read(ReqId, u32, ServerId),
-    Streams(ReqId, u32, ServerId),
-    Served(ReqId, u32, ServerId),
+    Read(RequestId, u32, ServerId),
+    Streams(RequestId, u32, ServerId),
+    Served(RequestId, u32, ServerId),
     Timer(u64),
 }
 
@@ -42,10 +42,10 @@
     refused: u32,
 }
 
-fn server_list(servers: u32) -> Vec<Entry> {
-    let entry = |n: u32| Entry {
+fn server_list(servers: u32) -> Vec<ServerEntry> {
+    let entry = |n: u32| ServerEntry {
         server: ServerId(format!("s-{n:08x}").as_str().into()),
-        listed: Listed::Running,
+        listed: ServerStatus::Running,
         kind: usize::from(n % SERVERS_PER_CELL >= READERS_PER_CELL),
         zone: n % 3,
         cell: n / SERVERS_PER_CELL,
@@ -59,7 +59,7 @@
 /// memory share and its thousands of waiting tokens.
 fn run(servers: u32, fronts: u32, load: [f64; 2]) -> RunResult {
     let report_fields = vec![ReportField::MemoryShare, ReportField::PendingThousands];
-    let settings = Settings { fronts, may_probe: true, report_fields, ..example_settings() };
+    let settings = Settings { front_count: fronts, may_probe: true, report_fields, ..example_settings() };
     let mut router = Router::new(settings, 7);
     let (mut now, mut out, mut result) = (START, Vec::new(), RunResult::default());
     router.handle(now, Event::Servers { mode: ListMode::Full, entries: server_list(servers) }, &mut out);
@@ -70,13 +70,13 @@
         now = at;
         let event = match sim_event.clone() {
             SimEvent::Arrives(n) => Event::Arrived(Arrival {
-                id: ReqId(n),
-                session: Some(TextKey(format!("talk-{}", n / 2).as_str().into())),
-                prefix: Some(TextKey(format!("opening-{}", n % 10).as_str().into())),
+                id: RequestId(n),
+                session: Some(CacheKey(format!("talk-{}", n / 2).as_str().into())),
+                prefix: Some(CacheKey(format!("opening-{}", n % 10).as_str().into())),
                 time_left: 4_000 * MS,
-                prompt: 1_000.0,
-                shared: 700.0,
-                max_out: 100.0,
+                prompt_tokens: 1_000.0,
+                shared_tokens: 700.0,
+                max_output_tokens: 100.0,
                 ..Arrival::default()
             }),
             SimEvent::Probed(server) => Event::Probed {
@@ -118,13 +118,13 @@
             }
         }
     }
-    (result.examined, result.span) = (router.examined(), now - START);
+    (result.examined, result.span) = (router.examined_servers(), now - START);
     result
 }
 
-fn ended(id: ReqId, attempt: u32, server: ServerId, outcome: Outcome) -> Event {
+fn ended(id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Event {
     let settled = outcome == Outcome::Served;
-    Event::Ended { id, attempt, server, outcome, took: 0, settled, note: 0, load: None }
+    Event::Ended { id, attempt, server, outcome, took: 0, is_settled: settled, note: 0, load: None }
 }
 
 /// Events that do not change the list cost no pass over it, and held requests are not ranked anew at each
