--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use elderstage_platform::start::Companions;
+use elderstage_platform::start::EnvironmentOverrides;
 
 /// Environment variable with the path of the configuration file.
 pub const CONFIG: &str = "PROXY_CONFIG";
@@ -13,7 +13,7 @@
     let path = config.or_else(|| std::env::var_os(CONFIG).map(PathBuf::from));
     let path = path.ok_or_else(|| format!("{CONFIG} is not set and no --config given"))?;
     let non_empty_variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
-    let environment = Companions {
+    let environment = EnvironmentOverrides {
         name: non_empty_variable("PROXY_NAME"),
         listen: non_empty_variable("PROXY_LISTEN"),
         discovery: non_empty_variable("PROXY_DISCOVERY"),
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -10,9 +10,9 @@
 
 use elderstage::RequestId;
 use elderstage_net::{Conn, NetError};
-use elderstage_platform::ask::{self, Ask, Wanted};
+use elderstage_platform::ask::{self, ClientRequest, RequestKind};
 use elderstage_platform::forward;
-use elderstage_platform::hub::{Input, Last};
+use elderstage_platform::hub::{FinalAnswer, Input};
 use elderstage_protocol::http::{self, Framing, HttpError, Limits, Request};
 
 use crate::Shared;
@@ -48,7 +48,7 @@
 /// Pause between two attempts to reserve memory for a body.
 const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// Maximum sizes of a request's head and body, in bytes.
-const REQUEST_LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
+const REQUEST_LIMITS: Limits = Limits { head: 16 << 10, body: ask::MAX_BODY_BYTES };
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -106,8 +106,8 @@
             Err(NetError::TimedOut) => return reject(conn, 408, "no whole request in time"),
             Err(_) => return CloseReason::Client,
         };
-        match ask::wanted(&head) {
-            Ok(Wanted::Ready) => {
+        match ask::classify_head(&head) {
+            Ok(RequestKind::Ready) => {
                 let status = if shared.is_ready.load(Ordering::SeqCst) { 200 } else { 503 };
                 let is_received = receive_body(shared, conn, &head, deadline).is_ok();
                 let keep_alive = head.keep_alive && may_keep_open(shared, conn);
@@ -115,7 +115,7 @@
                     return CloseReason::Answered;
                 }
             }
-            Ok(Wanted::Chat) => {
+            Ok(RequestKind::Chat) => {
                 if let Err(reason) = serve_chat(shared, conn, head, deadline) {
                     return reason;
                 }
@@ -281,7 +281,7 @@
         };
     let keep_alive = head.keep_alive;
     let longest_wait = shared.longest_wait.load(Ordering::SeqCst);
-    let parsed = Ask::read(&head, body.len(), &shared.names, longest_wait);
+    let parsed = ClientRequest::parse(&head, body.len(), &shared.names, longest_wait);
     let ask = match parsed {
         Ok(ask) if ask::is_object(&body) => ask,
         other => {
@@ -295,7 +295,7 @@
     let header_lines = forward::fields(&head);
     let Request { method, target, .. } = head;
     let request = ForwardedRequest {
-        trace: ask.trace.clone(),
+        trace: ask.request_id.clone(),
         method,
         target,
         header_lines,
@@ -388,17 +388,17 @@
                 ResponseEvent::Final(last) => {
                     let keep_alive = keep_alive && may_keep_open(shared, conn) && !read_ahead.has_discarded;
                     let is_kept = match last {
-                        Last::Refused { retry_after: 0 } => {
+                        FinalAnswer::Refused { retry_after: 0 } => {
                             write_response(conn, 503, None, "turned away", keep_alive)
                         }
-                        Last::Refused { retry_after } => {
+                        FinalAnswer::Refused { retry_after } => {
                             let seconds = format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND);
                             write_response(conn, 503, Some(&seconds), "turned away", keep_alive)
                         }
-                        Last::Failed => {
+                        FinalAnswer::Failed => {
                             write_response(conn, 502, None, "failed; it may have run", keep_alive)
                         }
-                        Last::Open => {
+                        FinalAnswer::Open => {
                             write_response(conn, 409, None, &ask::Refusal::Open.to_string(), keep_alive)
                         }
                     };
@@ -412,7 +412,7 @@
             // The channel is closed first, so no attempt begins for this request even if the event waits in
             // the queue.
             channel.close();
-            shared.submit(Event::HubInput(Input::Gone { id }));
+            shared.submit(Event::HubInput(Input::ClientDisconnected { id }));
             hold_at!("client-gone-{}", channel.request.trace);
             return Err(CloseReason::Client);
         }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -11,7 +11,7 @@
 use elderstage_net::owner::Clock;
 use elderstage_net::{NetError, Place, open, sleep};
 use elderstage_platform::hub::Input;
-use elderstage_platform::values::MOST;
+use elderstage_platform::values::MAX_OBJECT_BYTES;
 use elderstage_platform::watch::Watch;
 use elderstage_protocol::http::{Body, Framing, Limits};
 
@@ -24,7 +24,7 @@
 /// Poll interval for a change of discovery's address.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum sizes of the head of discovery's response and of a server list, in bytes.
-const LIMITS: Limits = Limits { head: 16 << 10, body: MOST };
+const LIMITS: Limits = Limits { head: 16 << 10, body: MAX_OBJECT_BYTES };
 
 /// Watches discovery until the process ends.
 pub fn run_watch(shared: &Arc<Shared>, clock: Clock, seq: u64) {
@@ -60,7 +60,7 @@
     generation: u64,
     watch: &mut Watch,
 ) -> Result<(), NetError> {
-    let index = watch.begin(clock.now());
+    let index = watch.start(clock.now());
     let mut conn = open(Place::Tcp(at), CONNECT_TIMEOUT)?;
     conn.limits = LIMITS;
     conn.set_write_timeout(Some(CONNECT_TIMEOUT));
@@ -80,7 +80,7 @@
                             head.status
                         )));
                     }
-                    watch.answered(clock.now());
+                    watch.record_head(clock.now());
                     body = Some(Body::new(head.framing));
                     continue;
                 }
@@ -88,11 +88,11 @@
             Some(body) => {
                 let n = body.push(conn.pending(), &mut received)?;
                 conn.used(n);
-                for list in watch.take(clock.now(), &received, &shared.names).map_err(io_error)? {
-                    let (seq, whole, hosts) = (list.seq, list.whole, list.hosts.len());
+                for list in watch.push(clock.now(), &received, &shared.names).map_err(io_error)? {
+                    let (seq, whole, hosts) = (list.version, list.is_complete, list.hosts.len());
                     tracing::debug!(target: "discovery", seq, whole, hosts);
                     shared.submit(Event::HubInput(Input::WallClock { ahead: wall_clock_offset_us(clock) }));
-                    shared.submit(Event::HubInput(Input::Listed { list, restored: false }));
+                    shared.submit(Event::HubInput(Input::ListReceived { list, restored: false }));
                     shared.has_server_list.store(true, Ordering::SeqCst);
                     hold_at!("listed-{seq}");
                 }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -13,9 +13,9 @@
 use elderstage_net::NetError;
 use elderstage_net::go;
 use elderstage_platform::hub::Input;
-use elderstage_platform::reply::{self, Cut, Reached, Verdict};
+use elderstage_platform::reply::{self, AbortReason, AnswerKind, WriteProgress};
 use elderstage_platform::report;
-use elderstage_platform::stream::Stream;
+use elderstage_platform::stream::EventStream;
 use elderstage_protocol::http::{Body, Framing, Limits, Response};
 
 use crate::Shared;
@@ -109,16 +109,24 @@
         );
         let AttemptEnd { outcome, note, report, events, .. } = end;
         let (id, number) = (attempt.id, attempt.number);
-        shared.submit(Event::HubInput(Input::Ended { id, attempt: number, outcome, note, report, events }));
+        shared.submit(Event::HubInput(Input::AttemptEnded {
+            id,
+            attempt: number,
+            outcome,
+            note,
+            report,
+            events,
+        }));
     });
 }
 
 /// Runs an attempt until it has ended, at the latest at `deadline`.
 fn run_attempt(shared: &Arc<Shared>, attempt: &Attempt, deadline: Instant) -> AttemptEnd {
-    let ended = |reached, cut| AttemptEnd::without_stream(reply::without_answer(reached, cut), 0, None);
+    let ended =
+        |reached, cut| AttemptEnd::without_stream(reply::outcome_without_answer(reached, cut), 0, None);
     let time_left = || deadline.saturating_duration_since(Instant::now());
     if time_left().is_zero() {
-        return ended(Reached::NotWhole, Cut::TimedOut);
+        return ended(WriteProgress::NotWhole, AbortReason::TimedOut);
     }
     let mut connection =
         match shared.pool.acquire(attempt.dial, shared.connect_timeout.min(time_left()), attempt.is_harmless)
@@ -126,7 +134,7 @@
             Ok(connection) => connection,
             Err(error) => {
                 tracing::debug!(target: "link", what = "connect", %error, server = %attempt.server.0, "cut");
-                return ended(Reached::NotWhole, Cut::Broken);
+                return ended(WriteProgress::NotWhole, AbortReason::Broken);
             }
         };
     hold_at!("attempt-connected-{}", attempt.channel.request.trace);
@@ -136,29 +144,29 @@
         AttemptStart::Proceed => {}
         AttemptStart::Cancelled => {
             connection.return_to_pool();
-            return ended(Reached::NotWhole, Cut::Cancelled);
+            return ended(WriteProgress::NotWhole, AbortReason::Cancelled);
         }
         AttemptStart::Withdrawn => {
             connection.return_to_pool();
-            return ended(Reached::NotWhole, Cut::Broken);
+            return ended(WriteProgress::NotWhole, AbortReason::Broken);
         }
     }
     let idle = connection.idle_time;
-    let log_cut = |what: &str, cut: Cut| {
+    let log_cut = |what: &str, cut: AbortReason| {
         tracing::debug!(target: "link", what, ?cut, ?idle, server = %attempt.server.0, "cut");
     };
     if let Err(cut) = write_request(&mut connection, attempt, time_left()) {
         log_cut("write", cut);
-        connection.record_outcome(cut == Cut::Broken);
+        connection.record_outcome(cut == AbortReason::Broken);
         drop(connection);
-        return ended(Reached::NotWhole, cut);
+        return ended(WriteProgress::NotWhole, cut);
     }
     let end = receive_response(shared, &mut connection, attempt, deadline);
     match &end {
         Ok(_) => connection.record_outcome(false),
         Err(cut) => {
             let is_silent = !connection.conn().has_pending();
-            connection.record_outcome(*cut == Cut::Broken && is_silent);
+            connection.record_outcome(*cut == AbortReason::Broken && is_silent);
         }
     }
     match end {
@@ -169,7 +177,7 @@
         Ok((end, false)) => end,
         Err(cut) => {
             log_cut(if connection.conn().has_pending() { "half a head" } else { "answer" }, cut);
-            ended(Reached::Whole, cut)
+            ended(WriteProgress::Whole, cut)
         }
     }
 }
@@ -179,7 +187,7 @@
     connection: &mut PooledConnection,
     attempt: &Attempt,
     time_left: Duration,
-) -> Result<(), Cut> {
+) -> Result<(), AbortReason> {
     let request = &attempt.channel.request;
     let mut head = Vec::with_capacity(512);
     head.extend_from_slice(
@@ -198,9 +206,9 @@
     for bytes in [&head, &request.body] {
         match conn.write_while(bytes, is_wanted) {
             Ok(true) => {}
-            Ok(false) => return Err(Cut::Cancelled),
-            Err(NetError::TimedOut) => return Err(Cut::TimedOut),
-            Err(_) => return Err(Cut::Broken),
+            Ok(false) => return Err(AbortReason::Cancelled),
+            Err(NetError::TimedOut) => return Err(AbortReason::TimedOut),
+            Err(_) => return Err(AbortReason::Broken),
         }
     }
     Ok(())
@@ -212,21 +220,21 @@
     connection: &mut PooledConnection,
     attempt: Option<&Attempt>,
     deadline: Instant,
-) -> Result<(), Cut> {
+) -> Result<(), AbortReason> {
     loop {
         if attempt.is_some_and(|attempt| attempt.channel.is_cancelled(attempt.number)) {
-            return Err(Cut::Cancelled);
+            return Err(AbortReason::Cancelled);
         }
         match connection.conn().try_fill() {
             Ok(true) => return Ok(()),
             Ok(false) => {}
-            Err(_) => return Err(Cut::Broken),
+            Err(_) => return Err(AbortReason::Broken),
         }
         if attempt.is_some_and(|attempt| attempt.channel.is_stream_cut()) {
             return Ok(());
         }
         if Instant::now() >= deadline {
-            return Err(Cut::TimedOut);
+            return Err(AbortReason::TimedOut);
         }
         connection.conn().pause(Some(deadline));
     }
@@ -237,9 +245,9 @@
     connection: &mut PooledConnection,
     attempt: Option<&Attempt>,
     deadline: Instant,
-) -> Result<Response, Cut> {
+) -> Result<Response, AbortReason> {
     loop {
-        if let Some(head) = connection.conn().try_response().map_err(|_| Cut::Broken)? {
+        if let Some(head) = connection.conn().try_response().map_err(|_| AbortReason::Broken)? {
             return Ok(head);
         }
         receive_more(connection, attempt, deadline)?;
@@ -275,17 +283,20 @@
     connection: &mut PooledConnection,
     attempt: &Attempt,
     deadline: Instant,
-) -> Result<(AttemptEnd, bool), Cut> {
+) -> Result<(AttemptEnd, bool), AbortReason> {
     let head = receive_head(connection, Some(attempt), deadline)?;
     let report = head.headers.get(report::HEADER).map(str::to_owned);
-    match reply::verdict(&head) {
-        Verdict::Stream => relay_stream(shared, connection, attempt, &head, report, deadline),
-        Verdict::Read => {
+    match reply::classify_answer(&head) {
+        AnswerKind::Stream => relay_stream(shared, connection, attempt, &head, report, deadline),
+        AnswerKind::Read => {
             let (body, is_reusable) =
                 receive_body(connection, &head, deadline.min(Instant::now() + PROBE_TIMEOUT));
-            Ok((AttemptEnd::without_stream(Outcome::Read, reply::cached(&body), report), is_reusable))
+            Ok((
+                AttemptEnd::without_stream(Outcome::Read, reply::parse_cached_tokens(&body), report),
+                is_reusable,
+            ))
         }
-        Verdict::Ended(outcome, note) => {
+        AnswerKind::Ended(outcome, note) => {
             tracing::debug!(target: "answer", status = head.status, server = %attempt.server.0);
             let (_, is_reusable) =
                 receive_body(connection, &head, deadline.min(Instant::now() + UNUSED_BODY_TIMEOUT));
@@ -303,8 +314,8 @@
     head: &Response,
     header_report: Option<String>,
     mut deadline: Instant,
-) -> Result<(AttemptEnd, bool), Cut> {
-    let (mut stream, mut has_begun, opened) = (Stream::new(), false, Instant::now());
+) -> Result<(AttemptEnd, bool), AbortReason> {
+    let (mut stream, mut has_begun, opened) = (EventStream::new(), false, Instant::now());
     let broken =
         |has_begun| AttemptEnd { outcome: Outcome::Broken, note: 0, report: None, has_begun, events: 0 };
     loop {
@@ -317,7 +328,7 @@
                     target: "answer", after_head_us = opened.elapsed().as_micros() as u64,
                     trace = %attempt.channel.request.trace, "streams",
                 );
-                shared.submit(Event::HubInput(Input::First { id: attempt.id, attempt: attempt.number }));
+                shared.submit(Event::HubInput(Input::FirstEvent { id: attempt.id, attempt: attempt.number }));
             }
             deadline = Instant::now() + STREAM_SILENCE_TIMEOUT;
             if !attempt.channel.send(ResponseEvent::Events(events)) {
@@ -334,12 +345,12 @@
                 return Ok((broken(has_begun), false));
             }
         }
-        if stream.done() {
-            if !(has_begun && stream.whole()) {
+        if stream.is_ended() {
+            if !(has_begun && stream.is_complete()) {
                 return Ok((broken(has_begun), false));
             }
             let is_reusable = head.keep_alive && !connection.conn().has_pending();
-            let summary = stream.told();
+            let summary = stream.into_summary();
             let report = summary.report.or(header_report);
             let (outcome, note, events) = (Outcome::Served, summary.cached, summary.events);
             return Ok((AttemptEnd { outcome, note, report, has_begun, events }, is_reusable));
@@ -361,7 +372,7 @@
         }
         match receive_more(connection, Some(attempt), deadline) {
             Ok(()) => {}
-            Err(Cut::Cancelled) => {
+            Err(AbortReason::Cancelled) => {
                 return Ok((
                     AttemptEnd { outcome: Outcome::Cancelled, has_begun, ..broken(has_begun) },
                     false,
@@ -383,21 +394,22 @@
     dial: SocketAddr,
     head_lines: &str,
     timeout: Duration,
-) -> Result<(Response, Vec<u8>), Cut> {
+) -> Result<(Response, Vec<u8>), AbortReason> {
     let deadline = Instant::now() + timeout;
     let mut connection = shared.pool.acquire(dial, timeout.min(shared.connect_timeout), true).map_err(
         |error| match error {
-            NetError::TimedOut => Cut::TimedOut,
-            _ => Cut::Broken,
+            NetError::TimedOut => AbortReason::TimedOut,
+            _ => AbortReason::Broken,
         },
     )?;
     hold_at!("small-connected-{}", head_lines.split(' ').nth(1).unwrap_or_default().replace('/', "-"));
     let conn = connection.conn();
     conn.limits = RESPONSE_LIMITS;
     conn.set_write_timeout(Some(timeout));
-    let written = conn.write(format!("{head_lines}Host: {dial}\r\n\r\n").as_bytes()).map_err(|_| Cut::Broken);
+    let written =
+        conn.write(format!("{head_lines}Host: {dial}\r\n\r\n").as_bytes()).map_err(|_| AbortReason::Broken);
     let head = written.and_then(|()| receive_head(&mut connection, None, deadline));
-    connection.record_outcome(head.as_ref().is_err_and(|cut| *cut == Cut::Broken));
+    connection.record_outcome(head.as_ref().is_err_and(|cut| *cut == AbortReason::Broken));
     let head = head?;
     let (body, is_reusable) = receive_body(&mut connection, &head, deadline);
     if is_reusable {
@@ -417,11 +429,11 @@
             }
             Ok((head, body)) if head.status == 503 => (Outcome::Error, String::from_utf8(body).ok()),
             Ok(_) => (Outcome::Error, None),
-            Err(Cut::TimedOut) => (Outcome::TimedOut, None),
+            Err(AbortReason::TimedOut) => (Outcome::TimedOut, None),
             Err(_) => (Outcome::NoConnection, None),
         };
         tracing::debug!(target: "probe", server = %server.0, ?outcome, told = ?report);
-        shared.submit(Event::HubInput(Input::Probed { server, outcome, report }));
+        shared.submit(Event::HubInput(Input::ProbeEnded { server, outcome, report }));
     });
 }
 
@@ -442,7 +454,13 @@
             let time_left = RELEASE_TIMEOUT.saturating_sub(started.elapsed());
             elderstage_net::sleep(time_left.min(RELEASE_RETRY_PAUSE));
         }
-        shared.submit(Event::HubInput(Input::Said { id, holder, round, engine, heard }));
+        shared.submit(Event::HubInput(Input::ReleaseCallEnded {
+            id,
+            holder,
+            release_number: round,
+            engine,
+            acknowledged: heard,
+        }));
     });
 }
 
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -12,7 +12,7 @@
 
 use elderstage::{RequestId, Settings};
 use elderstage_net::owner::{Machine, Micros};
-use elderstage_platform::ask::Ask;
+use elderstage_platform::ask::ClientRequest;
 use elderstage_platform::hub::{Command, Hub, Input};
 
 use crate::Shared;
@@ -25,7 +25,7 @@
     /// A client's request was received completely.
     RequestReceived {
         id: RequestId,
-        ask: Ask,
+        ask: ClientRequest,
         channel: Arc<ResponseChannel>,
         /// When its last byte had arrived. The request's time limit runs from then.
         received_at: Instant,
@@ -108,15 +108,15 @@
             self.execute(command);
         }
         self.commands = commands;
-        let (open, _) = self.hub.held();
+        let (open, _) = self.hub.open_and_held_counts();
         self.shared.open_requests.store(open, Ordering::SeqCst);
-        self.shared.pending_releases.store(self.hub.letting_go(), Ordering::SeqCst);
+        self.shared.pending_releases.store(self.hub.pending_releases(), Ordering::SeqCst);
     }
 
     /// Executes one command of the hub.
     fn execute(&mut self, command: Command) {
         match command {
-            Command::Send { id, attempt, server, dial, timeout, harmless } => {
+            Command::Send { id, attempt, server, address: dial, timeout, is_repeatable: harmless } => {
                 let Some(channel) = self.channels.get(&id).cloned() else { return };
                 let timeout = Duration::from_micros(timeout);
                 tracing::debug!(
@@ -132,12 +132,12 @@
                     channel.cancel_attempt(attempt);
                 }
             }
-            Command::Withdraw { id, attempt } => {
+            Command::WithdrawAttempt { id, attempt } => {
                 if let Some(channel) = self.channels.get(&id) {
                     channel.withdraw_attempt(attempt);
                 }
             }
-            Command::Move { id } => {
+            Command::EndStream { id } => {
                 if let Some(channel) = self.channels.get(&id) {
                     channel.cut_stream();
                 }
@@ -150,14 +150,14 @@
                     channel.send(ResponseEvent::Final(last));
                 }
             }
-            Command::Release { id, trace, holder, round, engine, dial } => {
+            Command::Release { id, trace, holder, release_number: round, engine, address: dial } => {
                 engine::start_release(
                     &self.shared,
                     engine::ReleaseCall { id, trace, holder, round, engine, dial },
                 );
             }
-            Command::Probe { server, dial } => engine::start_probe(&self.shared, server, dial),
-            Command::Forget { id } => {
+            Command::Probe { server, address: dial } => engine::start_probe(&self.shared, server, dial),
+            Command::RemoveRequest { id } => {
                 self.channels.remove(&id);
             }
         }
@@ -165,7 +165,9 @@
 
     /// Logs servers for which the hub's count of attempts differs from the open connections.
     fn log_differences(&mut self) {
-        for difference in self.comparison.compare(&self.hub.in_flight(), &self.shared.in_flight.snapshot()) {
+        for difference in
+            self.comparison.compare(&self.hub.attempts_by_address(), &self.shared.in_flight.snapshot())
+        {
             tracing::warn!(
                 target: "node", server = %difference.server, believed = difference.believed, open = difference.open, "differs",
             );
@@ -174,13 +176,13 @@
 
     /// Logs what the hub holds together with what is open on sockets.
     fn log_state(&mut self) {
-        let (open, leases) = self.hub.held();
+        let (open, leases) = self.hub.open_and_held_counts();
         let (engine_connections, idle) = self.shared.pool.open_and_idle();
-        let in_flight: usize = self.hub.in_flight().values().sum();
+        let in_flight: usize = self.hub.attempts_by_address().values().sum();
         let queue_wait = std::mem::take(&mut self.queue_wait.longest);
         tracing::info!(
-            target: "node", open, attempts = in_flight, seats = self.channels.len(), leases, servers = self.hub.servers(),
-            engine_connections = engine_connections, idle, opened = self.shared.pool.opened(), examined = self.hub.examined(),
+            target: "node", open, attempts = in_flight, seats = self.channels.len(), leases, servers = self.hub.server_count(),
+            engine_connections = engine_connections, idle, opened = self.shared.pool.opened(), examined = self.hub.examined_servers(),
             longest_queue_wait_ms = queue_wait.as_millis() as u64, client_connections = self.shared.client_connections.len(),
             body_bytes = self.shared.body_memory.reserved_bytes(), counts = ?self.hub.counts(), "state",
         );
@@ -197,7 +199,7 @@
                 let waited_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
                 ask.arrival.time_left = ask.arrival.time_left.saturating_sub(waited_us);
                 tracing::debug!(
-                    target: "taken", trace = %ask.trace, class = ask.arrival.class, left_ms = ask.arrival.time_left / 1000,
+                    target: "taken", trace = %ask.request_id, class = ask.arrival.class, left_ms = ask.arrival.time_left / 1000,
                     prompt = ask.arrival.prompt_tokens, session = ?ask.arrival.session, again = ask.arrival.is_resumed,
                 );
                 self.channels.insert(id, channel);
@@ -206,13 +208,13 @@
             Event::HubInput(input) => self.hub.handle(now, input, &mut self.commands),
             Event::LogState => self.log_state(),
             Event::PublishTally => {
-                if let Some(counting) = self.hub.counting() {
+                if let Some(counting) = self.hub.counting_mut() {
                     self.shared.tally_slot.put(counting.tally().clone());
                 }
             }
             Event::SetCountingSettings { digest, settings } => {
-                if let Some(counting) = self.hub.counting() {
-                    counting.under(&digest, &self.shared.names.classes, &settings);
+                if let Some(counting) = self.hub.counting_mut() {
+                    counting.set_settings(&digest, &self.shared.names.classes, &settings);
                 }
             }
             Event::CompareInFlight => self.log_differences(),
@@ -226,7 +228,7 @@
     }
 
     fn wake(&mut self, now: Micros) {
-        self.hub.wake(now, &mut self.commands);
+        self.hub.run_due_timers(now, &mut self.commands);
         self.execute_commands();
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -28,9 +28,9 @@
 use elderstage::settings::SettingNames;
 use elderstage_net::owner::{Clock, Inbox, queue, run};
 use elderstage_net::{Conn, Listener, go, init_small, sleep};
-use elderstage_platform::counting::Counting;
+use elderstage_platform::counting::ClassCounts;
 use elderstage_platform::hub::{Hub, Input};
-use elderstage_platform::start::{Companions, Start, StartError};
+use elderstage_platform::start::{ConfigError, EnvironmentOverrides, NodeConfig};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use thiserror::Error;
@@ -85,7 +85,7 @@
     Read { path: String, error: std::io::Error },
     /// The configuration is invalid.
     #[error("{path}: {error}")]
-    Config { path: String, error: StartError },
+    Config { path: String, error: ConfigError },
     /// The listening address cannot be bound.
     #[error("cannot listen at {at}: {error}")]
     Listen { at: SocketAddr, error: std::io::Error },
@@ -149,11 +149,11 @@
 }
 
 /// Reads and parses the configuration file.
-fn read_config(path: &Path, environment: &Companions) -> Result<Start, NodeError> {
+fn read_config(path: &Path, environment: &EnvironmentOverrides) -> Result<NodeConfig, NodeError> {
     let path_text = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|error| NodeError::Read { path: path_text.clone(), error })?;
-    Start::parse(&text, environment).map_err(|error| NodeError::Config { path: path_text, error })
+    NodeConfig::parse(&text, environment).map_err(|error| NodeError::Config { path: path_text, error })
 }
 
 /// The digest that identifies settings, equal on all nodes with equal settings: BLAKE3 of the configuration's
@@ -166,7 +166,7 @@
 }
 
 /// Runs a node until SIGTERM or SIGINT, and then until all accepted requests are answered.
-pub fn node(path: &Path, environment: &Companions) -> Result<(), NodeError> {
+pub fn node(path: &Path, environment: &EnvironmentOverrides) -> Result<(), NodeError> {
     // Signals are caught from here on. One that arrives during the start is handled after it.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(NodeError::System)?;
     let start = read_config(path, environment)?;
@@ -195,12 +195,17 @@
     });
     let mut hub = Hub::new(start.settings.clone(), start.seed);
     if let Some(to) = &start.tally {
-        hub.count(Counting::new(&to.release, &settings_digest(path), &shared.names.classes, &start.settings));
+        hub.enable_counting(ClassCounts::new(
+            &to.release,
+            &settings_digest(path),
+            &shared.names.classes,
+            &start.settings,
+        ));
     }
     let mut tally_writer = TallyWriter::new(clock.now());
     run("owner", clock, events, EventLoop::new(hub, shared.clone())).map_err(NodeError::System)?;
-    let seq = start.known.seq;
-    shared.submit(Event::HubInput(Input::Listed { list: start.known.clone(), restored: true }));
+    let seq = start.known.version;
+    shared.submit(Event::HubInput(Input::ListReceived { list: start.known.clone(), restored: true }));
     let listener =
         Listener::bind(start.listen).map_err(|error| NodeError::Listen { at: start.listen, error })?;
     let stop = listener.stopper();
@@ -255,7 +260,7 @@
                 let longest_wait = Duration::from_micros(shared.longest_wait.load(Ordering::SeqCst));
                 let time_until_kill = longest_wait.min(MAX_COUNTED_CLIENT_WAIT) + KILL_DELAY;
                 let within = time_until_kill.saturating_sub(at.elapsed() + KILL_MARGIN).as_micros() as u64;
-                shared.submit(Event::HubInput(Input::Stopping { within }));
+                shared.submit(Event::HubInput(Input::ShuttingDown { within }));
                 tracing::info!(target: "node", after_ms = at.elapsed().as_millis() as u64, "no longer accepts connections");
             }
             let is_busy = !stop.is_closed()
@@ -293,7 +298,7 @@
 }
 
 /// Applies a new configuration completely or not at all. The server list, requests and connections are kept.
-fn reload(shared: &Shared, running: &Start, path: &Path, environment: &Companions) {
+fn reload(shared: &Shared, running: &NodeConfig, path: &Path, environment: &EnvironmentOverrides) {
     match read_config(path, environment) {
         Ok(new) => match running.needs_restart(&new) {
             None => {
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! The shares are computed once at the start. Each part enforces its own.
 
-use elderstage_platform::start::Allowed;
+use elderstage_platform::start::ResourceLimits;
 
 /// Descriptors reserved for everything but connections to clients and engines: standard streams, the
 /// coroutine runtime, the listener, signals, the old and the new watch on discovery, a file being read, a few
@@ -35,7 +35,7 @@
 
 impl Shares {
     /// Divides what the configuration allows.
-    pub fn from_allowed(allowed: Allowed) -> Shares {
+    pub fn from_allowed(allowed: ResourceLimits) -> Shares {
         let available = allowed.descriptors.saturating_sub(RESERVED_DESCRIPTORS) as f64;
         let clients = (available * CLIENT_SHARE) as usize;
         let engines = (available - clients as f64) as usize;
@@ -43,7 +43,7 @@
         Shares {
             clients: clients.max(MIN_COUNT),
             engines: engines.max(MIN_COUNT),
-            bodies: bodies.max(elderstage_platform::ask::MOST_BODY * 2),
+            bodies: bodies.max(elderstage_platform::ask::MAX_BODY_BYTES * 2),
             stacks: ((allowed.descriptors as f64 * STACK_SHARE) as usize).max(MIN_COUNT),
         }
     }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use elderstage_net::{Conn, NetError, Place, open};
-use elderstage_platform::kept::Kept;
+use elderstage_platform::kept::ReuseMonitor;
 
 /// A connection is not reused after the engines' idle limit divided by this.
 const IDLE_LIMIT_DIVISOR: u32 = 2;
@@ -40,7 +40,7 @@
     /// Idle connections by engine, the one idle longest first.
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
     /// Whether idle connections can be trusted, learned from the outcomes of reused ones.
-    reuse_trust: Mutex<Kept>,
+    reuse_trust: Mutex<ReuseMonitor>,
 }
 
 /// One connection in use. Dropping it closes the connection and frees its place in the pool.
@@ -73,7 +73,7 @@
     /// first byte of a response.
     pub fn record_outcome(&self, is_broken: bool) {
         if self.idle_time.is_some() {
-            self.pool.reuse_trust().told(is_broken);
+            self.pool.reuse_trust().record_reuse(is_broken);
         }
     }
 
@@ -120,7 +120,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn reuse_trust(&self) -> MutexGuard<'_, Kept> {
+    fn reuse_trust(&self) -> MutexGuard<'_, ReuseMonitor> {
         self.reuse_trust.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -143,7 +143,7 @@
         timeout: Duration,
         is_harmless: bool,
     ) -> Result<PooledConnection, NetError> {
-        while self.reuse_trust().may_use(is_harmless) {
+        while self.reuse_trust().should_reuse(is_harmless) {
             let idle = {
                 let mut all = self.idle();
                 let reusable = all.get_mut(&address).and_then(|to_engine| {
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use elderstage_net::Waker;
-use elderstage_platform::hub::Last;
+use elderstage_platform::hub::FinalAnswer;
 
 /// When this many bytes are queued, nothing more is received from the engine until the client has taken some.
 const MAX_QUEUED_BYTES: usize = 64 << 10;
@@ -24,7 +24,7 @@
     /// The stream ended before its last event.
     Broken,
     /// The final answer of a request that is not streamed.
-    Final(Last),
+    Final(FinalAnswer),
 }
 
 /// The state of a channel, under one lock.
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -11,7 +11,7 @@
 /// Path at which the platform asks whether the node can serve.
 pub const READY_PATH: &str = "/-/ready";
 /// Largest body in bytes.
-pub const MOST_BODY: usize = 256 << 10;
+pub const MAX_BODY_BYTES: usize = 256 << 10;
 /// Longest id in bytes. The id becomes part of a path.
 const MAX_ID_BYTES: usize = 128;
 /// Longest name of a session or a shared prefix, in bytes.
@@ -53,8 +53,8 @@
     /// The class is unknown.
     #[error("class is not one of this deployment")]
     Class,
-    /// The body is larger than [`MOST_BODY`].
-    #[error("body over {MOST_BODY} bytes")]
+    /// The body is larger than [`MAX_BODY_BYTES`].
+    #[error("body over {MAX_BODY_BYTES} bytes")]
     TooLarge,
     /// The body is not a JSON object.
     #[error("body is no JSON object")]
@@ -79,7 +79,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum RequestKind {
     /// A chat completion.
     Chat,
     /// Whether the node can serve.
@@ -89,20 +89,20 @@
 /// A client's request: the id that the client gave it, and its arrival for the module. The number in the arrival is
 /// assigned by the node.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Id that the client gave the request.
-    pub trace: Box<str>,
+    pub request_id: Box<str>,
     /// The arrival for the module.
     pub arrival: Arrival,
 }
 
 /// Determines from the head alone what a request asks for, so that a body is refused before it is read.
-pub fn wanted(head: &Request) -> Result<Wanted, Refusal> {
+pub fn classify_head(head: &Request) -> Result<RequestKind, Refusal> {
     let path = head.target.split('?').next().unwrap_or_default();
     let wanted = match path {
-        CHAT_PATH if head.method == "POST" => Wanted::Chat,
+        CHAT_PATH if head.method == "POST" => RequestKind::Chat,
         CHAT_PATH => return Err(Refusal::Method("POST")),
-        READY_PATH if head.method == "GET" => Wanted::Ready,
+        READY_PATH if head.method == "GET" => RequestKind::Ready,
         READY_PATH => return Err(Refusal::Method("GET")),
         _ => return Err(Refusal::Path),
     };
@@ -112,7 +112,7 @@
         return Err(Refusal::Duplicate("content-length"));
     }
     match head.framing {
-        Framing::Length(n) if n > MOST_BODY as u64 => Err(Refusal::TooLarge),
+        Framing::Length(n) if n > MAX_BODY_BYTES as u64 => Err(Refusal::TooLarge),
         _ => Ok(wanted),
     }
 }
@@ -146,15 +146,15 @@
         && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.~".contains(&b))
 }
 
-impl Ask {
+impl ClientRequest {
     /// Parses the head of a chat request. `body` is the length of the body in bytes. The time left is at most `longest_wait`,
     /// the longest time that any client waits.
-    pub fn read(
+    pub fn parse(
         head: &Request,
         body: usize,
         names: &SettingNames,
         longest_wait: Time,
-    ) -> Result<Ask, Refusal> {
+    ) -> Result<ClientRequest, Refusal> {
         let trace =
             single_value(head, ID_HEADER)?.filter(|id| !id.is_empty()).ok_or(Refusal::Missing(ID_HEADER))?;
         if !is_plain_id(trace) {
@@ -210,7 +210,7 @@
                 _ => {}
             }
         }
-        Ok(Ask { trace: trace.into(), arrival })
+        Ok(ClientRequest { request_id: trace.into(), arrival })
     }
 }
 
--- a/crates/platform/src/counting.rs
+++ b/crates/platform/src/counting.rs
@@ -37,7 +37,7 @@
 
 /// The counts of a node's requests.
 #[derive(Debug)]
-pub struct Counting {
+pub struct ClassCounts {
     release: String,
     /// For each class: its current key in the tally, its aim for the time to the first token, and the addition to the aim for
     /// each prompt token, in microseconds.
@@ -46,17 +46,17 @@
     open: HashMap<RequestId, OpenRequest>,
 }
 
-impl Counting {
+impl ClassCounts {
     /// Creates empty counts. `digest` identifies the settings; `names` are the names of their classes, in order.
-    pub fn new(release: &str, digest: &str, names: &[String], settings: &Settings) -> Counting {
+    pub fn new(release: &str, digest: &str, names: &[String], settings: &Settings) -> ClassCounts {
         let (tally, open) = (Tally::default(), HashMap::new());
-        let mut counting = Counting { release: release.into(), classes: Vec::new(), tally, open };
-        counting.under(digest, names, settings);
+        let mut counting = ClassCounts { release: release.into(), classes: Vec::new(), tally, open };
+        counting.set_settings(digest, names, settings);
         counting
     }
 
     /// Counts under other settings from now on, including the requests that are open.
-    pub fn under(&mut self, digest: &str, names: &[String], settings: &Settings) {
+    pub fn set_settings(&mut self, digest: &str, names: &[String], settings: &Settings) {
         let class_entry = |(index, class): (usize, &elderstage::Class)| {
             let name = names.get(index).cloned().unwrap_or_else(|| index.to_string());
             let key =
--- a/crates/platform/src/hub/messages.rs
+++ b/crates/platform/src/hub/messages.rs
@@ -4,37 +4,50 @@
 
 use elderstage::{Outcome, RequestId, ServerId, Settings, Time};
 
-use crate::ask::Ask;
+use crate::ask::ClientRequest;
 use crate::list::List;
 
 /// Something that happened and that the hub has to handle.
 #[derive(Debug)]
 pub enum Input {
     /// A client's request was received completely. An id is never reused.
-    Arrived { id: RequestId, ask: Ask },
+    Arrived { id: RequestId, ask: ClientRequest },
     /// The client disconnected.
-    Gone { id: RequestId },
+    ClientDisconnected { id: RequestId },
     /// The first event of an attempt's stream is being forwarded to the client.
-    First { id: RequestId, attempt: u32 },
+    FirstEvent { id: RequestId, attempt: u32 },
     /// An attempt ended and its connection is closed or idle. `events` counts the stream events that were forwarded.
-    Ended { id: RequestId, attempt: u32, outcome: Outcome, note: u64, report: Option<String>, events: u64 },
+    AttemptEnded {
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        note: u64,
+        report: Option<String>,
+        events: u64,
+    },
     /// A probe ended.
-    Probed { server: ServerId, outcome: Outcome, report: Option<String> },
+    ProbeEnded { server: ServerId, outcome: Outcome, report: Option<String> },
     /// The wall clock was read; it is `ahead` microseconds ahead of the node's clock.
     WallClock { ahead: i64 },
     /// Discovery sent a list. `restored` marks the list that was known before a restart.
-    Listed { list: List, restored: bool },
+    ListReceived { list: List, restored: bool },
     /// A release call to an engine ended. `heard`: the engine answered it.
-    Said { id: RequestId, holder: ServerId, round: u32, engine: ServerId, heard: bool },
+    ReleaseCallEnded {
+        id: RequestId,
+        holder: ServerId,
+        release_number: u32,
+        engine: ServerId,
+        acknowledged: bool,
+    },
     /// The node shuts down within this time.
-    Stopping { within: Time },
+    ShuttingDown { within: Time },
     /// New settings with the same classes, kinds and zones.
     Settings { settings: Box<Settings> },
 }
 
 /// The final answer to a client that gets no stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Last {
+pub enum FinalAnswer {
     /// The request was rejected and did not run, so the client may retry.
     Refused {
         /// How long the client is advised to wait before it retries, in microseconds; 0 for no advice.
@@ -50,17 +63,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Sends an attempt to a server. `harmless`: the request has no effect or may be repeated.
-    Send { id: RequestId, attempt: u32, server: ServerId, dial: SocketAddr, timeout: Time, harmless: bool },
+    Send {
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        address: SocketAddr,
+        timeout: Time,
+        is_repeatable: bool,
+    },
     /// Stops an attempt that has not been written yet because its engine drains or has left the list.
-    Withdraw { id: RequestId, attempt: u32 },
+    WithdrawAttempt { id: RequestId, attempt: u32 },
     /// Cancels an attempt.
     Cancel { id: RequestId, attempt: u32 },
     /// Ends a running stream; the client retries elsewhere.
-    Move { id: RequestId },
+    EndStream { id: RequestId },
     /// Sends the final answer to a client.
     Answer {
         id: RequestId,
-        last: Last,
+        last: FinalAnswer,
         /// Number of attempts. With `last_outcome` it explains why the answer is not an engine's.
         attempts: u32,
         /// Outcome of the last attempt.
@@ -72,15 +92,15 @@
         trace: Box<str>,
         holder: ServerId,
         /// Number of the release within its request.
-        round: u32,
+        release_number: u32,
         /// The engine to call. Every engine forwards a release to the holder.
         engine: ServerId,
-        dial: SocketAddr,
+        address: SocketAddr,
     },
     /// Probes a server.
-    Probe { server: ServerId, dial: SocketAddr },
+    Probe { server: ServerId, address: SocketAddr },
     /// Drops a request; no further command names its id.
-    Forget { id: RequestId },
+    RemoveRequest { id: RequestId },
 }
 
 /// What a node has counted since its start.
--- a/crates/platform/src/hub/mod.rs
+++ b/crates/platform/src/hub/mod.rs
@@ -17,14 +17,14 @@
     Time,
 };
 
-use crate::counting::{Counting, RequestEnd};
+use crate::counting::{ClassCounts, RequestEnd};
 use crate::engine_start::EngineStarts;
 use crate::leases::Leases;
 use crate::list::{Directory, Host, List};
 use crate::reach::Reachability;
 use crate::report;
 
-pub use messages::{Command, Counts, Input, Last};
+pub use messages::{Command, Counts, FinalAnswer, Input};
 use release::WaveTimer;
 use requests::AttemptEnd;
 
@@ -79,7 +79,7 @@
     actions: Vec<Action>,
     counts: Counts,
     /// Counts by class for the agent on this node's machine; `None` unless the configuration asks for them.
-    counting: Option<Counting>,
+    counting: Option<ClassCounts>,
 }
 
 impl Hub {
@@ -118,37 +118,37 @@
     }
 
     /// Starts counting by class, for the agent on this node's machine.
-    pub fn count(&mut self, counting: Counting) {
+    pub fn enable_counting(&mut self, counting: ClassCounts) {
         self.counting = Some(counting);
     }
 
     /// Returns the counts by class, if they are enabled.
-    pub fn counting(&mut self) -> Option<&mut Counting> {
+    pub fn counting_mut(&mut self) -> Option<&mut ClassCounts> {
         self.counting.as_mut()
     }
 
     /// Returns the number of open requests and the number of requests for which KV state may be held.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn open_and_held_counts(&self) -> (usize, usize) {
         (self.open_requests.len(), self.leases.len())
     }
 
     /// Returns the number of servers that the module's passes over the list have examined since the start.
-    pub fn examined(&self) -> u64 {
+    pub fn examined_servers(&self) -> u64 {
         self.router.examined_servers()
     }
 
     /// Returns the number of requests with a release that no engine has acknowledged yet.
-    pub fn letting_go(&self) -> usize {
+    pub fn pending_releases(&self) -> usize {
         self.leases.pending_releases()
     }
 
     /// Returns the number of listed servers.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.directory.len()
     }
 
     /// Returns the number of attempts that the module counts at each address. The node compares it with its open sockets.
-    pub fn in_flight(&self) -> BTreeMap<SocketAddr, usize> {
+    pub fn attempts_by_address(&self) -> BTreeMap<SocketAddr, usize> {
         let mut by_address = BTreeMap::new();
         for address in self.open_requests.values().filter_map(|request| request.in_flight.as_ref()?.address) {
             *by_address.entry(address).or_insert(0) += 1;
@@ -156,7 +156,7 @@
         by_address
     }
 
-    /// Returns the time at which [`Hub::wake`] is to be called next.
+    /// Returns the time at which [`Hub::run_due_timers`] is to be called next.
     pub fn next_timer(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let wave = self.wave_timers.peek().map(|Reverse(timer)| timer.at);
@@ -164,7 +164,7 @@
     }
 
     /// Runs the timers that are due. Called at or after the time of the next timer.
-    pub fn wake(&mut self, now: Time, commands: &mut Vec<Command>) {
+    pub fn run_due_timers(&mut self, now: Time, commands: &mut Vec<Command>) {
         while let Some(Reverse((at, name))) = self.timers.peek().copied() {
             if at > now {
                 break;
@@ -188,7 +188,7 @@
     pub fn handle(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
         match input {
             Input::Arrived { id, ask } => self.handle_arrival(now, id, ask, commands),
-            Input::Gone { id } => {
+            Input::ClientDisconnected { id } => {
                 if let Some(request) = self.open_requests.get_mut(&id).filter(|request| !request.is_finished)
                 {
                     request.is_finished = true;
@@ -199,19 +199,19 @@
                     self.events.push_back(Event::ClientGone { id });
                 }
             }
-            Input::First { id, attempt } => self.handle_first_event(now, id, attempt),
-            Input::Ended { id, attempt, outcome, note, report, events } => {
+            Input::FirstEvent { id, attempt } => self.handle_first_event(now, id, attempt),
+            Input::AttemptEnded { id, attempt, outcome, note, report, events } => {
                 self.handle_attempt_end(now, AttemptEnd { id, attempt, outcome, note, report, events });
             }
-            Input::Probed { server, outcome, report } => {
+            Input::ProbeEnded { server, outcome, report } => {
                 self.record_outcome(&server, outcome, now);
                 let load = report.as_deref().and_then(|text| report::parse(text, &self.report_fields));
                 self.counts.probes_unread += u64::from(load.is_none());
                 self.events.push_back(Event::Probed { server, outcome, took: 0, load });
             }
             Input::WallClock { ahead } => self.engine_starts.set_wall_clock_offset(ahead),
-            Input::Listed { list, restored } => self.apply_list(now, list, restored, commands),
-            Input::Stopping { within } => self.events.push_back(Event::Stopping { within }),
+            Input::ListReceived { list, restored } => self.apply_list(now, list, restored, commands),
+            Input::ShuttingDown { within } => self.events.push_back(Event::Stopping { within }),
             Input::Settings { settings } => {
                 self.report_fields = settings.report_fields.clone();
                 self.roles = settings.roles.clone();
@@ -220,7 +220,7 @@
                 (self.zone, self.release_time_limit) = (settings.zone, settings.release_time_limit);
                 self.router.update_settings(*settings);
             }
-            Input::Said { id, holder, round, engine, heard } => {
+            Input::ReleaseCallEnded { id, holder, release_number: round, engine, acknowledged: heard } => {
                 self.record_contact(&engine, heard, now);
                 if let Some(wave) = self.leases.handle_call_end(id, &holder, round, heard, now) {
                     self.counts.releases_again += 1;
@@ -236,14 +236,14 @@
         for Host { entry, .. } in &mut list.hosts {
             entry.ready_at = self.engine_starts.to_node_clock(&entry.server, entry.ready_at, now);
         }
-        if list.whole {
+        if list.is_complete {
             self.readers.clear();
         }
         for host in &list.hosts {
             let is_reader = self.roles.get(host.entry.kind) == Some(&Role::Prefill);
             self.readers.insert(host.entry.server.clone(), is_reader);
         }
-        let (mode, entries) = self.directory.take(list, restored);
+        let (mode, entries) = self.directory.apply(list, restored);
         let directory = &self.directory;
         self.readers.retain(|server, _| directory.address(server).is_some());
         self.reachability.retain_listed(directory);
@@ -259,7 +259,7 @@
             if let Some(attempt) =
                 request.in_flight.as_ref().filter(|attempt| !self.directory.is_running(&attempt.server))
             {
-                commands.push(Command::Withdraw { id: *id, attempt: attempt.attempt });
+                commands.push(Command::WithdrawAttempt { id: *id, attempt: attempt.attempt });
             }
         }
     }
@@ -288,9 +288,9 @@
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(now, id, server, timeout, commands),
             Action::Refuse { id, retry_after } => {
-                self.answer_client(now, id, Last::Refused { retry_after }, commands)
+                self.answer_client(now, id, FinalAnswer::Refused { retry_after }, commands)
             }
-            Action::Fail { id } => self.answer_client(now, id, Last::Failed, commands),
+            Action::Fail { id } => self.answer_client(now, id, FinalAnswer::Failed, commands),
             Action::Cancel { id, attempt } => commands.push(Command::Cancel { id, attempt }),
             Action::Release { id } => {
                 for wave in self.leases.start_release(id, now, self.release_time_limit) {
@@ -300,7 +300,7 @@
             Action::Probe { server } => {
                 self.counts.probes += 1;
                 match self.directory.address(&server) {
-                    Some(dial) => commands.push(Command::Probe { server, dial }),
+                    Some(dial) => commands.push(Command::Probe { server, address: dial }),
                     None => self.events.push_back(Event::Probed {
                         server,
                         outcome: Outcome::NoConnection,
@@ -314,7 +314,7 @@
             Action::Subscribe => {
                 self.events.push_back(Event::Servers { mode: ListMode::Changes, entries: Vec::new() });
             }
-            Action::Move { id } => commands.push(Command::Move { id }),
+            Action::Move { id } => commands.push(Command::EndStream { id }),
         }
     }
 }
--- a/crates/platform/src/hub/release.rs
+++ b/crates/platform/src/hub/release.rs
@@ -83,7 +83,14 @@
         for (engine, dial) in targets {
             self.counts.releases += 1;
             let (trace, holder) = (wave.trace.clone(), wave.holder.clone());
-            commands.push(Command::Release { id, trace, holder, round, engine, dial });
+            commands.push(Command::Release {
+                id,
+                trace,
+                holder,
+                release_number: round,
+                engine,
+                address: dial,
+            });
         }
     }
 }
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -3,8 +3,8 @@
 
 use elderstage::{Arrival, Event, Outcome, RequestId, ServerId, Time};
 
-use super::{Command, Hub, InFlightAttempt, Last, OpenRequest};
-use crate::ask::Ask;
+use super::{Command, FinalAnswer, Hub, InFlightAttempt, OpenRequest};
+use crate::ask::ClientRequest;
 use crate::counting::RequestEnd;
 use crate::report;
 
@@ -29,20 +29,26 @@
 
 impl Hub {
     /// Opens a request, unless another request with the same id is open.
-    pub(super) fn handle_arrival(&mut self, now: Time, id: RequestId, ask: Ask, commands: &mut Vec<Command>) {
-        if self.ids_by_trace.contains_key(&ask.trace) {
-            commands.push(Command::Answer { id, last: Last::Open, attempts: 0, last_outcome: None });
-            commands.push(Command::Forget { id });
+    pub(super) fn handle_arrival(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        ask: ClientRequest,
+        commands: &mut Vec<Command>,
+    ) {
+        if self.ids_by_trace.contains_key(&ask.request_id) {
+            commands.push(Command::Answer { id, last: FinalAnswer::Open, attempts: 0, last_outcome: None });
+            commands.push(Command::RemoveRequest { id });
             return;
         }
         self.counts.taken += 1;
         if let Some(counting) = &mut self.counting {
             counting.record_arrival(now, id, ask.arrival.class, ask.arrival.prompt_tokens);
         }
-        self.ids_by_trace.insert(ask.trace.clone(), id);
+        self.ids_by_trace.insert(ask.request_id.clone(), id);
         let is_repeatable = self.repeatable_classes.get(ask.arrival.class).copied().unwrap_or(false);
         let request = OpenRequest {
-            trace: ask.trace,
+            trace: ask.request_id,
             is_repeatable,
             attempts: 0,
             last_outcome: None,
@@ -141,7 +147,14 @@
         // A read creates KV state of its own and fetches none.
         self.leases.start_attempt(id, !is_prompt_read);
         match address {
-            Some(dial) => commands.push(Command::Send { id, attempt, server, dial, timeout, harmless }),
+            Some(dial) => commands.push(Command::Send {
+                id,
+                attempt,
+                server,
+                address: dial,
+                timeout,
+                is_repeatable: harmless,
+            }),
             None => {
                 self.handle_attempt_end(now, AttemptEnd::without_answer(id, attempt, Outcome::NoConnection))
             }
@@ -153,18 +166,18 @@
         &mut self,
         now: Time,
         id: RequestId,
-        last: Last,
+        last: FinalAnswer,
         commands: &mut Vec<Command>,
     ) {
         let Some(request) = self.open_requests.get_mut(&id) else { return };
         if !request.is_finished {
             request.is_finished = true;
             match last {
-                Last::Refused { .. } => self.counts.refused += 1,
+                FinalAnswer::Refused { .. } => self.counts.refused += 1,
                 _ => self.counts.failed += 1,
             }
             if let Some(counting) = &mut self.counting {
-                let refused = matches!(last, Last::Refused { .. });
+                let refused = matches!(last, FinalAnswer::Refused { .. });
                 counting.record_end(now, id, if refused { RequestEnd::Refused } else { RequestEnd::Failed });
             }
             let (attempts, last_outcome) = (request.attempts, request.last_outcome);
@@ -182,7 +195,7 @@
             && let Some(request) = self.open_requests.remove(&id)
         {
             self.ids_by_trace.remove(&request.trace);
-            commands.push(Command::Forget { id });
+            commands.push(Command::RemoveRequest { id });
         }
     }
 }
--- a/crates/platform/src/kept.rs
+++ b/crates/platform/src/kept.rs
@@ -15,21 +15,21 @@
 
 /// How well reuse of connections has worked lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Kept {
+pub struct ReuseMonitor {
     /// Number of breaks, in which older ones count less.
     recent_breaks: f64,
     /// Harmless requests while connections are not reused.
     untrusted_requests: u32,
 }
 
-impl Kept {
+impl ReuseMonitor {
     /// Returns whether connections are reused for all requests.
     pub fn is_trusted(&self) -> bool {
         self.recent_breaks <= MAX_RECENT_BREAKS
     }
 
     /// Returns whether the next request may reuse a connection. `harmless`: it may be repeated, whatever its outcome.
-    pub fn may_use(&mut self, harmless: bool) -> bool {
+    pub fn should_reuse(&mut self, harmless: bool) -> bool {
         if self.is_trusted() {
             return true;
         }
@@ -41,7 +41,7 @@
     }
 
     /// Records the result of a reuse: the request was answered, or the connection `broke` before a byte of an answer.
-    pub fn told(&mut self, broke: bool) {
+    pub fn record_reuse(&mut self, broke: bool) {
         self.recent_breaks = self.recent_breaks * DECAY + f64::from(u8::from(broke));
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -72,9 +72,9 @@
 #[derive(Clone, Debug)]
 pub struct List {
     /// Version of the list.
-    pub seq: u64,
+    pub version: u64,
     /// The list replaces all earlier ones; otherwise it holds changes only.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The servers, in the order of the list.
     pub hosts: Vec<Host>,
 }
@@ -135,12 +135,12 @@
             };
             hosts.push(Host { entry, address });
         }
-        Ok(List { seq: list.seq, whole: list.whole, hosts })
+        Ok(List { version: list.seq, is_complete: list.whole, hosts })
     }
 
     /// Applies a list and returns the entries for the module. `restored` marks the list that was known before a restart.
-    pub fn take(&mut self, list: List, restored: bool) -> (ListMode, Vec<ServerEntry>) {
-        if list.whole {
+    pub fn apply(&mut self, list: List, restored: bool) -> (ListMode, Vec<ServerEntry>) {
+        if list.is_complete {
             self.servers.clear();
             self.running_by_zone.clear();
         }
@@ -149,7 +149,7 @@
             self.insert(&host);
             entries.push(host.entry);
         }
-        let mode = match (restored, list.whole) {
+        let mode = match (restored, list.is_complete) {
             (true, _) => ListMode::Restored,
             (_, true) => ListMode::Full,
             _ => ListMode::Changes,
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -14,7 +14,7 @@
 
 /// Why a configuration is rejected.
 #[derive(Debug, Error)]
-pub enum StartError {
+pub enum ConfigError {
     /// The text is not valid JSON.
     #[error("bad JSON: {0}")]
     Json(#[from] serde_json::Error),
@@ -34,7 +34,7 @@
 
 /// The resources that this node may use on its machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct ResourceLimits {
     /// CPU time, in cores.
     pub cores: f64,
     /// Memory in megabytes.
@@ -45,7 +45,7 @@
 
 /// The configuration of a node.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct NodeConfig {
     /// Name of the node.
     pub name: String,
     /// Address on which the node accepts clients.
@@ -55,7 +55,7 @@
     /// Seed of the module's random choices.
     pub seed: u64,
     /// Resources that the node may use.
-    pub allowed: Allowed,
+    pub allowed: ResourceLimits,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names in the settings, and limits that concern sockets.
@@ -79,7 +79,7 @@
 const MAX_RELEASE_BYTES: usize = 64;
 
 impl TallyTarget {
-    fn parse(value: Option<&Value>) -> Result<Option<TallyTarget>, StartError> {
+    fn parse(value: Option<&Value>) -> Result<Option<TallyTarget>, ConfigError> {
         let Some(value) = value.filter(|value| !value.is_null()) else { return Ok(None) };
         let text_value =
             |key: &str| value.get(key).and_then(Value::as_str).filter(|text_value| !text_value.is_empty());
@@ -94,18 +94,18 @@
 }
 
 /// Returns the value of a required key.
-fn required_value<'a>(root: &'a Value, key: &'static str) -> Result<&'a Value, StartError> {
-    root.get(key).filter(|value| !value.is_null()).ok_or(StartError::Missing(key))
+fn required_value<'a>(root: &'a Value, key: &'static str) -> Result<&'a Value, ConfigError> {
+    root.get(key).filter(|value| !value.is_null()).ok_or(ConfigError::Missing(key))
 }
 
 /// The error of a key with an invalid value.
-fn invalid(key: &'static str, value: &Value, expected: &'static str) -> StartError {
-    StartError::Invalid { key, value: value.to_string(), expected }
+fn invalid(key: &'static str, value: &Value, expected: &'static str) -> ConfigError {
+    ConfigError::Invalid { key, value: value.to_string(), expected }
 }
 
 /// Values from the environment. The configuration file takes precedence, because it can be replaced while the node runs.
 #[derive(Clone, Debug, Default)]
-pub struct Companions {
+pub struct EnvironmentOverrides {
     /// Name of the node.
     pub name: Option<String>,
     /// Address on which the node accepts clients.
@@ -119,7 +119,7 @@
     root: &Value,
     key: &'static str,
     from_environment: Option<&String>,
-) -> Result<SocketAddr, StartError> {
+) -> Result<SocketAddr, ConfigError> {
     let from_environment = from_environment.map(|text| Value::from(text.as_str()));
     let value = required_value(root, key).or_else(|error| from_environment.as_ref().ok_or(error))?;
     value
@@ -129,7 +129,7 @@
 }
 
 /// Parses a limit above 0; `absent` is the value if it is missing.
-fn parse_limit(limits: &Value, key: &'static str, absent: f64) -> Result<f64, StartError> {
+fn parse_limit(limits: &Value, key: &'static str, absent: f64) -> Result<f64, ConfigError> {
     match limits.get(key) {
         None | Some(Value::Null) => Ok(absent),
         Some(value) => {
@@ -146,9 +146,9 @@
 /// File descriptors where the configuration gives no limit, as on a common machine.
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
 
-impl Start {
+impl NodeConfig {
     /// Parses the text of a configuration file. Values that the file lacks are taken from the environment.
-    pub fn parse(text: &str, environment: &Companions) -> Result<Start, StartError> {
+    pub fn parse(text: &str, environment: &EnvironmentOverrides) -> Result<NodeConfig, ConfigError> {
         let root: Value = serde_json::from_str(text)?;
         if !root.is_object() {
             return Err(invalid("configuration", &Value::Null, "an object"));
@@ -164,7 +164,7 @@
             }
         };
         let limits = root.get("limits").unwrap_or(&Value::Null);
-        let allowed = Allowed {
+        let allowed = ResourceLimits {
             cores: parse_limit(limits, "cores", DEFAULT_CORES)?,
             memory_mb: parse_limit(limits, "memory_mb", DEFAULT_MEMORY_MB)? as u64,
             descriptors: parse_limit(limits, "sockets", DEFAULT_DESCRIPTORS)? as u64,
@@ -174,12 +174,12 @@
             (settings::from_value(settings_value)?, settings::read_names(settings_value)?);
         check(&settings, &names)?;
         let known = match root.get("known") {
-            None | Some(Value::Null) => List { seq: 0, whole: true, hosts: Vec::new() },
+            None | Some(Value::Null) => List { version: 0, is_complete: true, hosts: Vec::new() },
             Some(value) => Directory::read(value, &names)?,
         };
         let name = root.get("name").and_then(Value::as_str).map(str::to_owned);
         let name = name.or_else(|| environment.name.clone()).unwrap_or_default();
-        Ok(Start {
+        Ok(NodeConfig {
             name,
             listen: parse_address(&root, "listen", environment.listen.as_ref())?,
             discovery: parse_address(&root, "discovery", environment.discovery.as_ref())?,
@@ -193,7 +193,7 @@
     }
 
     /// Returns the part of another configuration that a running node cannot adopt without a restart, if there is one.
-    pub fn needs_restart(&self, other: &Start) -> Option<&'static str> {
+    pub fn needs_restart(&self, other: &NodeConfig) -> Option<&'static str> {
         if self.listen != other.listen {
             return Some("listen");
         }
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -30,7 +30,7 @@
 
 /// The state of a stream.
 #[derive(Debug)]
-pub struct Stream {
+pub struct EventStream {
     body: Body,
     /// Content of chunks; the last bytes may belong to an incomplete chunk.
     buffer: Vec<u8>,
@@ -53,17 +53,17 @@
     pub events: u64,
 }
 
-impl Default for Stream {
-    fn default() -> Stream {
-        Stream::new()
+impl Default for EventStream {
+    fn default() -> EventStream {
+        EventStream::new()
     }
 }
 
-impl Stream {
+impl EventStream {
     /// Creates the state before the first byte of a stream.
-    pub fn new() -> Stream {
+    pub fn new() -> EventStream {
         let body = Body::new(Framing::Chunked).with_most_chunk(MAX_CHUNK_BYTES);
-        Stream {
+        EventStream {
             body,
             buffer: Vec::new(),
             has_end_mark: false,
@@ -74,17 +74,17 @@
     }
 
     /// Returns whether the last chunk has come.
-    pub fn done(&self) -> bool {
+    pub fn is_ended(&self) -> bool {
         self.body.done()
     }
 
     /// Returns whether the stream ended completely: with the end mark, and without a partial event after it.
-    pub fn whole(&self) -> bool {
-        self.done() && self.has_end_mark && self.buffer.is_empty()
+    pub fn is_complete(&self) -> bool {
+        self.is_ended() && self.has_end_mark && self.buffer.is_empty()
     }
 
     /// Returns what the stream reported.
-    pub fn told(self) -> StreamSummary {
+    pub fn into_summary(self) -> StreamSummary {
         StreamSummary { cached: self.cached_tokens, report: self.report, events: self.forwarded_events }
     }
 
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -1,4 +1,4 @@
-//! Splits a stream of bytes into complete JSON objects. It does not parse their content. An object that exceeds [`MOST`] bytes
+//! Splits a stream of bytes into complete JSON objects. It does not parse their content. An object that exceeds [`MAX_OBJECT_BYTES`] bytes
 //! is rejected, so that the buffer stays bounded.
 //!
 //! Discovery writes one object per line or spreads an object over indented lines, so the end of an object is found by its
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// Largest object in bytes: a list of about 10,000 servers.
-pub const MOST: usize = 4 << 20;
+pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// Why the bytes cannot be split into objects. The start of the next object cannot be found after such an error.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     #[error("an object is incomplete: a line break in a string or an empty line inside the object")]
     Incomplete,
     /// An object exceeds the bound.
-    #[error("an object is larger than {MOST} bytes")]
+    #[error("an object is larger than {MAX_OBJECT_BYTES} bytes")]
     TooLarge,
 }
 
@@ -103,7 +103,7 @@
                 _ => self.is_line_blank = false,
             }
         }
-        if self.buffer.len() > MOST { Err(SplitError::TooLarge) } else { Ok(None) }
+        if self.buffer.len() > MAX_OBJECT_BYTES { Err(SplitError::TooLarge) } else { Ok(None) }
     }
 
     /// Removes the scanned bytes from the buffer and returns them.
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -73,20 +73,20 @@
     }
 
     /// Starts a new watch and returns the version from which it requests changes.
-    pub fn begin(&mut self, now: Time) -> u64 {
+    pub fn start(&mut self, now: Time) -> u64 {
         self.objects = ObjectSplitter::default();
         (self.started_at, self.deadline) = (now, now + HEAD_TIMEOUT);
         self.seq
     }
 
     /// Records that the head of the answer has come.
-    pub fn answered(&mut self, now: Time) {
+    pub fn record_head(&mut self, now: Time) {
         self.deadline = now + HEARTBEAT_INTERVAL + HEARTBEAT_SLACK;
     }
 
     /// Takes bytes of the body and returns the lists that are complete. After an error the next watch starts with the whole
     /// list, so that no change of this watch is lost.
-    pub fn take(&mut self, now: Time, bytes: &[u8], names: &SettingNames) -> Result<Vec<List>, WatchError> {
+    pub fn push(&mut self, now: Time, bytes: &[u8], names: &SettingNames) -> Result<Vec<List>, WatchError> {
         let mut lists = Vec::new();
         self.objects.push(bytes);
         let parsed = self.parse_lists(now, names, &mut lists);
@@ -106,7 +106,7 @@
             if let Item::Object(text) = item {
                 let list = Directory::parse(&text, names)?;
                 self.check_version(now, &list)?;
-                self.seq = list.seq;
+                self.seq = list.version;
                 lists.push(list);
             }
         }
@@ -116,14 +116,14 @@
     /// Rejects a list that is older than the newest one, because it would undo a drain that is already known. A whole list
     /// is accepted if only older versions have come for [`RENUMBERED_AFTER`].
     fn check_version(&mut self, now: Time, list: &List) -> Result<(), WatchError> {
-        if list.seq < self.newest {
+        if list.version < self.newest {
             let since = *self.older_since.get_or_insert(now);
-            if !(list.whole && now >= since + RENUMBERED_AFTER) {
-                return Err(WatchError::OlderVersion { found: list.seq, known: self.newest });
+            if !(list.is_complete && now >= since + RENUMBERED_AFTER) {
+                return Err(WatchError::OlderVersion { found: list.version, known: self.newest });
             }
         }
         self.older_since = None;
-        self.newest = list.seq;
+        self.newest = list.version;
         Ok(())
     }
 
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -2,13 +2,13 @@
 
 use elderstage::settings::SettingNames;
 use elderstage::{ListMode, Outcome, ReportField, ServerStatus, Time};
-use elderstage_platform::ask::{self, Ask, MOST_BODY, Refusal, Wanted};
+use elderstage_platform::ask::{self, ClientRequest, MAX_BODY_BYTES, Refusal, RequestKind};
 use elderstage_platform::forward;
 use elderstage_platform::list::Directory;
-use elderstage_platform::reply::{self, Cut, Reached, Verdict};
+use elderstage_platform::reply::{self, AbortReason, AnswerKind, WriteProgress};
 use elderstage_platform::report;
-use elderstage_platform::start::{Companions, Start, StartError};
-use elderstage_platform::stream::{Stream, StreamError};
+use elderstage_platform::start::{ConfigError, EnvironmentOverrides, NodeConfig};
+use elderstage_platform::stream::{EventStream, StreamError};
 use elderstage_protocol::http::{self, HttpError, Limits, Request, Response};
 use proptest::prelude::*;
 
@@ -27,8 +27,8 @@
     }
 }
 
-fn parse_configuration(text: &str) -> Result<Start, StartError> {
-    Start::parse(text, &Companions::default())
+fn parse_configuration(text: &str) -> Result<NodeConfig, ConfigError> {
+    NodeConfig::parse(text, &EnvironmentOverrides::default())
 }
 
 /// Parses the head of a request.
@@ -43,19 +43,19 @@
                     X-Props: prefix=opening-1,prompt_len=5120,prefix_len=2048,max_out=800\nContent-Length: 2";
 
 /// Parses [`VALID_HEAD`] with one replacement.
-fn ask_with_change(from: &str, to: &str) -> Result<Ask, Refusal> {
+fn ask_with_change(from: &str, to: &str) -> Result<ClientRequest, Refusal> {
     assert!(VALID_HEAD.contains(from));
-    Ask::read(&request_head(&VALID_HEAD.replace(from, to)), 2, &names(), LONGEST_WAIT)
+    ClientRequest::parse(&request_head(&VALID_HEAD.replace(from, to)), 2, &names(), LONGEST_WAIT)
 }
 
 #[test]
 fn a_request_becomes_an_arrival_for_the_module() {
     let head = request_head(VALID_HEAD);
-    assert_eq!(ask::wanted(&head), Ok(Wanted::Chat));
-    let read = Ask::read(&head, 2, &names(), LONGEST_WAIT).unwrap();
+    assert_eq!(ask::classify_head(&head), Ok(RequestKind::Chat));
+    let read = ClientRequest::parse(&head, 2, &names(), LONGEST_WAIT).unwrap();
     let ask = read.arrival;
     assert_eq!(
-        (&*read.trace, ask.class, ask.time_left, ask.output_time_hint),
+        (&*read.request_id, ask.class, ask.time_left, ask.output_time_hint),
         ("9b1f03aa", 1, 4_800_000, 90_000)
     );
     assert_eq!((ask.prompt_tokens, ask.shared_tokens, ask.max_output_tokens), (5120.0, 2048.0, 800.0));
@@ -67,7 +67,7 @@
     // Where the client gives no prompt length, the length of the body counts: four characters for each token.
     let without_props = VALID_HEAD.split("\nX-Props").next().unwrap();
     assert_eq!(
-        Ask::read(&self::request_head(without_props), 400, &names(), LONGEST_WAIT)
+        ClientRequest::parse(&self::request_head(without_props), 400, &names(), LONGEST_WAIT)
             .unwrap()
             .arrival
             .prompt_tokens,
@@ -101,14 +101,15 @@
 
 #[test]
 fn a_request_is_refused_by_its_head_before_its_body_is_read() {
-    let wanted_with_change = |from: &str, to: &str| ask::wanted(&request_head(&VALID_HEAD.replace(from, to)));
+    let wanted_with_change =
+        |from: &str, to: &str| ask::classify_head(&request_head(&VALID_HEAD.replace(from, to)));
     assert_eq!(
-        wanted_with_change("Content-Length: 2", &format!("Content-Length: {}", MOST_BODY + 1)),
+        wanted_with_change("Content-Length: 2", &format!("Content-Length: {}", MAX_BODY_BYTES + 1)),
         Err(Refusal::TooLarge)
     );
     assert_eq!(
-        wanted_with_change("Content-Length: 2", &format!("Content-Length: {MOST_BODY}")),
-        Ok(Wanted::Chat)
+        wanted_with_change("Content-Length: 2", &format!("Content-Length: {MAX_BODY_BYTES}")),
+        Ok(RequestKind::Chat)
     );
     let duplicate = Err(Refusal::Duplicate("content-length"));
     assert_eq!(wanted_with_change("Content-Length: 2", "Content-Length: 2\nContent-Length: 2"), duplicate);
@@ -133,28 +134,43 @@
 
 #[test]
 fn the_outcome_of_an_attempt_follows_from_its_answer_or_its_end() {
-    let verdict = |text: &str| reply::verdict(&response_head(text));
-    assert_eq!(verdict("HTTP/1.1 200 OK\nTransfer-Encoding: chunked"), Verdict::Stream);
-    assert_eq!(verdict("HTTP/1.1 202 Accepted\nContent-Length: 20"), Verdict::Read);
-    let full = Verdict::Ended(Outcome::Full, 0);
+    let verdict = |text: &str| reply::classify_answer(&response_head(text));
+    assert_eq!(verdict("HTTP/1.1 200 OK\nTransfer-Encoding: chunked"), AnswerKind::Stream);
+    assert_eq!(verdict("HTTP/1.1 202 Accepted\nContent-Length: 20"), AnswerKind::Read);
+    let full = AnswerKind::Ended(Outcome::Full, 0);
     assert_eq!(verdict("HTTP/1.1 503 Busy\nX-Never-Ran: 1\nContent-Length: 0"), full);
     assert_eq!(verdict("HTTP/1.1 504 Over\nX-Never-Ran: 1\nContent-Length: 0"), full);
     assert_eq!(
         verdict("HTTP/1.1 410 Gone\nX-Never-Ran: 1\nContent-Length: 0"),
-        Verdict::Ended(Outcome::Full, 1)
+        AnswerKind::Ended(Outcome::Full, 1)
     );
     // Without the header that proves otherwise the request may have run, whatever the status.
     for status in ["500 Error", "503 Busy", "504 Over", "410 Gone", "429 Many", "400 Bad", "204 Nothing"] {
         let text = format!("HTTP/1.1 {status}\nX-Never-Ran: 0\nContent-Length: 0");
-        assert_eq!(verdict(&text), Verdict::Ended(Outcome::Error, 0), "{status}");
+        assert_eq!(verdict(&text), AnswerKind::Ended(Outcome::Error, 0), "{status}");
     }
-    assert_eq!(reply::without_answer(Reached::NotWhole, Cut::Broken), Outcome::NoConnection);
-    assert_eq!(reply::without_answer(Reached::NotWhole, Cut::TimedOut), Outcome::NoConnection);
-    assert_eq!(reply::without_answer(Reached::NotWhole, Cut::Cancelled), Outcome::NotSent);
-    assert_eq!(reply::without_answer(Reached::Whole, Cut::Broken), Outcome::Broken);
-    assert_eq!(reply::without_answer(Reached::Whole, Cut::TimedOut), Outcome::TimedOut);
-    assert_eq!(reply::without_answer(Reached::Whole, Cut::Cancelled), Outcome::Cancelled);
-    assert_eq!((reply::cached(b"{\"cached_tokens\":4096}"), reply::cached(b"what")), (4096, 0));
+    assert_eq!(
+        reply::outcome_without_answer(WriteProgress::NotWhole, AbortReason::Broken),
+        Outcome::NoConnection
+    );
+    assert_eq!(
+        reply::outcome_without_answer(WriteProgress::NotWhole, AbortReason::TimedOut),
+        Outcome::NoConnection
+    );
+    assert_eq!(
+        reply::outcome_without_answer(WriteProgress::NotWhole, AbortReason::Cancelled),
+        Outcome::NotSent
+    );
+    assert_eq!(reply::outcome_without_answer(WriteProgress::Whole, AbortReason::Broken), Outcome::Broken);
+    assert_eq!(reply::outcome_without_answer(WriteProgress::Whole, AbortReason::TimedOut), Outcome::TimedOut);
+    assert_eq!(
+        reply::outcome_without_answer(WriteProgress::Whole, AbortReason::Cancelled),
+        Outcome::Cancelled
+    );
+    assert_eq!(
+        (reply::parse_cached_tokens(b"{\"cached_tokens\":4096}"), reply::parse_cached_tokens(b"what")),
+        (4096, 0)
+    );
 }
 
 const EVENTS: [&str; 3] = [
@@ -178,7 +194,7 @@
         let comment = ": Endpoint-Load-Metrics: TEXT util=0.5\n\n";
         let mut bytes = chunked(&[EVENTS[0], comment, EVENTS[1], EVENTS[2]]);
         bytes.extend_from_slice(b"HTTP/1.1 200 OK\r\n");
-        let (mut stream, mut out, mut at, mut taken) = (Stream::new(), Vec::new(), 0, 0);
+        let (mut stream, mut out, mut at, mut taken) = (EventStream::new(), Vec::new(), 0, 0);
         for cut in cuts.iter().cycle() {
             let end = (at + cut).min(bytes.len());
             taken += stream.push(&bytes[at..end], &mut out).unwrap();
@@ -189,20 +205,20 @@
         }
         prop_assert_eq!(String::from_utf8(out).unwrap(), EVENTS.concat());
         prop_assert_eq!(taken, bytes.len() - b"HTTP/1.1 200 OK\r\n".len());
-        prop_assert!(stream.whole());
-        let summary = stream.told();
+        prop_assert!(stream.is_complete());
+        let summary = stream.into_summary();
         prop_assert_eq!((summary.cached, summary.report.is_some()), (64, true));
     }
 
     /// No bytes from an engine, discovery or a configuration file make a parser panic.
     #[test]
     fn arbitrary_bytes_are_parsed_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = Stream::new().push(&bytes, &mut Vec::new());
+        let _ = EventStream::new().push(&bytes, &mut Vec::new());
         let _ = Directory::parse(&bytes, &names());
         let text = String::from_utf8_lossy(&bytes);
         let _ = report::parse(&text, &[ReportField::Queue]);
         let _ = parse_configuration(&text);
-        let _ = reply::cached(&bytes);
+        let _ = reply::parse_cached_tokens(&bytes);
     }
 }
 
@@ -216,7 +232,7 @@
     ] {
         let mut bytes = chunked(&[EVENTS[0]]);
         bytes.truncate(bytes.len() - http::LAST_CHUNK.len());
-        let (mut stream, mut out) = (Stream::new(), Vec::new());
+        let (mut stream, mut out) = (EventStream::new(), Vec::new());
         assert!(stream.push(&bytes, &mut out).is_ok());
         let result = stream.push(bad.as_bytes(), &mut out);
         assert!(matches!(result, Err(StreamError::Http(HttpError::Chunk))), "{why}: {result:?}");
@@ -227,9 +243,9 @@
 #[test]
 fn a_stream_without_its_end_mark_is_incomplete() {
     let whole = |parts: &[&str]| {
-        let mut stream = Stream::new();
+        let mut stream = EventStream::new();
         let _ = stream.push(&chunked(parts), &mut Vec::new());
-        (stream.done(), stream.whole())
+        (stream.is_ended(), stream.is_complete())
     };
     assert_eq!(whole(&EVENTS), (true, true));
     assert_eq!(whole(&EVENTS[..2]), (true, false), "no end mark");
@@ -238,7 +254,7 @@
         (true, false),
         "a partial event after the end mark"
     );
-    let mut stream = Stream::new();
+    let mut stream = EventStream::new();
     let result = stream.push(&chunked(&["<html>no events</html>\n\n"]), &mut Vec::new());
     assert_eq!(result, Err(StreamError::NotAnEvent));
 }
@@ -280,20 +296,20 @@
         {"host":"a","dial":"127.0.0.1:1","site":"west","class":"writes","block":3,"health":"SERVING","share":1.0,"born_ms":7},
         {"host":"b","dial":"127.0.0.1:2","site":"east","class":"reads","block":1,"health":"DRAINING"}]}"#,
     );
-    let (mode, entries) = directory.take(whole.unwrap(), false);
+    let (mode, entries) = directory.apply(whole.unwrap(), false);
     assert_eq!((mode, entries.len()), (ListMode::Full, 2));
     let a = &entries[0];
     assert_eq!((a.zone, a.kind, a.cell, a.ready_at, a.listed), (1, 1, 3, 7_000, ServerStatus::Running));
     assert_eq!((entries[1].kind, entries[1].listed), (0, ServerStatus::Draining));
     let deletion =
         parse_list(r#"{"seq":5,"whole":false,"hosts":[{"host":"a","health":"DELETED"}]}"#).unwrap();
-    let (mode, entries) = directory.take(deletion, false);
+    let (mode, entries) = directory.apply(deletion, false);
     assert_eq!((mode, entries[0].listed), (ListMode::Changes, ServerStatus::Gone));
     assert_eq!(directory.len(), 1, "a server that has left the list is forgotten");
     let replacement = parse_list(
         r#"{"seq":6,"whole":true,"hosts":[{"host":"c","dial":"127.0.0.1:3","health":"SERVING"}]}"#,
     );
-    directory.take(replacement.unwrap(), false);
+    directory.apply(replacement.unwrap(), false);
     let running = directory.running_by_zone().values().map(|servers| servers.len()).sum::<usize>();
     assert_eq!((directory.len(), running), (1, 1));
     for bad in [
@@ -314,10 +330,15 @@
         "limits":{"connect-timeout-us":250000},"services":[{"name":"plain"}]}}"#;
     let start = parse_configuration(valid).unwrap();
     assert_eq!((start.seed, start.allowed.descriptors), (0x8c1f_30d2_7a5b_e964, 512));
-    let environment = Companions { discovery: Some("127.0.0.1:7".into()), ..Companions::default() };
-    assert_eq!(Start::parse(valid, &environment).unwrap().discovery.port(), 2, "the file takes precedence");
+    let environment =
+        EnvironmentOverrides { discovery: Some("127.0.0.1:7".into()), ..EnvironmentOverrides::default() };
+    assert_eq!(
+        NodeConfig::parse(valid, &environment).unwrap().discovery.port(),
+        2,
+        "the file takes precedence"
+    );
     let without_discovery = valid.replace("\"discovery\":\"127.0.0.1:2\",", "");
-    assert_eq!(Start::parse(&without_discovery, &environment).unwrap().discovery.port(), 7);
+    assert_eq!(NodeConfig::parse(&without_discovery, &environment).unwrap().discovery.port(), 7);
     let needs_restart =
         |from: &str, to: &str| start.needs_restart(&parse_configuration(&valid.replace(from, to)).unwrap());
     assert_eq!(needs_restart("127.0.0.1:2", "127.0.0.1:9"), None, "the address of discovery may change");
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -8,7 +8,7 @@
 use elderstage::{
     Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
 };
-use elderstage_platform::ask::Ask;
+use elderstage_platform::ask::ClientRequest;
 use elderstage_platform::hub::{Command, Hub, Input};
 use elderstage_platform::list::{Host, List};
 
@@ -55,7 +55,11 @@
         Host { entry, address: Some(SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))) }
     };
     let names = [("reader", 0), ("writer-1", 1), ("writer-2", 1), ("writer-3", 1)];
-    List { seq: 1, whole: true, hosts: names.iter().enumerate().map(|(n, of)| host(n, of.0, of.1)).collect() }
+    List {
+        version: 1,
+        is_complete: true,
+        hosts: names.iter().enumerate().map(|(n, of)| host(n, of.0, of.1)).collect(),
+    }
 }
 
 /// Simulates one request whose prompt is read and whose further attempts all have the same result. Returns the longest time
@@ -63,7 +67,7 @@
 /// that had arrived, to the next answered release or the arrival of the next attempt.
 fn longest_hold(settings: Settings, result: FetchResult) -> Time {
     let (mut hub, mut now, mut out) = (Hub::new(settings, 7), 1_000_000 * MS, Vec::new());
-    hub.handle(now, Input::Listed { list: list(), restored: false }, &mut out);
+    hub.handle(now, Input::ListReceived { list: list(), restored: false }, &mut out);
     let id = RequestId(1);
     let arrival = Arrival {
         id,
@@ -72,7 +76,7 @@
         max_output_tokens: 100.0,
         ..Arrival::default()
     };
-    hub.handle(now, Input::Arrived { id, ask: Ask { trace: "a".into(), arrival } }, &mut out);
+    hub.handle(now, Input::Arrived { id, ask: ClientRequest { request_id: "a".into(), arrival } }, &mut out);
     let mut events: BinaryHeap<Reverse<(Time, SimulatedEvent)>> = BinaryHeap::new();
     let (mut held_since, mut has_arrived, mut longest) = (None, false, 0);
     loop {
@@ -95,7 +99,7 @@
                         SimulatedEvent::AttemptEnded(attempt, u8::from(is_prompt_read)),
                     )));
                 }
-                Command::Release { holder, round, engine, .. } => {
+                Command::Release { holder, release_number: round, engine, .. } => {
                     events.push(Reverse((
                         now + ANSWERED_CALL,
                         SimulatedEvent::ReleaseAnswered(holder, round, engine),
@@ -108,7 +112,7 @@
         let Some(at) = hub.next_timer().into_iter().chain(next_event).min() else { break };
         now = now.max(at);
         if next_event != Some(at) {
-            hub.wake(now, &mut out);
+            hub.run_due_timers(now, &mut out);
             continue;
         }
         match events.pop() {
@@ -123,20 +127,24 @@
                     held_since = held_since.filter(|_| prompt_read > 0).or(Some(now));
                 }
                 has_arrived = false;
-                let ended = Input::Ended { id, attempt, outcome, note: 0, report: None, events: 0 };
+                let ended = Input::AttemptEnded { id, attempt, outcome, note: 0, report: None, events: 0 };
                 hub.handle(now, ended, &mut out);
             }
             Some(Reverse((_, SimulatedEvent::ReleaseAnswered(holder, round, engine)))) => {
                 if !has_arrived && let Some(since) = held_since.take() {
                     longest = longest.max(now - since);
                 }
-                hub.handle(now, Input::Said { id, holder, round, engine, heard: true }, &mut out);
+                hub.handle(
+                    now,
+                    Input::ReleaseCallEnded { id, holder, release_number: round, engine, acknowledged: true },
+                    &mut out,
+                );
             }
             None => break,
         }
     }
     assert_eq!(held_since, None, "{result:?}: held state was never released");
-    assert_eq!(hub.held(), (0, 0), "{result:?}: nothing is kept of a finished request");
+    assert_eq!(hub.open_and_held_counts(), (0, 0), "{result:?}: nothing is kept of a finished request");
     longest
 }
 
--- a/crates/platform/tests/hub.rs
+++ b/crates/platform/tests/hub.rs
@@ -6,8 +6,8 @@
 use elderstage::{
     Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
 };
-use elderstage_platform::ask::Ask;
-use elderstage_platform::hub::{Command, Hub, Input, Last};
+use elderstage_platform::ask::ClientRequest;
+use elderstage_platform::hub::{Command, FinalAnswer, Hub, Input};
 use elderstage_platform::list::{Host, List};
 
 const MS: Time = 1_000;
@@ -30,7 +30,7 @@
     Host { entry, address: Some(addr(port)) }
 }
 
-fn ask(trace: &str) -> Ask {
+fn ask(trace: &str) -> ClientRequest {
     let arrival = Arrival {
         id: RequestId(0),
         class: 0,
@@ -45,7 +45,7 @@
         is_repeat: false,
         is_resumed: false,
     };
-    Ask { trace: trace.into(), arrival }
+    ClientRequest { request_id: trace.into(), arrival }
 }
 
 impl Harness {
@@ -57,7 +57,10 @@
             host("spare", 0, 2, ServerStatus::Running),
             host("writer", 1, 3, ServerStatus::Running),
         ];
-        harness.handle(Input::Listed { list: List { seq: 1, whole: true, hosts }, restored: true });
+        harness.handle(Input::ListReceived {
+            list: List { version: 1, is_complete: true, hosts },
+            restored: true,
+        });
         harness
     }
 
@@ -68,7 +71,7 @@
         self.hub.handle(self.now, input, &mut out);
         out.retain(|command| !matches!(command, Command::Probe { .. }));
         for command in &out {
-            if let Command::Release { id, holder, round, .. } = command {
+            if let Command::Release { id, holder, release_number: round, .. } = command {
                 self.last_rounds.insert((*id, holder.clone()), *round);
             }
         }
@@ -81,7 +84,14 @@
 
     /// Ends an attempt.
     fn end_attempt(&mut self, id: u32, attempt: u32, outcome: Outcome) -> Vec<Command> {
-        self.handle(Input::Ended { id: RequestId(id), attempt, outcome, note: 0, report: None, events: 0 })
+        self.handle(Input::AttemptEnded {
+            id: RequestId(id),
+            attempt,
+            outcome,
+            note: 0,
+            report: None,
+            events: 0,
+        })
     }
 
     /// Ends a release call to an engine. `acknowledged`: the engine answered.
@@ -89,7 +99,13 @@
         let (holder, engine) = (ServerId(holder.into()), ServerId(engine.into()));
         let id = RequestId(id);
         let round = self.last_rounds.get(&(id, holder.clone())).copied().unwrap_or_default();
-        self.handle(Input::Said { id, holder, round, engine, heard: acknowledged })
+        self.handle(Input::ReleaseCallEnded {
+            id,
+            holder,
+            release_number: round,
+            engine,
+            acknowledged: acknowledged,
+        })
     }
 
     /// Advances the clock and runs the timers that are due.
@@ -97,7 +113,7 @@
         let (end, mut out) = (self.now + time, Vec::new());
         while let Some(at) = self.hub.next_timer().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.hub.wake(self.now, &mut out);
+            self.hub.run_due_timers(self.now, &mut out);
         }
         self.now = end;
         out
@@ -115,7 +131,7 @@
 /// Returns the addresses of the release calls.
 fn released_addresses(commands: &[Command]) -> Vec<SocketAddr> {
     let dial = |command: &Command| match command {
-        Command::Release { dial, .. } => Some(*dial),
+        Command::Release { address: dial, .. } => Some(*dial),
         _ => None,
     };
     commands.iter().filter_map(dial).collect()
@@ -149,7 +165,7 @@
 }
 
 /// Returns the final answer to the client, if there is one.
-fn final_answer(commands: &[Command]) -> Option<Last> {
+fn final_answer(commands: &[Command]) -> Option<FinalAnswer> {
     commands.iter().find_map(|command| match command {
         Command::Answer { last, .. } => Some(*last),
         _ => None,
@@ -163,11 +179,11 @@
     assert!(reader == "reader" || reader == "spare");
     let commands = harness.end_attempt(1, attempt, Outcome::Read);
     assert_eq!(sent_attempt(&commands), Some((1, "writer".into())));
-    harness.handle(Input::First { id: RequestId(1), attempt: 1 });
-    assert_eq!(harness.hub.held(), (1, 0), "readers hold nothing for a request that streams");
+    harness.handle(Input::FirstEvent { id: RequestId(1), attempt: 1 });
+    assert_eq!(harness.hub.open_and_held_counts(), (1, 0), "readers hold nothing for a request that streams");
     let commands = harness.end_attempt(1, 1, Outcome::Served);
-    assert!(commands.contains(&Command::Forget { id: RequestId(1) }), "{commands:?}");
-    assert_eq!((harness.hub.held(), harness.hub.in_flight().len()), ((0, 0), 0));
+    assert!(commands.contains(&Command::RemoveRequest { id: RequestId(1) }), "{commands:?}");
+    assert_eq!((harness.hub.open_and_held_counts(), harness.hub.attempts_by_address().len()), ((0, 0), 0));
     assert_eq!(harness.hub.counts().served, 1);
 }
 
@@ -177,13 +193,13 @@
     let mut harness = Harness::new(example_settings());
     let (attempt, _) = sent_attempt(&harness.arrive(1, "a")).unwrap();
     let commands = harness.arrive(2, "a");
-    assert_eq!(final_answer(&commands), Some(Last::Open));
+    assert_eq!(final_answer(&commands), Some(FinalAnswer::Open));
     assert_eq!(sent_attempt(&commands), None);
     assert!(
         sent_attempt(&harness.end_attempt(1, attempt, Outcome::Read)).is_some(),
         "the first request goes on"
     );
-    harness.handle(Input::First { id: RequestId(1), attempt: 1 });
+    harness.handle(Input::FirstEvent { id: RequestId(1), attempt: 1 });
     harness.end_attempt(1, 1, Outcome::Served);
     assert!(
         sent_attempt(&harness.arrive(3, "a")).is_some(),
@@ -196,15 +212,19 @@
 fn state_of_a_cancelled_read_is_released() {
     let mut harness = Harness::new(example_settings());
     let (attempt, reader) = sent_attempt(&harness.arrive(1, "a")).unwrap();
-    let commands = harness.handle(Input::Gone { id: RequestId(1) });
+    let commands = harness.handle(Input::ClientDisconnected { id: RequestId(1) });
     assert!(commands.contains(&Command::Cancel { id: RequestId(1), attempt }), "{commands:?}");
     let commands = harness.end_attempt(1, attempt, Outcome::Cancelled);
     let holder = addr(if reader == "reader" { 1 } else { 2 });
     assert_eq!(released_addresses(&commands), [holder]);
     assert_eq!(final_answer(&commands), None, "the client is gone and gets no answer");
-    assert_eq!(harness.hub.held(), (0, 1), "the state counts as held until the release is acknowledged");
+    assert_eq!(
+        harness.hub.open_and_held_counts(),
+        (0, 1),
+        "the state counts as held until the release is acknowledged"
+    );
     harness.end_release_call(1, &reader, &reader, true);
-    assert_eq!(harness.hub.held(), (0, 0));
+    assert_eq!(harness.hub.open_and_held_counts(), (0, 0));
 }
 
 /// A read that broke or timed out may have succeeded: its KV state is released without waiting for a free reader.
@@ -236,7 +256,7 @@
 fn a_release_is_repeated_until_an_engine_acknowledges_it() {
     let mut harness = Harness::new(example_settings());
     let (attempt, reader) = sent_attempt(&harness.arrive(1, "a")).unwrap();
-    harness.handle(Input::Gone { id: RequestId(1) });
+    harness.handle(Input::ClientDisconnected { id: RequestId(1) });
     let mut called = called_engines(&harness.end_attempt(1, attempt, Outcome::Cancelled));
     for n in 0..2 {
         let engine = called[n].clone();
@@ -251,16 +271,16 @@
         "every engine of the zone is called once before any is called twice"
     );
     harness.end_release_call(1, &reader, &called[2], true);
-    assert_eq!(harness.hub.held(), (0, 0));
+    assert_eq!(harness.hub.open_and_held_counts(), (0, 0));
     // If no engine acknowledges the release, it is abandoned after a bounded number of calls.
     let (attempt, reader) = sent_attempt(&harness.arrive(2, "b")).unwrap();
-    harness.handle(Input::Gone { id: RequestId(2) });
+    harness.handle(Input::ClientDisconnected { id: RequestId(2) });
     let mut called = self::called_engines(&harness.end_attempt(2, attempt, Outcome::Cancelled));
     for _ in 0..100 {
         let Some(engine) = called.pop() else { break };
         called.extend(self::called_engines(&harness.end_release_call(2, &reader, &engine, false)));
     }
-    assert_eq!(harness.hub.held(), (0, 0));
+    assert_eq!(harness.hub.open_and_held_counts(), (0, 0));
     assert!(harness.hub.counts().releases_again < 100);
 }
 
@@ -270,11 +290,14 @@
     let mut harness = Harness::new(example_settings());
     let (attempt, reader) = sent_attempt(&harness.arrive(1, "a")).unwrap();
     let gone = vec![host("writer", 1, 3, ServerStatus::Gone)];
-    harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
+    harness.handle(Input::ListReceived {
+        list: List { version: 2, is_complete: false, hosts: gone },
+        restored: false,
+    });
     let commands = harness.end_attempt(1, attempt, Outcome::Read);
     assert_eq!(sent_attempt(&commands), None);
     let all = harness.advance(3_000 * MS);
-    assert!(matches!(final_answer(&all), Some(Last::Refused { .. })), "{reader}: {all:?}");
+    assert!(matches!(final_answer(&all), Some(FinalAnswer::Refused { .. })), "{reader}: {all:?}");
     assert!(!released_addresses(&all).is_empty(), "state that no writer fetches is released");
 }
 
@@ -283,12 +306,15 @@
 fn a_request_that_no_server_can_take_is_refused_early() {
     let mut harness = Harness::new(example_settings());
     let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, ServerStatus::Gone)).into();
-    harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
+    harness.handle(Input::ListReceived {
+        list: List { version: 2, is_complete: false, hosts: gone },
+        restored: false,
+    });
     harness.arrive(1, "a");
     let commands = harness.advance(1_000 * MS);
-    let Some(Last::Refused { retry_after }) = final_answer(&commands) else { panic!("{commands:?}") };
+    let Some(FinalAnswer::Refused { retry_after }) = final_answer(&commands) else { panic!("{commands:?}") };
     assert!((1..=500 * MS).contains(&retry_after));
-    assert_eq!(harness.hub.held(), (0, 0));
+    assert_eq!(harness.hub.open_and_held_counts(), (0, 0));
 }
 
 /// The hub keeps nothing of finished requests, servers that left and expired timers.
@@ -299,20 +325,20 @@
         let trace = format!("t{n}");
         let (attempt, _) = sent_attempt(&harness.arrive(n, &trace)).unwrap();
         assert!(sent_attempt(&harness.end_attempt(n, attempt, Outcome::Read)).is_some());
-        harness.handle(Input::First { id: RequestId(n), attempt: attempt + 1 });
+        harness.handle(Input::FirstEvent { id: RequestId(n), attempt: attempt + 1 });
         harness.end_attempt(n, attempt + 1, Outcome::Served);
         if n % 10 == 0 {
             let left = host(&format!("w{}", n - 10), 1, 9, ServerStatus::Gone);
             let joined = host(&format!("w{n}"), 1, 9, ServerStatus::Running);
-            harness.handle(Input::Listed {
-                list: List { seq: n.into(), whole: false, hosts: vec![left, joined] },
+            harness.handle(Input::ListReceived {
+                list: List { version: n.into(), is_complete: false, hosts: vec![left, joined] },
                 restored: false,
             });
         }
     }
     harness.advance(5_000 * MS);
-    assert_eq!(harness.hub.held(), (0, 0));
-    assert_eq!(harness.hub.servers(), 4);
+    assert_eq!(harness.hub.open_and_held_counts(), (0, 0));
+    assert_eq!(harness.hub.server_count(), 4);
     assert_eq!(harness.hub.next_timer(), None, "no timer is left when no request is open");
 }
 
@@ -324,13 +350,16 @@
     long.arrival.output_time_hint = 60_000 * MS;
     let (attempt, _) = sent_attempt(&harness.handle(Input::Arrived { id: RequestId(1), ask: long })).unwrap();
     harness.end_attempt(1, attempt, Outcome::Read);
-    harness.handle(Input::First { id: RequestId(1), attempt: 1 });
-    harness.handle(Input::Stopping { within: 2_000 * MS });
+    harness.handle(Input::FirstEvent { id: RequestId(1), attempt: 1 });
+    harness.handle(Input::ShuttingDown { within: 2_000 * MS });
     let commands = harness.advance(2_000 * MS);
-    let moves = commands.iter().filter(|command| **command == Command::Move { id: RequestId(1) }).count();
+    let moves =
+        commands.iter().filter(|command| **command == Command::EndStream { id: RequestId(1) }).count();
     assert_eq!(moves, 1, "{commands:?}");
     let commands = harness.end_attempt(1, 1, Outcome::Cancelled);
-    assert!(commands.contains(&Command::Forget { id: RequestId(1) }) && final_answer(&commands).is_none());
+    assert!(
+        commands.contains(&Command::RemoveRequest { id: RequestId(1) }) && final_answer(&commands).is_none()
+    );
 }
 
 /// New settings, as after SIGHUP, reach the module.
@@ -340,38 +369,44 @@
     let settings = Box::new(Settings { max_retry_after: 40 * MS, ..example_settings() });
     harness.handle(Input::Settings { settings });
     let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, ServerStatus::Gone)).into();
-    harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
+    harness.handle(Input::ListReceived {
+        list: List { version: 2, is_complete: false, hosts: gone },
+        restored: false,
+    });
     harness.arrive(1, "a");
     let commands = harness.advance(1_000 * MS);
-    let Some(Last::Refused { retry_after }) = final_answer(&commands) else { panic!("{commands:?}") };
+    let Some(FinalAnswer::Refused { retry_after }) = final_answer(&commands) else { panic!("{commands:?}") };
     assert!(retry_after <= 40 * MS, "{retry_after}");
 }
 
 /// The counts for the agent on the node's machine: each request counts under its class and with exactly one end.
 #[test]
 fn requests_are_counted_by_class_with_one_end_each() {
-    use elderstage_platform::counting::Counting;
+    use elderstage_platform::counting::ClassCounts;
     let mut harness = Harness::new(example_settings());
-    harness.hub.count(Counting::new("r1", "d1", &["chat".into()], &example_settings()));
+    harness.hub.enable_counting(ClassCounts::new("r1", "d1", &["chat".into()], &example_settings()));
     let serve = |harness: &mut Harness, id: u32, wait: Time| {
         let (attempt, _) = sent_attempt(&harness.arrive(id, &format!("s{id}"))).unwrap();
         assert!(sent_attempt(&harness.end_attempt(id, attempt, Outcome::Read)).is_some());
         harness.now += wait;
-        harness.handle(Input::First { id: RequestId(id), attempt: attempt + 1 });
+        harness.handle(Input::FirstEvent { id: RequestId(id), attempt: attempt + 1 });
         harness.now += 80 * MS;
         let (id, outcome, attempt) = (RequestId(id), Outcome::Served, attempt + 1);
-        harness.handle(Input::Ended { id, attempt, outcome, note: 0, report: None, events: 5 });
+        harness.handle(Input::AttemptEnded { id, attempt, outcome, note: 0, report: None, events: 5 });
     };
     serve(&mut harness, 1, 10 * MS);
     serve(&mut harness, 2, 2_000 * MS);
     harness.arrive(3, "gone");
-    harness.handle(Input::Gone { id: RequestId(3) });
+    harness.handle(Input::ClientDisconnected { id: RequestId(3) });
     let gone = ["reader", "spare", "writer"].map(|name| host(name, 0, 1, ServerStatus::Gone)).into();
-    harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts: gone }, restored: false });
-    harness.hub.counting().unwrap().under("d2", &["chat".into()], &example_settings());
+    harness.handle(Input::ListReceived {
+        list: List { version: 2, is_complete: false, hosts: gone },
+        restored: false,
+    });
+    harness.hub.counting_mut().unwrap().set_settings("d2", &["chat".into()], &example_settings());
     harness.arrive(4, "refused");
     harness.advance(5_000 * MS);
-    let tally = harness.hub.counting().unwrap().tally().clone();
+    let tally = harness.hub.counting_mut().unwrap().tally().clone();
     let groups: Vec<_> =
         tally.groups().map(|(key, counts)| (key.settings.as_str(), counts.clone())).collect();
     assert_eq!((groups.len(), groups[0].0, groups[1].0), (2, "d1", "d2"));
@@ -403,16 +438,21 @@
         };
         let (name, port) = if whole { staying } else { leaving };
         let hosts = vec![host(name, 0, port, listed)];
-        let commands = harness.handle(Input::Listed { list: List { seq: 2, whole, hosts }, restored: false });
-        assert!(commands.contains(&Command::Withdraw { id, attempt }), "{listed:?}: {commands:?}");
+        let commands = harness.handle(Input::ListReceived {
+            list: List { version: 2, is_complete: whole, hosts },
+            restored: false,
+        });
+        assert!(commands.contains(&Command::WithdrawAttempt { id, attempt }), "{listed:?}: {commands:?}");
     }
     let mut harness = Harness::new(example_settings());
     harness.arrive(1, "a");
     let hosts = vec![host("writer", 1, 3, ServerStatus::Draining)];
-    let commands =
-        harness.handle(Input::Listed { list: List { seq: 2, whole: false, hosts }, restored: false });
+    let commands = harness.handle(Input::ListReceived {
+        list: List { version: 2, is_complete: false, hosts },
+        restored: false,
+    });
     assert!(
-        !commands.iter().any(|command| matches!(command, Command::Withdraw { .. })),
+        !commands.iter().any(|command| matches!(command, Command::WithdrawAttempt { .. })),
         "its own engine is still running"
     );
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -7,7 +7,7 @@
 use elderstage::{
     Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
 };
-use elderstage_platform::ask::Ask;
+use elderstage_platform::ask::ClientRequest;
 use elderstage_platform::hub::{Command, Hub, Input};
 use elderstage_platform::list::{Host, List};
 
@@ -53,7 +53,7 @@
         };
         Host { entry, address: Some(SocketAddr::from(([127, 0, 0, 1], 1 + engine as u16))) }
     };
-    List { seq: 1, whole: true, hosts: (0..ENGINES).map(host).collect() }
+    List { version: 1, is_complete: true, hosts: (0..ENGINES).map(host).collect() }
 }
 
 /// The end of a release call: its time, the holder of the state, the number of the release, the called engine, and whether
@@ -72,7 +72,7 @@
     let zone = node % ZONES;
     let settings = Settings { front_number: node, zone, front_count: NODES, ..example_settings() };
     let (mut hub, mut now, mut out) = (Hub::new(settings, node.into()), 1_000_000 * MS, Vec::new());
-    hub.handle(now, Input::Listed { list: list(), restored: true }, &mut out);
+    hub.handle(now, Input::ListReceived { list: list(), restored: true }, &mut out);
     let id = RequestId(node);
     let arrival = Arrival {
         id,
@@ -81,21 +81,21 @@
         max_output_tokens: 100.0,
         ..Arrival::default()
     };
-    hub.handle(now, Input::Arrived { id, ask: Ask { trace: "a".into(), arrival } }, &mut out);
+    hub.handle(now, Input::Arrived { id, ask: ClientRequest { request_id: "a".into(), arrival } }, &mut out);
     assert!(out.iter().any(|command| matches!(command, Command::Send { .. })), "{out:?}");
-    hub.handle(now, Input::Gone { id }, &mut out);
+    hub.handle(now, Input::ClientDisconnected { id }, &mut out);
     out.clear();
     let note = 0;
     hub.handle(
         now,
-        Input::Ended { id, attempt: 0, outcome: Outcome::Cancelled, note, report: None, events: 0 },
+        Input::AttemptEnded { id, attempt: 0, outcome: Outcome::Cancelled, note, report: None, events: 0 },
         &mut out,
     );
     let (started_at, mut calls, mut acknowledged_after) = (now, Vec::new(), None);
     let mut ends: BinaryHeap<Reverse<CallEnd>> = BinaryHeap::new();
     loop {
         for command in out.drain(..) {
-            let Command::Release { holder, round, engine, .. } = command else { continue };
+            let Command::Release { holder, release_number: round, engine, .. } = command else { continue };
             let number: u32 = engine.0[2..].parse().unwrap();
             let (took, answered) = match reaction(zone, number) {
                 Reaction::Answers => (ANSWERED_CALL, true),
@@ -113,12 +113,16 @@
             if answered {
                 acknowledged_after = acknowledged_after.or(Some(now - started_at));
             }
-            hub.handle(now, Input::Said { id, holder, round, engine, heard: answered }, &mut out);
+            hub.handle(
+                now,
+                Input::ReleaseCallEnded { id, holder, release_number: round, engine, acknowledged: answered },
+                &mut out,
+            );
         } else {
-            hub.wake(now, &mut out);
+            hub.run_due_timers(now, &mut out);
         }
     }
-    assert_eq!(hub.held(), (0, 0), "nothing is kept of a finished release");
+    assert_eq!(hub.open_and_held_counts(), (0, 0), "nothing is kept of a finished release");
     ReleaseResult { acknowledged_after, calls }
 }
 
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform/tests/watch.rs
@@ -36,8 +36,8 @@
 
 /// Passes text to the watch and returns the version and the state of the first server of each list.
 fn take_lists(watch: &mut Watch, now: Time, text: &str) -> Vec<(u64, ServerStatus)> {
-    let summary = |list: List| (list.seq, list.hosts[0].entry.listed);
-    watch.take(now, text.as_bytes(), &names()).unwrap().into_iter().map(summary).collect()
+    let summary = |list: List| (list.version, list.hosts[0].entry.listed);
+    watch.push(now, text.as_bytes(), &names()).unwrap().into_iter().map(summary).collect()
 }
 
 /// Guards against parsing line by line: a list over several lines was unreadable, and the node requested it again without end.
@@ -58,14 +58,14 @@
     ];
     for split in 1..text.len() {
         let mut watch = Watch::new(0);
-        watch.begin(START);
+        watch.start(START);
         let mut all = Vec::new();
         for piece in text.as_bytes().chunks(split) {
-            all.extend(watch.take(START, piece, &names()).unwrap());
+            all.extend(watch.push(START, piece, &names()).unwrap());
         }
-        let all: Vec<_> = all.iter().map(|list| (list.seq, list.hosts[0].entry.listed)).collect();
+        let all: Vec<_> = all.iter().map(|list| (list.version, list.hosts[0].entry.listed)).collect();
         assert_eq!(all, expected, "pieces of {split} bytes");
-        assert_eq!(watch.begin(START), 4);
+        assert_eq!(watch.start(START), 4);
     }
 }
 
@@ -84,9 +84,9 @@
         ),
     ] {
         let mut watch = Watch::new(7);
-        assert_eq!(watch.begin(START), 7);
-        assert!(watch.take(START, text.as_bytes(), &names()).is_err(), "{what}");
-        assert_eq!(watch.begin(START), 0, "{what}");
+        assert_eq!(watch.start(START), 7);
+        assert!(watch.push(START, text.as_bytes(), &names()).is_err(), "{what}");
+        assert_eq!(watch.start(START), 0, "{what}");
     }
 }
 
@@ -119,8 +119,8 @@
 #[test]
 fn a_silent_watch_is_replaced_within_half_of_the_six_seconds_that_the_rules_allow() {
     let mut watch = Watch::new(1);
-    watch.begin(START);
-    watch.answered(START + MS);
+    watch.start(START);
+    watch.record_head(START + MS);
     let mut now = START;
     for _ in 0..10 {
         now += 2_000 * MS;
@@ -133,11 +133,11 @@
     assert_eq!(take_lists(&mut watch, now, "{\"seq\":2,"), []);
     let broken_at = watch.deadline();
     let next = watch.retry_at(broken_at);
-    watch.begin(next);
+    watch.start(next);
     // The head of the next answer is late as well, which costs one more attempt.
     let next = watch.retry_at(watch.deadline());
-    watch.begin(next);
-    watch.answered(next + 100 * MS);
+    watch.start(next);
+    watch.record_head(next + 100 * MS);
     let now = next + 200 * MS;
     assert_eq!(take_lists(&mut watch, now, &list(2, "DRAINING")), [(2, ServerStatus::Draining)]);
     assert!(now - silent_since <= 3_100 * MS, "{} ms after the silence began", (now - silent_since) / MS);
@@ -148,13 +148,13 @@
 #[test]
 fn a_reset_watch_is_reopened_at_once_but_retries_are_rate_limited() {
     let mut watch = Watch::new(1);
-    watch.begin(START);
-    watch.answered(START + MS);
+    watch.start(START);
+    watch.record_head(START + MS);
     let reset_at = START + 4_000 * MS;
     assert_eq!(watch.retry_at(reset_at), reset_at);
     let (mut now, mut tries) = (reset_at, 0);
     while now < reset_at + 1_000 * MS {
-        watch.begin(now);
+        watch.start(now);
         tries += 1;
         now = watch.retry_at(now + MS);
     }
@@ -168,12 +168,12 @@
     let mut now = START;
     // Each watch is accepted but never answered.
     while now < restored_at {
-        watch.begin(now);
+        watch.start(now);
         now = watch.retry_at(watch.deadline());
     }
     assert!(now - restored_at <= 300 * MS, "{} ms after discovery is back", (now - restored_at) / MS);
-    assert_eq!(watch.begin(now), 3, "the watch starts from the known version");
-    watch.answered(now + 1);
+    assert_eq!(watch.start(now), 3, "the watch starts from the known version");
+    watch.record_head(now + 1);
     assert_eq!(take_lists(&mut watch, now + 2, &indented_list(9, "DRAINING")), [(9, ServerStatus::Draining)]);
 }
 
@@ -183,10 +183,10 @@
 #[test]
 fn an_older_version_is_rejected_until_the_versions_prove_to_be_renumbered() {
     let mut watch = Watch::new(0);
-    watch.begin(START);
+    watch.start(START);
     assert_eq!(take_lists(&mut watch, START, &list(9, "DRAINING")), [(9, ServerStatus::Draining)]);
-    assert!(watch.take(START, list(8, "SERVING").as_bytes(), &names()).is_err());
-    assert_eq!(watch.begin(START), 0, "the whole list is requested");
+    assert!(watch.push(START, list(8, "SERVING").as_bytes(), &names()).is_err());
+    assert_eq!(watch.start(START), 0, "the whole list is requested");
     assert_eq!(
         take_lists(&mut watch, START, &list(9, "DRAINING")),
         [(9, ServerStatus::Draining)],
@@ -195,9 +195,9 @@
     let (mut now, mut accepted) = (START, Vec::new());
     while accepted.is_empty() && now < START + 6_000 * MS {
         now += 100 * MS;
-        watch.begin(now);
-        let lists = watch.take(now, list(2, "SERVING").as_bytes(), &names());
-        accepted = lists.into_iter().flatten().map(|list| list.seq).collect();
+        watch.start(now);
+        let lists = watch.push(now, list(2, "SERVING").as_bytes(), &names());
+        accepted = lists.into_iter().flatten().map(|list| list.version).collect();
     }
     assert_eq!(accepted, [2]);
     assert!(now - START >= 3_000 * MS && now - START <= 3_200 * MS, "{} ms", (now - START) / MS);
--- a/fuzz/fuzz_targets/node.rs
+++ b/fuzz/fuzz_targets/node.rs
@@ -4,27 +4,27 @@
 
 use elderstage::Time;
 use elderstage::settings::SettingNames;
-use elderstage_platform::ask::{self, Ask};
+use elderstage_platform::ask::{self, ClientRequest};
 use elderstage_platform::list::Directory;
 use elderstage_platform::reply;
-use elderstage_platform::stream::Stream;
+use elderstage_platform::stream::EventStream;
 use elderstage_protocol::http::{self, Limits};
 use libfuzzer_sys::fuzz_target;
 
-const LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
+const LIMITS: Limits = Limits { head: 16 << 10, body: ask::MAX_BODY_BYTES };
 /// The longest time that a client waits, in microseconds: the only deadline of the names below.
 const LONGEST_WAIT: Time = 1_000_000;
 
 /// Parses a stream in pieces of `step` bytes. Returns the forwarded events and whether the stream ended completely.
 fn forward_events(bytes: &[u8], step: usize) -> (Vec<u8>, bool) {
-    let (mut stream, mut out) = (Stream::new(), Vec::new());
+    let (mut stream, mut out) = (EventStream::new(), Vec::new());
     for piece in bytes.chunks(step.max(1)) {
         match stream.push(piece, &mut out) {
             Ok(n) if n == piece.len() => {}
             _ => break,
         }
     }
-    (out, stream.whole())
+    (out, stream.is_complete())
 }
 
 fuzz_target!(|data: &[u8]| {
@@ -41,19 +41,19 @@
     match first % 4 {
         0 => {
             if let Ok(Some((head, _))) = http::parse_request(rest, LIMITS) {
-                let wanted = ask::wanted(&head);
-                if let Ok(ask) = Ask::read(&head, 400, &names, names.longest_wait()) {
+                let wanted = ask::classify_head(&head);
+                if let Ok(ask) = ClientRequest::parse(&head, 400, &names, names.longest_wait()) {
                     assert!(ask.arrival.time_left <= LONGEST_WAIT && ask.arrival.class == 0);
-                    assert!(ask.trace.bytes().all(|b| b.is_ascii_graphic() && b != b'/'));
+                    assert!(ask.request_id.bytes().all(|b| b.is_ascii_graphic() && b != b'/'));
                 }
                 drop(wanted);
             }
         }
         1 => {
             if let Ok(Some((head, _))) = http::parse_response(rest, LIMITS) {
-                let _ = reply::verdict(&head);
+                let _ = reply::classify_answer(&head);
             }
-            let _ = reply::cached(rest);
+            let _ = reply::parse_cached_tokens(rest);
         }
         2 => {
             let (whole, split) =
@@ -69,7 +69,7 @@
             if let Ok(list) = Directory::parse(rest, &names) {
                 let mut directory = Directory::default();
                 let hosts = list.hosts.len();
-                assert!(directory.take(list, false).1.len() == hosts && directory.len() <= hosts);
+                assert!(directory.apply(list, false).1.len() == hosts && directory.len() <= hosts);
             }
         }
     }
