--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -165,11 +165,11 @@
     let (mut tested, mut failed, mut out) = (0, 0, String::new());
     for expect in config.expects.iter().filter(is_selected) {
         tested += 1;
-        let verdict = elderstage_expect::test(config, &servers, expect, seeds);
-        failed += usize::from(!verdict.held());
-        let word = if verdict.held() { "holds" } else { "FAILS" };
+        let verdict = elderstage_expect::run_expectation(config, &servers, expect, seeds);
+        failed += usize::from(!verdict.holds());
+        let word = if verdict.holds() { "holds" } else { "FAILS" };
         out.push_str(&std::format!("{word}  {} (line {})\n", verdict.name, verdict.line));
-        for check in verdict.checks.iter().filter(|check| !check.held) {
+        for check in verdict.checks.iter().filter(|check| !check.holds) {
             out.push_str(&std::format!("       {}: seen {}, seed {}\n", check.what, check.seen, check.seed));
             if let Some(witness) = &check.witness {
                 out.push_str(&std::format!("       {witness}\n"));
--- a/crates/core/src/addresses/book.rs
+++ b/crates/core/src/addresses/book.rs
@@ -168,12 +168,12 @@
     pub server: ServerId,
     pub place: Place,
     /// The trial is for the whole family.
-    pub family: bool,
+    pub is_family_trial: bool,
     /// Requests got no answer although connections were made. The trial must be as long as a request, since a
     /// network may pass only small packets.
-    pub heavy: bool,
+    pub is_padded: bool,
     /// Time limit of the trial.
-    pub time: Time,
+    pub time_limit: Time,
 }
 
 /// Length of the pause with this number, counted from 1, with the front's jitter.
@@ -251,7 +251,7 @@
     }
 
     /// Number of addresses that have failed, or are doubtful, and have not answered since.
-    pub fn failing(&self) -> usize {
+    pub fn failing_count(&self) -> usize {
         self.failing.len()
     }
 
@@ -511,7 +511,7 @@
             if let Some(state) = self.families.get_mut(&family) {
                 (state.has_trial, state.last_trial_place) = (true, Some(place.clone()));
             }
-            out.push(Trial { server, place, family: true, heavy: false, time: connect });
+            out.push(Trial { server, place, is_family_trial: true, is_padded: false, time_limit: connect });
         }
         let slow = self.mark_slow_addresses(now);
         let wanted = self.failing.union(&self.suspects);
@@ -531,7 +531,13 @@
             } else {
                 connect.min(SUSPICION_TRIAL_TIME)
             };
-            out.push(Trial { server, heavy: address.is_doubtful(), place, family: false, time });
+            out.push(Trial {
+                server,
+                is_padded: address.is_doubtful(),
+                place,
+                is_family_trial: false,
+                time_limit: time,
+            });
         }
         out
     }
@@ -570,7 +576,7 @@
         let jitter = self.jitter;
         if let Some(address) = self.addresses.get_mut(&trial.place) {
             address.has_trial = false;
-            address.unanswered = if has_answered && trial.heavy { 0 } else { address.unanswered };
+            address.unanswered = if has_answered && trial.is_padded { 0 } else { address.unanswered };
             if has_answered {
                 // The time of this trial, connect and answer together, replaces the means: old means would
                 // keep a recovered address last for long.
@@ -582,7 +588,7 @@
             return self.record_answer(&trial.place, now, Some(now.saturating_sub(since)));
         }
         self.record_failure(&trial.place, now, since);
-        if let Some(state) = self.families.get_mut(&trial.place.family()).filter(|_| trial.family) {
+        if let Some(state) = self.families.get_mut(&trial.place.family()).filter(|_| trial.is_family_trial) {
             state.has_trial = false;
             state.pause_count += 1;
             state.next_trial_at = state.next_trial_at.map(|_| now + pause_length(state.pause_count, jitter));
--- a/crates/core/src/addresses/book_tests.rs
+++ b/crates/core/src/addresses/book_tests.rs
@@ -49,14 +49,20 @@
     let due = trials(&mut book, S + FIRST_PAUSE);
     assert_eq!(
         due,
-        [Trial { server: server("s0"), place: at[0].clone(), family: false, heavy: false, time: 250_000 }]
+        [Trial {
+            server: server("s0"),
+            place: at[0].clone(),
+            is_family_trial: false,
+            is_padded: false,
+            time_limit: 250_000
+        }]
     );
     assert_eq!(trials(&mut book, S + FIRST_PAUSE), [], "one trial at a time");
     book.record_trial(&due[0], 2 * S, 2 * S - 1, false);
     assert_eq!(trials(&mut book, 2 * S + FIRST_PAUSE), [], "the pause is twice as long");
     let due = trials(&mut book, 2 * S + 2 * FIRST_PAUSE);
     book.record_trial(&due[0], 4 * S, 4 * S - 1, true);
-    assert_eq!((order(&book, 0, 4 * S), book.failing()), (ALL.to_vec(), 0));
+    assert_eq!((order(&book, 0, 4 * S), book.failing_count()), (ALL.to_vec(), 0));
 }
 
 #[test]
@@ -106,7 +112,7 @@
     // Meanwhile its single addresses are not tried. The family is, by one address at a time, a different one
     // each time.
     let first = trials(&mut book, S + FIRST_PAUSE);
-    assert_eq!((first.len(), first[0].family), (1, true));
+    assert_eq!((first.len(), first[0].is_family_trial), (1, true));
     assert_eq!(trials(&mut book, S + FIRST_PAUSE), []);
     book.record_trial(&first[0], 2 * S, 2 * S - 1, false);
     let second = trials(&mut book, 20 * S);
@@ -199,7 +205,7 @@
     book.record_answer(&at[0], 4 * S, Some(1));
     assert_eq!(order(&book, 0, 4 * S), UNIX_LAST, "the answer to a small head does not clear it");
     let due = trials(&mut book, 5 * S);
-    assert!(due[0].heavy);
+    assert!(due[0].is_padded);
     book.record_trial(&due[0], 5 * S, 5 * S, false);
     assert_eq!(order(&book, 0, 5 * S), UNIX_LAST);
     let due = trials(&mut book, 10 * S);
@@ -287,7 +293,7 @@
     book.record_answer(&at[2], S, Some(300));
     assert_eq!(order(&book, 0, S), UNIX_LAST);
     let due = trials(&mut book, 10 * S);
-    assert_eq!((due.len(), &due[0].place, due[0].time), (1, &at[0], 250_000));
+    assert_eq!((due.len(), &due[0].place, due[0].time_limit), (1, &at[0], 250_000));
     book.record_trial(&due[0], 10 * S + 240_000, 10 * S, true);
     assert_eq!(order(&book, 0, 11 * S), UNIX_LAST);
     assert_eq!(trials(&mut book, 12 * S), [], "not again at once");
--- a/crates/core/src/addresses/gate.rs
+++ b/crates/core/src/addresses/gate.rs
@@ -10,41 +10,41 @@
 
 /// One front's limits on dials and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Sustained dials per second.
     pub dials_per_s: f64,
     /// Largest burst of dials after a quiet period.
-    pub dials_at_once: f64,
+    pub dial_burst: f64,
     /// Most connections to one server that are open or being dialed.
-    pub per_server: usize,
+    pub max_per_server: usize,
     /// Most connections to all servers that are open or being dialed.
-    pub in_all: usize,
+    pub max_total: usize,
     /// Most idle connections kept for each address.
-    pub idle_each: usize,
+    pub max_idle_per_address: usize,
     /// An idle connection is closed after this time.
-    pub idle_for: Time,
+    pub idle_timeout: Time,
     /// A connection is not reused beyond this age.
-    pub age: Time,
+    pub max_age: Time,
     /// A connection is not reused after this many requests.
-    pub uses: u32,
+    pub max_uses: u32,
     /// A server's connections are closed this long after it started to leave.
     pub grace: Time,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for ConnectionLimits {
+    fn default() -> ConnectionLimits {
+        ConnectionLimits {
             // A front that loses half of 64 servers, at 20 connections each, has reconnected in about three
             // seconds. 64 such fronts make 12,800 connects a second, 200 to each server: under 1% of a core.
             dials_per_s: 200.0,
-            dials_at_once: 100.0,
-            per_server: 512,
-            in_all: 8192,
-            idle_each: 64,
+            dial_burst: 100.0,
+            max_per_server: 512,
+            max_total: 8192,
+            max_idle_per_address: 64,
             // Servers usually close idle connections after 30 s to a minute; the front closes them earlier.
-            idle_for: 20_000_000,
-            age: 600_000_000,
-            uses: 10_000,
+            idle_timeout: 20_000_000,
+            max_age: 600_000_000,
+            max_uses: 10_000,
             grace: 2_000_000,
         }
     }
@@ -62,7 +62,7 @@
 /// Counts open connections and schedules dials within the rate limit.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimiter {
-    bounds: Bounds,
+    bounds: ConnectionLimits,
     /// When the whole burst is available again if no further dial is made (the theoretical arrival time of
     /// the generic cell rate algorithm, ITU-T I.371).
     burst_available_at: Time,
@@ -74,7 +74,7 @@
 
 impl ConnectionLimiter {
     /// A limiter without connections, with the whole burst available.
-    pub fn new(bounds: Bounds) -> ConnectionLimiter {
+    pub fn new(bounds: ConnectionLimits) -> ConnectionLimiter {
         ConnectionLimiter { bounds, burst_available_at: 0, open_by_place: HashMap::new(), total: 0 }
     }
 
@@ -86,12 +86,12 @@
     /// Whether one more connection fits to the server that has these addresses.
     pub fn has_room<'a>(&self, places: impl Iterator<Item = &'a Place>) -> bool {
         let open_count: usize = places.map(|place| self.open_by_place.get(place).copied().unwrap_or(0)).sum();
-        open_count < self.bounds.per_server && self.total < self.bounds.in_all
+        open_count < self.bounds.max_per_server && self.total < self.bounds.max_total
     }
 
     /// Reserves a dial and returns when it may start. Reserves none if that is later than `by`.
     pub fn reserve_dial(&mut self, now: Time, by: Time) -> Result<Time, DialRejection> {
-        let burst = (self.dial_interval_us() * (self.bounds.dials_at_once - 1.0).max(0.0)) as Time;
+        let burst = (self.dial_interval_us() * (self.bounds.dial_burst - 1.0).max(0.0)) as Time;
         let at = now.max(self.burst_available_at.saturating_sub(burst));
         if at > by {
             return Err(DialRejection::Budget);
@@ -102,9 +102,9 @@
 
     /// Reserves a dial that no request waits for; only while more than half of the burst is available.
     pub fn try_reserve_spare(&mut self, now: Time) -> bool {
-        let half = (self.dial_interval_us() * self.bounds.dials_at_once / 2.0) as Time;
+        let half = (self.dial_interval_us() * self.bounds.dial_burst / 2.0) as Time;
         self.burst_available_at <= now + half
-            && self.total < self.bounds.in_all
+            && self.total < self.bounds.max_total
             && self.reserve_dial(now, now).is_ok()
     }
 
@@ -127,7 +127,7 @@
 
     /// Whether the maximum total number of connections is open.
     pub fn is_full(&self) -> bool {
-        self.total >= self.bounds.in_all
+        self.total >= self.bounds.max_total
     }
 
     /// Connections that are open or being dialed, in total.
--- a/crates/core/src/addresses/gate/tests.rs
+++ b/crates/core/src/addresses/gate/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn dials_start_at_once_up_to_the_burst_and_then_at_the_rate() {
-    let bounds = Bounds { dials_per_s: 10.0, dials_at_once: 5.0, ..Bounds::default() };
+    let bounds = ConnectionLimits { dials_per_s: 10.0, dial_burst: 5.0, ..ConnectionLimits::default() };
     let mut limiter = ConnectionLimiter::new(bounds);
     let now = 100 * S;
     let at: Vec<Time> = (0..8).map(|_| limiter.reserve_dial(now, now + S).unwrap() - now).collect();
@@ -24,7 +24,7 @@
 
 #[test]
 fn any_second_has_at_most_the_rate_and_the_burst() {
-    let bounds = Bounds { dials_per_s: 50.0, dials_at_once: 20.0, ..Bounds::default() };
+    let bounds = ConnectionLimits { dials_per_s: 50.0, dial_burst: 20.0, ..ConnectionLimits::default() };
     let mut limiter = ConnectionLimiter::new(bounds);
     let mut at: Vec<Time> = Vec::new();
     for ms in 0..5_000 {
@@ -38,7 +38,7 @@
 
 #[test]
 fn open_connections_are_limited_per_server_and_in_total() {
-    let bounds = Bounds { per_server: 3, in_all: 5, ..Bounds::default() };
+    let bounds = ConnectionLimits { max_per_server: 3, max_total: 5, ..ConnectionLimits::default() };
     let mut limiter = ConnectionLimiter::new(bounds);
     let (a, b) = ([place(1), place(2)], [place(3)]);
     for at in [1, 2, 2] {
--- a/crates/core/src/addresses/mod.rs
+++ b/crates/core/src/addresses/mod.rs
@@ -5,11 +5,11 @@
 //! connection where the request must not run twice, and sends the request at most once ([`Race`]). The dial
 //! rate and the number of connections are limited ([`ConnectionLimiter`]); idle connections are kept for the
 //! next request ([`Pool`]). [`Addresses`] combines all of this for one front. It does no I/O: the front owns
-//! the sockets and carries out the [`Step`]s.
+//! the sockets and carries out the [`RaceStep`]s.
 //!
 //! The code runs on each attempt at an engine, and every few tens of milliseconds for trials and closing. It
 //! takes on the order of 100 bytes for each address; an attempt that finds an idle connection costs two map
-//! look-ups. The front exports [`Counts`] as metrics and logs when a family goes down or comes back.
+//! look-ups. The front exports [`AddressCounters`] as metrics and logs when a family goes down or comes back.
 
 mod book;
 mod gate;
@@ -22,26 +22,26 @@
 use waits::Waits;
 
 pub use book::{AddressBook, AddressState, Candidate, Trial};
-pub use gate::{Bounds, ConnectionLimiter, DialRejection};
-pub use pool::{Life, Pool};
-pub use race::{ConnectionSource, Lost, Proof, Race, RaceSummary, Rest, Step};
+pub use gate::{ConnectionLimiter, ConnectionLimits, DialRejection};
+pub use pool::{ConnectionAge, Pool};
+pub use race::{ConnectionSource, Proof, Race, RaceFailure, RaceStep, RaceSummary, RemainingRequest};
 
 /// What an attempt needs from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ConnectionNeeds {
     /// The request must not run twice: unsafe and keyed classes at a writer.
-    pub once: bool,
+    pub must_not_repeat: bool,
     /// How connections to this kind of server are proven.
     pub proof: Proof,
     /// Longest time to connect and to prove, over all addresses; the router plans with it.
-    pub connect: Time,
+    pub connect_limit: Time,
     /// Time limit of the whole attempt.
-    pub time: Time,
+    pub attempt_limit: Time,
 }
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct AddressCounters {
     /// Dials started.
     pub dials: u64,
     /// Dials that ended without a connection.
@@ -51,7 +51,7 @@
     /// Connections taken from the pool.
     pub reused: u64,
     /// Pooled connections that turned out to be closed.
-    pub stale: u64,
+    pub stale_connections: u64,
     /// Proofs started.
     pub proofs: u64,
     /// Proofs that failed or were given up as late.
@@ -67,9 +67,9 @@
     /// How often a family came back.
     pub families_back: u64,
     /// Requests that waited long for the first byte of their answer.
-    pub late: u64,
+    pub late_waits: u64,
     /// Requests that were given up because their address delivered nothing.
-    pub given_up: u64,
+    pub given_up_waits: u64,
 }
 
 /// The addresses and connections of one front. `C` is a connection, which is opaque here.
@@ -79,14 +79,14 @@
     limiter: ConnectionLimiter,
     pool: Pool<C>,
     waits: Waits,
-    bounds: Bounds,
-    counts: Counts,
+    bounds: ConnectionLimits,
+    counts: AddressCounters,
     known_down: [bool; 3],
 }
 
-/// What [`Addresses::tend`] asks of the front.
+/// What [`Addresses::run_maintenance`] asks of the front.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tended {
+pub struct MaintenanceResult {
     /// Trials to carry out.
     pub trials: Vec<Trial>,
     /// Families that went down (`true`) or came back since the last call.
@@ -103,12 +103,12 @@
     book: &'a mut AddressBook,
     limiter: &'a mut ConnectionLimiter,
     pool: &'a mut Pool<C>,
-    counts: &'a mut Counts,
+    counts: &'a mut AddressCounters,
     server: ServerId,
 }
 
-impl<C> ConnectionSource<(C, Life)> for RaceSupply<'_, C> {
-    fn take_idle(&mut self, now: Time, place: &Place) -> Option<(C, Life)> {
+impl<C> ConnectionSource<(C, ConnectionAge)> for RaceSupply<'_, C> {
+    fn take_idle(&mut self, now: Time, place: &Place) -> Option<(C, ConnectionAge)> {
         let taken = self.pool.take(now, place);
         self.counts.reused += u64::from(taken.is_some());
         taken
@@ -149,35 +149,35 @@
 
 impl<C> Addresses<C> {
     /// No addresses and no connections yet. `jitter`, from 0 to 1, is drawn once for each front.
-    pub fn new(bounds: Bounds, jitter: f64) -> Addresses<C> {
+    pub fn new(bounds: ConnectionLimits, jitter: f64) -> Addresses<C> {
         Addresses {
             book: AddressBook::new(jitter),
             limiter: ConnectionLimiter::new(bounds),
             pool: Pool::new(bounds),
             waits: Waits::default(),
             bounds,
-            counts: Counts::default(),
+            counts: AddressCounters::default(),
             known_down: [false; 3],
         }
     }
 
     /// The counters since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> AddressCounters {
         self.counts
     }
 
     /// Connections that are open or being dialed, and how many of them are idle.
-    pub fn open(&self) -> (usize, usize) {
+    pub fn open_counts(&self) -> (usize, usize) {
         (self.limiter.total(), self.pool.idle_count())
     }
 
     /// Connections to one address that are open or being dialed.
-    pub fn open_at(&self, place: &Place) -> usize {
+    pub fn open_to(&self, place: &Place) -> usize {
         self.limiter.open_to(place)
     }
 
     /// Families that count as down.
-    pub fn down(&self) -> impl Iterator<Item = Family> + '_ {
+    pub fn down_families(&self) -> impl Iterator<Item = Family> + '_ {
         FAMILIES.into_iter().filter(|family| self.book.family_down(*family))
     }
 
@@ -200,29 +200,29 @@
     // ---- One attempt ----
 
     /// Starts an attempt.
-    pub fn begin(&mut self, now: Time, server: &ServerId, ask: Ask) -> Race {
+    pub fn start_race(&mut self, now: Time, server: &ServerId, ask: ConnectionNeeds) -> Race {
         let candidates = self.book.candidates(server, now);
         let has_several = candidates.len() > 1;
         let proof = |candidate: &Candidate| {
             // A proof costs a round trip. It is needed where the request must not run twice, or where the
             // server has another address and this one has not answered recently.
             match ask.proof {
-                _ if !ask.once && (candidate.is_proven || !has_several) => Proof::None,
+                _ if !ask.must_not_repeat && (candidate.is_proven || !has_several) => Proof::None,
                 Proof::Continue if candidate.rejects_continue => Proof::Health,
                 proof => proof,
             }
         };
-        Race::new(server.clone(), now, now + ask.connect.min(ask.time), candidates, proof)
+        Race::new(server.clone(), now, now + ask.connect_limit.min(ask.attempt_limit), candidates, proof)
     }
 
     /// The next step of the attempt.
-    pub fn poll(&mut self, now: Time, race: &mut Race) -> Step<(C, Life)> {
+    pub fn poll(&mut self, now: Time, race: &mut Race) -> RaceStep<(C, ConnectionAge)> {
         let server = race.server.clone();
         let Addresses { book, limiter, pool, counts, .. } = self;
         let step = race.poll(now, &mut RaceSupply { book, limiter, pool, counts, server });
         match &step {
-            Step::Prove(..) => self.counts.proofs += 1,
-            Step::Send(..) => self.record_race_outcome(now, race),
+            RaceStep::Prove(..) => self.counts.proofs += 1,
+            RaceStep::Send(..) => self.record_race_outcome(now, race),
             _ => {}
         }
         step
@@ -241,7 +241,7 @@
     }
 
     /// Records the end of a dial, with or without a connection. The caller also notifies the race.
-    pub fn dialed(&mut self, now: Time, place: &Place, since: Time, is_connected: bool) {
+    pub fn record_dial(&mut self, now: Time, place: &Place, since: Time, is_connected: bool) {
         self.book.dial_ended(place);
         if is_connected {
             self.book.record_connect(place, now.saturating_sub(since));
@@ -253,48 +253,48 @@
     }
 
     /// Records that a connection was closed, or got a malformed answer, during its proof.
-    pub fn not_proven(&mut self, now: Time, race: &mut Race, lane: usize) {
+    pub fn record_proof_failure(&mut self, now: Time, race: &mut Race, lane: usize) {
         let since = race.proving_since(lane);
         self.counts.proofs_failed += 1;
         self.book.invalidate_proofs(&race.place(lane).clone(), now);
-        if race.failed(lane) {
+        if race.record_failure(lane) {
             self.book.record_failure(&race.place(lane).clone(), now, since.unwrap_or(now));
         } else {
-            self.counts.stale += 1;
+            self.counts.stale_connections += 1;
         }
     }
 
     /// Records that the peer had closed an idle connection.
-    pub fn stale(&mut self, race: &mut Race, lane: usize) {
-        self.counts.stale += 1;
-        race.stale(lane);
+    pub fn record_stale(&mut self, race: &mut Race, lane: usize) {
+        self.counts.stale_connections += 1;
+        race.record_stale(lane);
     }
 
     /// Records that the proof succeeded. Returns `false` if it comes too late.
-    pub fn proven(&mut self, now: Time, race: &mut Race, lane: usize) -> bool {
+    pub fn record_proof(&mut self, now: Time, race: &mut Race, lane: usize) -> bool {
         let took = race.proving_since(lane).map(|since| now.saturating_sub(since));
         self.book.record_answer(&race.place(lane).clone(), now, took);
-        race.proven(lane)
+        race.record_proof(lane)
     }
 
     /// Records that the peer answered the head with 417, which rejects the expectation. `stays_open`: the
     /// connection stays open.
-    pub fn without_continue(&mut self, now: Time, race: &mut Race, lane: usize, stays_open: bool) {
+    pub fn record_expectation_failed(&mut self, now: Time, race: &mut Race, lane: usize, stays_open: bool) {
         let place = race.place(lane).clone();
         self.book.record_answer(&place, now, None);
         self.book.record_rejected_continue(&place);
-        race.without_continue(lane, stays_open);
+        race.record_expectation_failed(lane, stays_open);
     }
 
     // ---- After the request was sent ----
 
     /// Records that the request was written. The number identifies it in the calls that follow.
-    pub fn sent(&mut self, now: Time, server: &ServerId, place: &Place, is_repeatable: bool) -> u64 {
+    pub fn record_sent(&mut self, now: Time, server: &ServerId, place: &Place, is_repeatable: bool) -> u64 {
         self.waits.start(server, place, now, is_repeatable)
     }
 
     /// Records the first byte of the answer.
-    pub fn answered(&mut self, now: Time, number: u64) {
+    pub fn record_first_byte(&mut self, now: Time, number: u64) {
         if let Some(wait) = self.waits.record_answer(number, now) {
             self.book.record_answer(&wait.place, now, None);
         }
@@ -302,7 +302,7 @@
 
     /// Records that the request ended without a byte of answer. `is_reused`: it went over a pooled connection,
     /// which the peer may have closed; that says nothing about the address.
-    pub fn silent(&mut self, now: Time, number: u64, is_reused: bool) {
+    pub fn record_no_answer(&mut self, now: Time, number: u64, is_reused: bool) {
         let Some(wait) = self.waits.remove(number) else { return };
         self.book.invalidate_proofs(&wait.place, now);
         if !wait.is_late && !is_reused {
@@ -311,41 +311,41 @@
     }
 
     /// Records an answer over an address that is not the answer to a request, for instance to a health check.
-    pub fn heard(&mut self, now: Time, place: &Place) {
+    pub fn record_other_answer(&mut self, now: Time, place: &Place) {
         self.book.record_answer(place, now, Some(1));
     }
 
     /// Takes back a connection after a complete answer.
-    pub fn free(&mut self, now: Time, place: &Place, conn: C, life: Life) {
+    pub fn return_connection(&mut self, now: Time, place: &Place, conn: C, life: ConnectionAge) {
         let should_close = self.book.should_close(place, now, self.bounds.grace);
         self.pool.put(now, place, conn, life, should_close);
     }
 
     /// Records that a connection was closed, or that a dial ended without one.
-    pub fn closed(&mut self, place: &Place) {
+    pub fn record_closed(&mut self, place: &Place) {
         self.limiter.count_closed(place);
     }
 
     // ---- Periodic work ----
 
     /// Applies a full list of servers: each one's addresses, and whether it is leaving.
-    pub fn list(&mut self, now: Time, servers: impl IntoIterator<Item = (ServerId, Vec<Place>, bool)>) {
+    pub fn apply_list(&mut self, now: Time, servers: impl IntoIterator<Item = (ServerId, Vec<Place>, bool)>) {
         self.book.apply_list(now, servers);
         self.waits.retain_servers(|server| !self.book.places(server).is_empty());
     }
 
     /// Closes expired connections, handles requests that wait long, and starts the trials that are due. No
     /// trial takes longer than `connect`.
-    pub fn tend(&mut self, now: Time, connect: Time) -> Tended {
+    pub fn run_maintenance(&mut self, now: Time, connect: Time) -> MaintenanceResult {
         for wait in self.waits.take_late(now) {
-            self.counts.late += 1;
+            self.counts.late_waits += 1;
             self.book.record_no_answer(&wait.place, now, wait.since);
             self.book.suspect_addresses(&wait.server, &wait.place, now);
         }
         let book = &self.book;
         let give_up =
             self.waits.take_given_up(|wait| book.should_give_up(&wait.server, &wait.place, wait.since));
-        self.counts.given_up += give_up.len() as u64;
+        self.counts.given_up_waits += give_up.len() as u64;
         let (book, grace) = (&self.book, self.bounds.grace);
         self.pool.sweep(now, |place| book.should_close(place, now, grace));
         let limiter = &mut self.limiter;
@@ -354,17 +354,17 @@
             self.limiter.count_opened(&trial.place);
             self.counts.trials += 1;
         }
-        Tended { trials, families: self.take_family_changes(), give_up }
+        MaintenanceResult { trials, families: self.take_family_changes(), give_up }
     }
 
     /// Records the end of a trial. Its connection is reported like any other.
-    pub fn tried(&mut self, now: Time, trial: &Trial, since: Time, has_answered: bool) {
+    pub fn record_trial(&mut self, now: Time, trial: &Trial, since: Time, has_answered: bool) {
         self.counts.trials_failed += u64::from(!has_answered);
         self.book.record_trial(trial, now, since, has_answered);
     }
 
     /// Removes and returns the connections to close.
-    pub fn closing(&mut self) -> Vec<C> {
+    pub fn take_closing(&mut self) -> Vec<C> {
         self.pool.take_closing()
     }
 }
--- a/crates/core/src/addresses/pool.rs
+++ b/crates/core/src/addresses/pool.rs
@@ -7,52 +7,52 @@
 use elderstage::Time;
 use elderstage_protocol::place::Place;
 
-use super::gate::Bounds;
+use super::gate::ConnectionLimits;
 
 /// Age and use count of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct ConnectionAge {
     /// When it was opened.
-    pub born: Time,
+    pub opened_at: Time,
     /// Requests that it has carried, one at a time, since HTTP/1.1 has no concurrent streams.
     pub uses: u32,
 }
 
-impl Life {
+impl ConnectionAge {
     /// A connection that was opened at `now` and has carried no request.
-    pub fn new(now: Time) -> Life {
-        Life { born: now, uses: 0 }
+    pub fn new(now: Time) -> ConnectionAge {
+        ConnectionAge { opened_at: now, uses: 0 }
     }
 }
 
 struct Idle<C> {
     conn: C,
-    life: Life,
+    life: ConnectionAge,
     since: Time,
 }
 
 /// Idle connections by address, and connections to close.
 pub struct Pool<C> {
-    bounds: Bounds,
+    bounds: ConnectionLimits,
     idle: HashMap<Place, Vec<Idle<C>>>,
     closing: Vec<C>,
 }
 
 impl<C> Pool<C> {
     /// An empty pool.
-    pub fn new(bounds: Bounds) -> Pool<C> {
+    pub fn new(bounds: ConnectionLimits) -> Pool<C> {
         Pool { bounds, idle: HashMap::new(), closing: Vec::new() }
     }
 
-    fn is_worn_out(&self, life: Life, now: Time) -> bool {
-        life.uses >= self.bounds.uses || now >= life.born + self.bounds.age
+    fn is_worn_out(&self, life: ConnectionAge, now: Time) -> bool {
+        life.uses >= self.bounds.max_uses || now >= life.opened_at + self.bounds.max_age
     }
 
     /// Takes the most recently used idle connection, so that surplus ones expire.
-    pub fn take(&mut self, now: Time, place: &Place) -> Option<(C, Life)> {
+    pub fn take(&mut self, now: Time, place: &Place) -> Option<(C, ConnectionAge)> {
         let list = self.idle.get_mut(place)?;
         while let Some(Idle { conn, life, since }) = list.pop() {
-            if now < since + self.bounds.idle_for && now < life.born + self.bounds.age {
+            if now < since + self.bounds.idle_timeout && now < life.opened_at + self.bounds.max_age {
                 return Some((conn, life));
             }
             self.closing.push(conn);
@@ -62,10 +62,10 @@
 
     /// Keeps a connection for the next request, or marks it for closing. `is_leaving`: its address is no
     /// longer in use.
-    pub fn put(&mut self, now: Time, place: &Place, conn: C, life: Life, is_leaving: bool) {
+    pub fn put(&mut self, now: Time, place: &Place, conn: C, life: ConnectionAge, is_leaving: bool) {
         let is_worn_out = is_leaving || self.is_worn_out(life, now);
         let list = self.idle.entry(place.clone()).or_default();
-        if is_worn_out || list.len() >= self.bounds.idle_each {
+        if is_worn_out || list.len() >= self.bounds.max_idle_per_address {
             self.closing.push(conn);
         } else {
             list.push(Idle { conn, life, since: now });
@@ -79,7 +79,9 @@
         self.idle.retain(|place, list| {
             let place_is_leaving = is_leaving(place);
             let is_expired = |idle: &mut Idle<C>| {
-                place_is_leaving || now >= idle.since + bounds.idle_for || now >= idle.life.born + bounds.age
+                place_is_leaving
+                    || now >= idle.since + bounds.idle_timeout
+                    || now >= idle.life.opened_at + bounds.max_age
             };
             closing.extend(list.extract_if(.., is_expired).map(|idle| idle.conn));
             !list.is_empty()
--- a/crates/core/src/addresses/pool/tests.rs
+++ b/crates/core/src/addresses/pool/tests.rs
@@ -7,14 +7,20 @@
 }
 
 fn pool() -> Pool<u32> {
-    Pool::new(Bounds { idle_each: 2, idle_for: 20 * S, age: 60 * S, uses: 3, ..Bounds::default() })
+    Pool::new(ConnectionLimits {
+        max_idle_per_address: 2,
+        idle_timeout: 20 * S,
+        max_age: 60 * S,
+        max_uses: 3,
+        ..ConnectionLimits::default()
+    })
 }
 
 #[test]
 fn the_most_recently_used_is_taken_first_and_surplus_ones_are_closed() {
     let mut pool = pool();
     for conn in 0..3 {
-        pool.put(S, &place(1), conn, Life::new(0), false);
+        pool.put(S, &place(1), conn, ConnectionAge::new(0), false);
     }
     assert_eq!(pool.take_closing(), [2]);
     assert_eq!(pool.take(S, &place(1)).map(|(conn, _)| conn), Some(1));
@@ -24,15 +30,15 @@
 #[test]
 fn idle_old_and_worn_out_connections_are_closed() {
     let mut pool = pool();
-    pool.put(S, &place(1), 1, Life::new(0), false);
+    pool.put(S, &place(1), 1, ConnectionAge::new(0), false);
     assert_eq!(pool.take(21 * S, &place(1)), None, "idle for too long");
-    pool.put(59 * S, &place(1), 2, Life::new(0), false);
+    pool.put(59 * S, &place(1), 2, ConnectionAge::new(0), false);
     assert_eq!(pool.take(60 * S, &place(1)), None, "too old");
-    pool.put(S, &place(1), 3, Life { born: 0, uses: 3 }, false);
-    pool.put(S, &place(1), 4, Life::new(0), true);
+    pool.put(S, &place(1), 3, ConnectionAge { opened_at: 0, uses: 3 }, false);
+    pool.put(S, &place(1), 4, ConnectionAge::new(0), true);
     assert_eq!(pool.take_closing(), [1, 2, 3, 4]);
-    pool.put(S, &place(1), 5, Life::new(0), false);
-    pool.put(5 * S, &place(2), 6, Life::new(0), false);
+    pool.put(S, &place(1), 5, ConnectionAge::new(0), false);
+    pool.put(5 * S, &place(2), 6, ConnectionAge::new(0), false);
     pool.sweep(6 * S, |at| *at == place(2));
     assert_eq!((pool.take_closing(), pool.idle_count()), (vec![6], 1));
     pool.sweep(21 * S, |_| false);
@@ -43,8 +49,8 @@
 fn the_longest_idle_connection_makes_room() {
     let mut pool = pool();
     assert!(!pool.make_room());
-    pool.put(2 * S, &place(1), 1, Life::new(0), false);
-    pool.put(S, &place(2), 2, Life::new(0), false);
+    pool.put(2 * S, &place(1), 1, ConnectionAge::new(0), false);
+    pool.put(S, &place(2), 2, ConnectionAge::new(0), false);
     assert!(pool.make_room());
     assert_eq!(pool.take_closing(), [2]);
 }
--- a/crates/core/src/addresses/race.rs
+++ b/crates/core/src/addresses/race.rs
@@ -36,8 +36,8 @@
 
 /// What the caller does next. The `usize` is the number of a lane, as for [`Race::place`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step<C> {
-    /// Use this idle connection; if it turns out to be closed, call [`stale`](Race::stale).
+pub enum RaceStep<C> {
+    /// Use this idle connection; if it turns out to be closed, call [`stale`](Race::record_stale).
     Reuse(usize, C),
     /// Start a dial, which may last until this time.
     Dial(usize, Time),
@@ -46,16 +46,16 @@
     /// Close this connection: it got the head and did not answer.
     Drop(usize),
     /// Write the body after a proof by the head, or else the whole request. The race is over.
-    Send(usize, Rest),
+    Send(usize, RemainingRequest),
     /// Do nothing until this time or the next event.
     Wait(Time),
     /// No address or no time is left. The race is over.
-    Lost(Lost),
+    Lost(RaceFailure),
 }
 
 /// What remains to be written of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Rest {
+pub enum RemainingRequest {
     /// The body; the head has been written.
     Body,
     /// Head and body.
@@ -64,7 +64,7 @@
 
 /// Why an attempt got no connection. No body was written, so it is proved never to have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lost {
+pub enum RaceFailure {
     /// No address accepted a connection.
     NotConnected,
     /// At least one connection got the head, and none answered it with `100 Continue`.
@@ -87,7 +87,7 @@
     /// Start of the proof, and the time from which it is late.
     Proving(Time, Time),
     /// The proof succeeded, and this remains to be written.
-    Proven(Rest),
+    Proven(RemainingRequest),
     /// The lane is not used any more.
     Ended,
 }
@@ -119,8 +119,8 @@
 /// How a race ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RaceEnd {
-    Send(usize, Rest),
-    Lost(Lost),
+    Send(usize, RemainingRequest),
+    Lost(RaceFailure),
 }
 
 /// What a race needs from the pool and the dial limiter.
@@ -193,7 +193,7 @@
     }
 
     /// When the race ends at the latest.
-    pub fn end(&self) -> Time {
+    pub fn ends_at(&self) -> Time {
         self.end
     }
 
@@ -223,18 +223,18 @@
     /// The end of a race that got no connection, by what happened in it.
     fn lost_end(&self) -> RaceEnd {
         RaceEnd::Lost(match (self.is_head_written, self.is_dial_denied) {
-            (true, _) => Lost::NotProven,
-            (false, true) => Lost::NoRoom,
-            (false, false) => Lost::NotConnected,
+            (true, _) => RaceFailure::NotProven,
+            (false, true) => RaceFailure::NoRoom,
+            (false, false) => RaceFailure::NotConnected,
         })
     }
 
     /// The next step. Call it again after each step, at the end of a wait, and after each event.
-    pub fn poll<C>(&mut self, now: Time, source: &mut impl ConnectionSource<C>) -> Step<C> {
+    pub fn poll<C>(&mut self, now: Time, source: &mut impl ConnectionSource<C>) -> RaceStep<C> {
         loop {
             match self.outcome {
-                Some(RaceEnd::Send(lane, rest)) => return Step::Send(lane, rest),
-                Some(RaceEnd::Lost(lost)) => return Step::Lost(lost),
+                Some(RaceEnd::Send(lane, rest)) => return RaceStep::Send(lane, rest),
+                Some(RaceEnd::Lost(lost)) => return RaceStep::Lost(lost),
                 None => {}
             }
             if let Some(step) = self.next_step(now, source) {
@@ -243,7 +243,7 @@
         }
     }
 
-    fn next_step<C>(&mut self, now: Time, source: &mut impl ConnectionSource<C>) -> Option<Step<C>> {
+    fn next_step<C>(&mut self, now: Time, source: &mut impl ConnectionSource<C>) -> Option<RaceStep<C>> {
         // This check comes first, so that no body is sent if a proof succeeds just as the time runs out.
         if now >= self.end {
             if let Some(proving_lane) = self.proving_lane
@@ -266,7 +266,7 @@
                         (LaneState::Ended, true);
                     self.proving_lane = None;
                     source.proof_late(now, since, &self.lanes[proving_lane].candidate.place);
-                    return Some(Step::Drop(proving_lane));
+                    return Some(RaceStep::Drop(proving_lane));
                 }
                 _ => {}
             }
@@ -274,18 +274,18 @@
         if let Some(lane) = ready.filter(|_| self.proving_lane.is_none()) {
             let Lane { proof, candidate, .. } = &self.lanes[lane];
             if *proof == Proof::None {
-                self.finish(RaceEnd::Send(lane, Rest::Whole), source);
+                self.finish(RaceEnd::Send(lane, RemainingRequest::Whole), source);
                 return None;
             }
             let (proof, late) = (*proof, now + self.dial_delay(now, candidate.mean_proof));
             self.lanes[lane].state = LaneState::Proving(now, late);
             (self.proving_lane, self.next_dial_at) = (Some(lane), late);
             self.is_head_written |= proof == Proof::Continue;
-            return Some(Step::Prove(lane, proof));
+            return Some(RaceStep::Prove(lane, proof));
         }
         if let Some(lane) = self.find_lane(|state| matches!(state, LaneState::Scheduled(at) if at <= now)) {
             self.lanes[lane].state = LaneState::Dialing(now);
-            return Some(Step::Dial(lane, self.end));
+            return Some(RaceStep::Dial(lane, self.end));
         }
         let is_waiting = self.proving_lane.is_some()
             || self
@@ -303,7 +303,7 @@
             self.finish(self.lost_end(), source);
             return None;
         }
-        Some(Step::Wait(self.wait_until(now)))
+        Some(RaceStep::Wait(self.wait_until(now)))
     }
 
     /// Starts an untried lane: with an idle connection, or else with a dial as the limits allow.
@@ -312,13 +312,13 @@
         now: Time,
         lane: usize,
         source: &mut impl ConnectionSource<C>,
-    ) -> Option<Step<C>> {
+    ) -> Option<RaceStep<C>> {
         let place = self.lanes[lane].candidate.place.clone();
         if self.lanes[lane].stale_count < MAX_STALE_CONNECTIONS
             && let Some(conn) = source.take_idle(now, &place)
         {
             (self.lanes[lane].state, self.lanes[lane].is_reused) = (LaneState::Ready, true);
-            return Some(Step::Reuse(lane, conn));
+            return Some(RaceStep::Reuse(lane, conn));
         }
         self.lanes[lane].is_reused = false;
         let delay = self.dial_delay(now, self.lanes[lane].candidate.mean_connect);
@@ -379,7 +379,7 @@
     }
 
     /// A dial succeeded. Returns `false` if the race no longer waits for it.
-    pub fn connected(&mut self, lane: usize) -> bool {
+    pub fn record_connected(&mut self, lane: usize) -> bool {
         let is_wanted = self.outcome.is_none() && self.dialing_since(lane).is_some();
         if is_wanted {
             self.lanes[lane].state = LaneState::Ready;
@@ -389,7 +389,7 @@
 
     /// A dial failed, or a connection was closed or got a malformed answer during its proof. Returns `true`
     /// if that counts against the address; a pooled connection that the peer had closed does not.
-    pub fn failed(&mut self, lane: usize) -> bool {
+    pub fn record_failure(&mut self, lane: usize) -> bool {
         if self.outcome.is_some() {
             return false;
         }
@@ -412,7 +412,7 @@
     }
 
     /// An idle connection turned out to be closed before anything was written on it.
-    pub fn stale(&mut self, lane: usize) {
+    pub fn record_stale(&mut self, lane: usize) {
         if self.outcome.is_none() && self.lanes[lane].state == LaneState::Ready {
             self.retry_lane(lane);
         }
@@ -426,10 +426,14 @@
 
     /// `100 Continue`, or the answer to the health request, arrived. Returns `false` if the proof was already
     /// given up.
-    pub fn proven(&mut self, lane: usize) -> bool {
+    pub fn record_proof(&mut self, lane: usize) -> bool {
         let is_wanted = self.outcome.is_none() && self.proving_since(lane).is_some();
         if is_wanted {
-            let rest = if self.lanes[lane].proof == Proof::Continue { Rest::Body } else { Rest::Whole };
+            let rest = if self.lanes[lane].proof == Proof::Continue {
+                RemainingRequest::Body
+            } else {
+                RemainingRequest::Whole
+            };
             self.lanes[lane].state = LaneState::Proven(rest);
         }
         is_wanted
@@ -438,12 +442,12 @@
     /// The peer rejected the expectation (417, RFC 9110, 15.5.18) and has not accepted the request. The
     /// request is sent whole on the same connection if that stays open, or else on a new one after a health
     /// request.
-    pub fn without_continue(&mut self, lane: usize, stays_open: bool) {
+    pub fn record_expectation_failed(&mut self, lane: usize, stays_open: bool) {
         if self.outcome.is_some() || self.proving_since(lane).is_none() {
             return;
         }
         if stays_open {
-            self.lanes[lane].state = LaneState::Proven(Rest::Whole);
+            self.lanes[lane].state = LaneState::Proven(RemainingRequest::Whole);
         } else {
             self.proving_lane = None;
             (self.lanes[lane].state, self.lanes[lane].proof) = (LaneState::Untried, Proof::Health);
@@ -467,7 +471,7 @@
     }
 
     /// Lanes with a connection on which nothing was written.
-    pub fn unused(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn unused_lanes(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.lanes.len()).filter(|lane| self.lanes[*lane].state == LaneState::Ready)
     }
 
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -19,7 +19,7 @@
 pub fn admit(is_draining: bool, held: usize, limits: &Limits) -> Result<(), Rejection> {
     if is_draining {
         Err(Rejection::Draining)
-    } else if held >= limits.requests {
+    } else if held >= limits.max_requests {
         Err(Rejection::Full)
     } else {
         Ok(())
--- a/crates/core/src/chain.rs
+++ b/crates/core/src/chain.rs
@@ -36,7 +36,7 @@
 
 impl Reason {
     /// The sentence that the client gets.
-    pub fn text(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
             Reason::Draining => "the front is going out of service",
             Reason::FrontFull => "the front holds as many requests as it may",
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -31,7 +31,7 @@
 
 /// A request from a client.
 #[derive(Clone, Debug)]
-pub struct Submit {
+pub struct NewRequest {
     pub chain: ChainId,
     /// Index into [`Plan::routes`].
     pub route: usize,
@@ -40,27 +40,27 @@
     /// Key of the client's session, if the client named one.
     pub session: Option<String>,
     /// Name and length in bytes of the text that the prompt begins with, if other requests share it.
-    pub prefix: Option<(String, usize)>,
+    pub shared_prefix: Option<(String, usize)>,
     /// Length of the whole prompt, in bytes.
-    pub bytes: usize,
+    pub prompt_bytes: usize,
     /// The client marked the request as a repeat of an earlier one.
-    pub repeat: bool,
+    pub is_repeat: bool,
 }
 
 /// A tool call that the model made in a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct RequestedToolCall {
     /// Name of the tool, as the model wrote it.
     pub tool: String,
     /// Length of the arguments, in bytes.
-    pub bytes: usize,
+    pub argument_bytes: usize,
 }
 
 /// An event that the front observed.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client sent a request.
-    Submit(Submit),
+    Submit(NewRequest),
     /// The first token, or the first fragment of a tool call, arrived from the engine.
     Streaming { chain: ChainId, leg: RequestId, attempt: u32, took: Time },
     /// An attempt ended, after `took`.
@@ -73,8 +73,8 @@
         /// Prompt tokens and answer tokens, as counted by the engine.
         usage: Option<(u64, u64)>,
         /// Bytes of text and the tool calls of a turn that ended normally.
-        text: usize,
-        calls: Vec<Call>,
+        text_bytes: usize,
+        calls: Vec<RequestedToolCall>,
         load: Option<Vec<f64>>,
     },
     /// A tool call ended. `call` is its position among the calls of the turn.
@@ -110,9 +110,9 @@
         stage: Stage,
         timeout: Time,
         /// The request's class is keyed: the server drops repeats by an idempotency key.
-        keyed: bool,
+        is_keyed: bool,
         /// The request must not run twice: its connection is proven before its body is sent.
-        once: bool,
+        must_not_repeat: bool,
     },
     /// Cancel an attempt; the front still reports its end.
     Cancel { chain: ChainId, turn: u32, attempt: u32 },
@@ -125,7 +125,7 @@
     /// Cancel a tool call.
     CancelTool { chain: ChainId, turn: u32, call: usize },
     /// Give the client its final answer; emitted once per chain.
-    Answer { chain: ChainId, last: Final },
+    Answer { chain: ChainId, final_answer: Final },
     /// Drop everything held for this chain: no further effect refers to it.
     Forget { chain: ChainId },
 }
@@ -134,7 +134,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests admitted.
-    pub taken: u64,
+    pub admitted: u64,
     /// Requests rejected at admission.
     pub turned_away: u64,
     /// Requests that ended with [`Final::Served`].
@@ -144,7 +144,7 @@
     /// Requests that ended with [`Final::Failed`].
     pub failed: u64,
     /// Requests whose client left or cancelled.
-    pub gone: u64,
+    pub clients_gone: u64,
     /// Admitted requests that were refused or failed, by reason.
     pub ended_for: BTreeMap<Reason, u64>,
     /// Legs started.
@@ -208,22 +208,22 @@
     }
 
     /// Number of chains that have not been forgotten yet.
-    pub fn held(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.chains.len()
     }
 
     /// Whether new requests are rejected.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.is_draining
     }
 
-    /// When [`Core::wake`] is due next.
+    /// When [`Core::handle_timers`] is due next.
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
     /// Handles all timers that are due.
-    pub fn wake(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub fn handle_timers(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while let Some(due) = self.timers.pop_due(now) {
             match due {
                 TimerPurpose::Router(name) => self.notify_router(now, RouterEvent::Timer { name }, effects),
@@ -280,7 +280,7 @@
 
     // ---- Requests ----
 
-    fn submit(&mut self, now: Time, submit: Submit, effects: &mut Vec<Effect>) {
+    fn submit(&mut self, now: Time, submit: NewRequest, effects: &mut Vec<Effect>) {
         let chain = submit.chain;
         if let Err(rejection) = admission::admit(self.is_draining, self.chains.len(), &self.plan.limits) {
             self.counters.turned_away += 1;
@@ -289,20 +289,21 @@
                 Rejection::Full => Reason::FrontFull,
             };
             let retry_after = self.plan.limits.retry_after;
-            effects.push(Effect::Answer { chain, last: Final::Refused { reason, retry_after } });
+            effects.push(Effect::Answer { chain, final_answer: Final::Refused { reason, retry_after } });
             effects.push(Effect::Forget { chain });
             return;
         }
-        self.counters.taken += 1;
+        self.counters.admitted += 1;
         let class = self.plan.routes[submit.route].class;
         let plan = &self.plan.classes[class];
-        let tokens = self.estimates[submit.route].tokens(submit.bytes);
-        let first_token_limit = plan.give_up + (plan.give_up_per_1000 * tokens / 1000.0) as Time;
-        let deadline = now + plan.total;
+        let tokens = self.estimates[submit.route].tokens(submit.prompt_bytes);
+        let first_token_limit =
+            plan.first_token_limit + (plan.first_token_limit_per_1000 * tokens / 1000.0) as Time;
+        let deadline = now + plan.request_limit;
         self.timers.set(deadline, TimerPurpose::Chain(chain));
-        let shared_bytes = submit.prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
+        let shared_bytes = submit.shared_prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
         let key = |text: String| CacheKey(text.into());
-        let prefix = submit.prefix.map(|(name, _)| key(name));
+        let prefix = submit.shared_prefix.map(|(name, _)| key(name));
         // A request on a route with tools gets a session of its own if it names none: the router then reads
         // its next leg on the server that keeps the first.
         let tools = !self.plan.routes[submit.route].tools.is_empty();
@@ -314,7 +315,7 @@
             arrived: now,
             deadline,
             first_token_limit,
-            bytes: submit.bytes,
+            bytes: submit.prompt_bytes,
             shared_bytes,
             legs: 0,
             calls: Vec::new(),
@@ -324,14 +325,14 @@
             is_answered: false,
         };
         self.chains.insert(chain, new_chain);
-        self.start_leg(now, chain, submit.repeat, effects);
+        self.start_leg(now, chain, submit.is_repeat, effects);
     }
 
     /// Submits the next turn to the router as a request of its own, with the time that is left.
     fn start_leg(&mut self, now: Time, id: ChainId, repeat: bool, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let route = &self.plan.routes[chain.route];
-        if chain.legs >= route.most_legs {
+        if chain.legs >= route.max_legs {
             return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         self.last_leg_number = self.last_leg_number.wrapping_add(1);
@@ -387,7 +388,17 @@
     }
 
     fn attempt_ended(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        let Event::AttemptEnded { chain: id, leg, attempt, evidence, took, usage, text, calls, load } = event
+        let Event::AttemptEnded {
+            chain: id,
+            leg,
+            attempt,
+            evidence,
+            took,
+            usage,
+            text_bytes: text,
+            calls,
+            load,
+        } = event
         else {
             return;
         };
@@ -434,20 +445,28 @@
 
     // ---- Tool calls ----
 
-    fn turn_ended(&mut self, now: Time, id: ChainId, text: usize, calls: &[Call], effects: &mut Vec<Effect>) {
+    fn turn_ended(
+        &mut self,
+        now: Time,
+        id: ChainId,
+        text: usize,
+        calls: &[RequestedToolCall],
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         if calls.is_empty() {
             return self.finish(now, id, Final::Served, effects);
         }
-        if calls.len() > self.plan.limits.calls {
+        if calls.len() > self.plan.limits.max_calls_per_turn {
             return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         let route = &self.plan.routes[chain.route];
-        let find_tool =
-            |call: &Call| route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool);
+        let find_tool = |call: &RequestedToolCall| {
+            route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool)
+        };
         chain.calls = calls.iter().map(find_tool).collect();
         chain.next_call = 0;
-        chain.bytes += text + calls.iter().map(|call| call.bytes).sum::<usize>();
+        chain.bytes += text + calls.iter().map(|call| call.argument_bytes).sum::<usize>();
         self.start_next_call(now, id, effects);
     }
 
@@ -486,7 +505,7 @@
             call.had_effect_before = chain.may_have_had_effect;
         }
         call.tries += 1;
-        chain.may_have_had_effect |= tool.effect;
+        chain.may_have_had_effect |= tool.has_effect;
         chain.phase = Phase::Tool(call);
         self.counters.tool_calls += 1;
         self.counters.tool_retries += u64::from(call.tries > 1);
@@ -552,12 +571,12 @@
     fn finish(&mut self, now: Time, id: ChainId, last: Final, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id).filter(|chain| !chain.is_answered) else { return };
         chain.is_answered = true;
-        effects.push(Effect::Answer { chain: id, last });
+        effects.push(Effect::Answer { chain: id, final_answer: last });
         match last {
             Final::Served => self.counters.served += 1,
             Final::Refused { .. } => self.counters.refused += 1,
             Final::Failed { .. } => self.counters.failed += 1,
-            Final::Gone => self.counters.gone += 1,
+            Final::Gone => self.counters.clients_gone += 1,
         }
         if let Final::Refused { reason, .. } | Final::Failed { reason } = last {
             *self.counters.ended_for.entry(reason).or_default() += 1;
@@ -669,7 +688,17 @@
         self.counters.attempts += 1;
         // Reading a prompt has no side effect, so it may be repeated.
         let once = repeat != RepeatPolicy::Safe && stage != Stage::Read;
-        effects.push(Effect::Send { chain: id, leg, turn, attempt, server, stage, timeout, keyed, once });
+        effects.push(Effect::Send {
+            chain: id,
+            leg,
+            turn,
+            attempt,
+            server,
+            stage,
+            timeout,
+            is_keyed: keyed,
+            must_not_repeat: once,
+        });
     }
 }
 
@@ -686,8 +715,8 @@
 fn decide_tool_step(tool: &ToolPlan, end: &ToolEnd, tries: u32) -> ToolStep {
     match end {
         ToolEnd::Result { .. } => ToolStep::Continue,
-        ToolEnd::Unknown if tool.effect => ToolStep::EndRequest,
-        ToolEnd::NotRun | ToolEnd::Unknown if tries < tool.tries => ToolStep::Retry,
+        ToolEnd::Unknown if tool.has_effect => ToolStep::EndRequest,
+        ToolEnd::NotRun | ToolEnd::Unknown if tries < tool.max_tries => ToolStep::Retry,
         ToolEnd::NotRun | ToolEnd::Unknown => ToolStep::Continue,
     }
 }
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -87,13 +87,13 @@
 
 /// Classifies a JSON-RPC error code. The codes for [`ToolEnd::NotRun`] are those that a server returns before
 /// a method runs (JSON-RPC 2.0, section 5.1).
-pub fn rpc_error(code: i64) -> ToolEnd {
+pub fn tool_end_from_rpc_error(code: i64) -> ToolEnd {
     if matches!(code, -32700 | -32602..=-32600) { ToolEnd::NotRun } else { ToolEnd::Unknown }
 }
 
 /// What a tool server's HTTP status proves by itself. 404 means that the session is unknown (MCP,
 /// transports), so the call did not run. For any other status the message decides.
-pub fn tool_status(status: u16) -> Option<ToolEnd> {
+pub fn tool_end_from_status(status: u16) -> Option<ToolEnd> {
     (status == 404).then_some(ToolEnd::NotRun)
 }
 
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -41,11 +41,11 @@
 
 #[test]
 fn rpc_errors_before_the_method_runs_prove_that_it_did_not_run() {
-    assert_eq!(rpc_error(-32601), ToolEnd::NotRun);
-    assert_eq!(rpc_error(-32603), ToolEnd::Unknown);
-    assert_eq!(rpc_error(-32000), ToolEnd::Unknown);
-    assert_eq!(tool_status(404), Some(ToolEnd::NotRun));
+    assert_eq!(tool_end_from_rpc_error(-32601), ToolEnd::NotRun);
+    assert_eq!(tool_end_from_rpc_error(-32603), ToolEnd::Unknown);
+    assert_eq!(tool_end_from_rpc_error(-32000), ToolEnd::Unknown);
+    assert_eq!(tool_end_from_status(404), Some(ToolEnd::NotRun));
     for status in [200, 400, 500, 503] {
-        assert_eq!(tool_status(status), None, "{status} proves nothing");
+        assert_eq!(tool_end_from_status(status), None, "{status} proves nothing");
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,5 +24,5 @@
 mod driver;
 
 pub use chain::{ChainId, Final, Reason};
-pub use driver::{Call, Core, Counters, Effect, Event, Stage, Submit};
+pub use driver::{Core, Counters, Effect, Event, NewRequest, RequestedToolCall, Stage};
 pub use plan::{ClassPlan, Limits, Plan, RoutePlan, ToolPlan};
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -8,10 +8,10 @@
     /// Whether a request may run twice.
     pub repeat: RepeatPolicy,
     /// Longest wait for a turn's first token, and the addition for each 1,000 prompt tokens.
-    pub give_up: Time,
-    pub give_up_per_1000: f64,
+    pub first_token_limit: Time,
+    pub first_token_limit_per_1000: f64,
     /// Longest time for the whole request, tool calls included.
-    pub total: Time,
+    pub request_limit: Time,
 }
 
 /// A tool that the front calls between two turns of the model.
@@ -19,12 +19,12 @@
 pub struct ToolPlan {
     pub name: String,
     /// A call may change something, so it must never run twice.
-    pub effect: bool,
+    pub has_effect: bool,
     /// Time limit of one call.
     pub timeout: Time,
     /// Most tries of one call. With an effect, a value above 1 applies only to calls that are proved not to
     /// have run.
-    pub tries: u32,
+    pub max_tries: u32,
 }
 
 /// A route: one service that clients can address.
@@ -38,16 +38,16 @@
     /// Most tokens of one answer.
     pub max_tokens: f64,
     /// Most legs (turns of the model) in one request.
-    pub most_legs: u32,
+    pub max_legs: u32,
 }
 
 /// Limits of one front.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Most requests held at once.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Most tool calls in one turn.
-    pub calls: usize,
+    pub max_calls_per_turn: usize,
     /// Advice when to try again, in refusals that the front itself decides.
     pub retry_after: Time,
 }
@@ -55,7 +55,7 @@
 impl Default for Limits {
     fn default() -> Limits {
         // 20,000 requests take about 400 MB: each has a few tens of KiB of stack, buffers and text.
-        Limits { requests: 20_000, calls: 8, retry_after: 500_000 }
+        Limits { max_requests: 20_000, max_calls_per_turn: 8, retry_after: 500_000 }
     }
 }
 
--- a/crates/core/tests/chains.rs
+++ b/crates/core/tests/chains.rs
@@ -20,7 +20,7 @@
     world.submit(1);
     world.run(1_000 * MS);
     assert_eq!(world.final_of(1), Final::Served);
-    assert_eq!((world.sends(Stage::Read), world.sends(Stage::Write), world.core.held()), (1, 1, 0));
+    assert_eq!((world.sends(Stage::Read), world.sends(Stage::Write), world.core.request_count()), (1, 1, 0));
 }
 
 #[test]
@@ -57,7 +57,7 @@
         world.run(30_000 * MS);
         assert!(matches!(world.final_of(1), Final::Failed { .. }), "{second:?}");
         assert_eq!(world.calls(), 1, "{second:?}");
-        assert_eq!(world.core.held(), 0);
+        assert_eq!(world.core.request_count(), 0);
     }
 }
 
@@ -124,7 +124,7 @@
     stream.submit(1);
     stream.run(21_000 * MS);
     assert_eq!(stream.final_of(1), Final::Failed { reason: Reason::OutOfTime });
-    assert_eq!(stream.core.held(), 0, "the attempt was cancelled");
+    assert_eq!(stream.core.request_count(), 0, "the attempt was cancelled");
     let mut plan = plan(RepeatPolicy::Unsafe);
     plan.tools[1].timeout = 60_000 * MS;
     let mut tool = World::with_plan(plan);
@@ -133,7 +133,7 @@
     tool.submit(1);
     tool.run(21_000 * MS);
     assert!(matches!(tool.final_of(1), Final::Failed { .. }));
-    assert_eq!(tool.core.held(), 0);
+    assert_eq!(tool.core.request_count(), 0);
 }
 
 #[test]
@@ -146,7 +146,7 @@
         world.handle_event(Event::ClientGone { chain: ChainId(1) });
         world.run(3_000 * MS);
         assert_eq!(world.final_of(1), Final::Gone, "after {after} ms");
-        assert_eq!(world.core.held(), 0, "after {after} ms");
+        assert_eq!(world.core.request_count(), 0, "after {after} ms");
         assert!(world.count(|effect| matches!(effect, Effect::Forget { .. })) == 1);
     }
 }
@@ -176,7 +176,7 @@
     assert!(matches!(world.final_of(52), Final::Refused { reason: Reason::Draining, .. }));
     world.handle_event(Event::Stop);
     world.run(1_000 * MS);
-    assert_eq!(world.core.held(), 0);
+    assert_eq!(world.core.request_count(), 0);
     for chain in 1..=50 {
         world.final_of(chain);
     }
@@ -195,7 +195,7 @@
         evidence: Evidence::Turn { cached: 0 },
         took: 1,
         usage: None,
-        text: 1,
+        text_bytes: 1,
         calls: Vec::new(),
         load: None,
     };
@@ -280,7 +280,7 @@
         }
         let started = world.now;
         world.run(22_000 * MS);
-        prop_assert_eq!(world.core.held(), 0);
+        prop_assert_eq!(world.core.request_count(), 0);
         for (chain, leave_after) in leave_times.iter().enumerate() {
             let finals = world.finals.get(&(chain as u64 + 1)).cloned().unwrap_or_default();
             prop_assert_eq!(finals.len(), 1);
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -7,7 +7,9 @@
 
 use elderstage::{ServerId, Time};
 use elderstage_core::Stage;
-use elderstage_core::addresses::{Candidate, ConnectionSource, Lost, Proof, Race, Rest, Step};
+use elderstage_core::addresses::{
+    Candidate, ConnectionSource, Proof, Race, RaceFailure, RaceStep, RemainingRequest,
+};
 use elderstage_core::evidence::{Evidence, classify};
 use elderstage_protocol::place::Place;
 
@@ -34,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum RaceEnd {
     Sent(usize),
-    Lost(Lost),
+    Lost(RaceFailure),
     /// A final answer to the head arrived.
     Answered,
 }
@@ -132,19 +134,19 @@
     fn run_race(&mut self) {
         for _ in 0..50 {
             match self.race.poll(self.now, &mut self.source) {
-                Step::Reuse(lane, closed) => {
+                RaceStep::Reuse(lane, closed) => {
                     self.wires[lane] = WireState { is_open: true, ..WireState::default() };
                     // A close is noticed either before anything is written, or only by writing.
                     if closed {
                         self.wires[lane].is_open = false;
-                        self.race.stale(lane);
+                        self.race.record_stale(lane);
                     }
                 }
-                Step::Dial(lane, until) => {
+                RaceStep::Dial(lane, until) => {
                     assert!(until <= END);
                     self.outstanding[lane] = Outstanding::Connect;
                 }
-                Step::Prove(lane, proof) => {
+                RaceStep::Prove(lane, proof) => {
                     let wire = &mut self.wires[lane];
                     assert!(wire.is_open && !wire.has_head && !wire.has_body);
                     (wire.has_head, wire.has_health_request) =
@@ -152,22 +154,22 @@
                     self.is_head_written |= proof == Proof::Continue;
                     self.outstanding[lane] = Outstanding::ProofAnswer;
                 }
-                Step::Drop(lane) => self.wires[lane].is_open = false,
-                Step::Send(lane, rest) => {
+                RaceStep::Drop(lane) => self.wires[lane].is_open = false,
+                RaceStep::Send(lane, rest) => {
                     let wire = &mut self.wires[lane];
                     assert!(self.now < END, "sent at or after the end");
                     assert!(wire.is_open && !wire.has_body);
-                    assert!(rest == Rest::Whole || wire.has_head, "body sent without its head");
+                    assert!(rest == RemainingRequest::Whole || wire.has_head, "body sent without its head");
                     wire.has_body = true;
                     self.bodies += 1;
                     self.ended = Some(RaceEnd::Sent(lane));
                 }
-                Step::Wait(at) => {
+                RaceStep::Wait(at) => {
                     assert!(at > self.now && at <= END);
                     self.wait_until = Some(at);
                     return self.check_invariants();
                 }
-                Step::Lost(lost) => self.ended = Some(RaceEnd::Lost(lost)),
+                RaceStep::Lost(lost) => self.ended = Some(RaceEnd::Lost(lost)),
             }
             self.check_invariants();
             if self.ended.is_some() {
@@ -185,12 +187,12 @@
             Some(RaceEnd::Lost(lost)) => {
                 assert_eq!(self.bodies, 0, "body sent, but reported as never run: {self:?}");
                 let evidence = match lost {
-                    Lost::NotConnected => Evidence::NotConnected,
-                    Lost::NotProven => Evidence::NotProven,
-                    Lost::NoRoom => Evidence::NoRoom,
+                    RaceFailure::NotConnected => Evidence::NotConnected,
+                    RaceFailure::NotProven => Evidence::NotProven,
+                    RaceFailure::NoRoom => Evidence::NoRoom,
                 };
                 assert!(classify(Stage::Whole, &evidence).0.never_ran());
-                assert_eq!(self.is_head_written, *lost == Lost::NotProven, "{self:?}");
+                assert_eq!(self.is_head_written, *lost == RaceFailure::NotProven, "{self:?}");
             }
             Some(RaceEnd::Answered) => {
                 assert_eq!(self.bodies, 0);
@@ -245,30 +247,30 @@
             WorldEvent::Accept(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
                 // A connection that the race does not wait for stays unused.
-                if self.race.connected(lane) {
+                if self.race.record_connected(lane) {
                     self.wires[lane] = WireState { is_open: true, ..WireState::default() };
                 }
             }
             WorldEvent::Refuse(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
-                self.race.failed(lane);
+                self.race.record_failure(lane);
             }
             WorldEvent::Continue(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
-                let wanted = self.race.proven(lane);
+                let wanted = self.race.record_proof(lane);
                 assert!(!wanted || self.wires[lane].is_open, "a closed connection was proven");
             }
             WorldEvent::Close(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
                 self.wires[lane].is_open = false;
-                self.race.failed(lane);
+                self.race.record_failure(lane);
             }
             WorldEvent::ExpectationFailed(lane, stays_open) => {
                 self.outstanding[lane] = Outstanding::Nothing;
                 // The answer ends the request with that head: a new request follows, on this or a new
                 // connection.
                 (self.wires[lane].has_head, self.wires[lane].is_open) = (false, stays_open);
-                self.race.without_continue(lane, stays_open);
+                self.race.record_expectation_failed(lane, stays_open);
             }
             WorldEvent::Answer(lane) => {
                 self.outstanding[lane] = Outstanding::Nothing;
@@ -291,7 +293,10 @@
             // A late event after the end changes nothing: the race returns the same step again.
             let before = self.bodies;
             let step = self.race.poll(self.now, &mut self.source);
-            assert!(matches!(step, Step::Send(..) | Step::Lost(_)) || self.ended == Some(RaceEnd::Answered));
+            assert!(
+                matches!(step, RaceStep::Send(..) | RaceStep::Lost(_))
+                    || self.ended == Some(RaceEnd::Answered)
+            );
             assert_eq!(self.bodies, before);
             self.check_invariants();
         }
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -11,7 +11,8 @@
 use elderstage_core::chain::Final;
 use elderstage_core::evidence::{Evidence, ToolEnd};
 use elderstage_core::{
-    Call, ChainId, ClassPlan, Core, Effect, Event, Limits, Plan, RoutePlan, Stage, Submit, ToolPlan,
+    ChainId, ClassPlan, Core, Effect, Event, Limits, NewRequest, Plan, RequestedToolCall, RoutePlan, Stage,
+    ToolPlan,
 };
 
 pub const MS: Time = 1_000;
@@ -49,19 +50,29 @@
 pub fn plan(repeat: RepeatPolicy) -> Plan {
     let mut settings: Settings = example_settings();
     settings.classes[0].repeat = repeat;
-    let tool = |name: &str, effect| ToolPlan { name: name.into(), effect, timeout: 2_000 * MS, tries: 2 };
+    let tool = |name: &str, effect| ToolPlan {
+        name: name.into(),
+        has_effect: effect,
+        timeout: 2_000 * MS,
+        max_tries: 2,
+    };
     Plan {
         settings,
-        classes: vec![ClassPlan { repeat, give_up: 6_000 * MS, give_up_per_1000: 0.0, total: 20_000 * MS }],
+        classes: vec![ClassPlan {
+            repeat,
+            first_token_limit: 6_000 * MS,
+            first_token_limit_per_1000: 0.0,
+            request_limit: 20_000 * MS,
+        }],
         tools: vec![tool("stock", false), tool("place_order", true)],
         routes: vec![RoutePlan {
             name: "r".into(),
             class: 0,
             tools: vec![0, 1],
             max_tokens: 200.0,
-            most_legs: 3,
+            max_legs: 3,
         }],
-        limits: Limits { requests: 50, ..Limits::default() },
+        limits: Limits { max_requests: 50, ..Limits::default() },
     }
 }
 
@@ -108,14 +119,14 @@
     }
 
     pub fn submit(&mut self, chain: u64) {
-        self.handle_event(Event::Submit(Submit {
+        self.handle_event(Event::Submit(NewRequest {
             chain: ChainId(chain),
             route: 0,
             tenant: 0,
             session: None,
-            prefix: None,
-            bytes: 2_000,
-            repeat: false,
+            shared_prefix: None,
+            prompt_bytes: 2_000,
+            is_repeat: false,
         }));
     }
 
@@ -141,9 +152,10 @@
         took: Time,
         calls: &[&str],
     ) -> Event {
-        let calls = calls.iter().map(|name| Call { tool: (*name).into(), bytes: 10 }).collect();
+        let calls =
+            calls.iter().map(|name| RequestedToolCall { tool: (*name).into(), argument_bytes: 10 }).collect();
         let usage = matches!(evidence, Evidence::Turn { .. }).then_some((500, 20));
-        Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text: 80, calls, load: None }
+        Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text_bytes: 80, calls, load: None }
     }
 
     fn apply_effects(&mut self, effects: Vec<Effect>) {
@@ -204,7 +216,9 @@
                         self.longest_state_wait = self.longest_state_wait.max(self.now - since);
                     }
                 }
-                Effect::Answer { chain, last } => self.finals.entry(chain.0).or_default().push(last),
+                Effect::Answer { chain, final_answer: last } => {
+                    self.finals.entry(chain.0).or_default().push(last)
+                }
                 Effect::Probe { .. } | Effect::CancelTool { .. } | Effect::Forget { .. } => {}
             }
         }
@@ -235,7 +249,7 @@
                         }
                     } else {
                         let mut effects = Vec::new();
-                        self.core.wake(self.now, &mut effects);
+                        self.core.handle_timers(self.now, &mut effects);
                         self.apply_effects(effects);
                     }
                 }
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -24,7 +24,7 @@
 pub struct Check {
     /// The expected condition, in the syntax of the configuration.
     pub what: String,
-    pub held: bool,
+    pub holds: bool,
     /// The worst figure.
     pub seen: String,
     /// The seed of the worst figure.
@@ -35,8 +35,8 @@
 
 impl Verdict {
     /// Whether all checks held.
-    pub fn held(&self) -> bool {
-        self.checks.iter().all(|check| check.held)
+    pub fn holds(&self) -> bool {
+        self.checks.iter().all(|check| check.holds)
     }
 }
 
@@ -146,12 +146,17 @@
 }
 
 /// Tests one expectation with the seeds from 1 to `seeds`.
-pub fn test(config: &Config, servers: &[ServerConfig], expect: &ExpectConfig, seeds: u64) -> Verdict {
+pub fn run_expectation(
+    config: &Config,
+    servers: &[ServerConfig],
+    expect: &ExpectConfig,
+    seeds: u64,
+) -> Verdict {
     let unknown_servers = unknown_servers(servers, expect);
     if !unknown_servers.is_empty() {
         let check = Check {
             what: "all named servers exist".into(),
-            held: false,
+            holds: false,
             seen: format!("no server is called {}", unknown_servers.join(", ")),
             seed: 0,
             witness: None,
@@ -171,7 +176,7 @@
     let check = |(want, measurement): (&Want, Option<(Measurement, u64)>)| {
         measurement.map(|(measurement, seed)| Check {
             what: want.to_string(),
-            held: measurement.held,
+            holds: measurement.held,
             seen: measurement.seen,
             seed,
             witness: measurement.witness.filter(|_| !measurement.held),
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -6,7 +6,7 @@
 use elderstage::{ListMode, RequestId, Time};
 use elderstage_config::{Config, ExpectConfig, ServerConfig, StateName};
 use elderstage_core::evidence::Evidence;
-use elderstage_core::{ChainId, Core, Effect, Event, Final, Stage, Submit};
+use elderstage_core::{ChainId, Core, Effect, Event, Final, NewRequest, Stage};
 
 const MS: Time = 1_000;
 /// Simulated time at the start. It is well above 0, so that processes that started long ago have a start
@@ -81,14 +81,14 @@
         let shift =
             (number.wrapping_mul(0x9E37_79B9).wrapping_add(seed.wrapping_mul(0x85EB_CA6B)) % 1000) as f64;
         let at = first_arrival + (gap * (number as f64 + shift / 1000.0)) as Time;
-        let submit = Submit {
+        let submit = NewRequest {
             chain: ChainId(number + 1),
             route,
             tenant: 0,
             session: None,
-            prefix: None,
-            bytes: expect.prompt,
-            repeat: false,
+            shared_prefix: None,
+            prompt_bytes: expect.prompt,
+            is_repeat: false,
         };
         simulation.schedule(at, Event::Submit(submit));
     }
@@ -116,7 +116,7 @@
             self.now = self.now.max(at);
             let mut effects = Vec::new();
             if timer.is_some_and(|timer| timer <= self.now) {
-                self.core.wake(self.now, &mut effects);
+                self.core.handle_timers(self.now, &mut effects);
             } else if let Some(Reverse((_, number))) = self.queue.pop() {
                 let Some(event) = self.events.remove(&number) else { continue };
                 if let Event::Submit(submit) = &event {
@@ -157,7 +157,7 @@
                     let event = Event::Probed { server, evidence, took: QUICK_REPLY_TIME, load: None };
                     self.schedule(self.now + QUICK_REPLY_TIME, event);
                 }
-                Effect::Answer { chain, last } => {
+                Effect::Answer { chain, final_answer: last } => {
                     if let Some((arrived, request)) = self.requests.get_mut(&chain.0) {
                         request.end = Some((self.now - *arrived, last));
                     }
@@ -234,5 +234,15 @@
     } else {
         0
     };
-    Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text, calls: Vec::new(), load: None }
+    Event::AttemptEnded {
+        chain,
+        leg,
+        attempt,
+        evidence,
+        took,
+        usage,
+        text_bytes: text,
+        calls: Vec::new(),
+        load: None,
+    }
 }
--- a/crates/expect/tests/expectations.rs
+++ b/crates/expect/tests/expectations.rs
@@ -2,7 +2,7 @@
 //! and give the same result on every run.
 
 use elderstage_config::{Config, parse};
-use elderstage_expect::{Verdict, test};
+use elderstage_expect::{Verdict, run_expectation};
 
 const SITE: &str = "zones a b\nfront {\n zone a\n}\n\
     class ask {\n repeat safe\n first-token 1s\n give-up 4s\n total 10s\n}\n\
@@ -19,8 +19,12 @@
 
 fn test_twice(expect: &str) -> Verdict {
     let config = config(&format!("expect it {{\n{expect}\n}}\n"));
-    let verdict = test(&config, &config.servers, &config.expects[0], 3);
-    assert_eq!(verdict, test(&config, &config.servers, &config.expects[0], 3), "the same on every run");
+    let verdict = run_expectation(&config, &config.servers, &config.expects[0], 3);
+    assert_eq!(
+        verdict,
+        run_expectation(&config, &config.servers, &config.expects[0], 3),
+        "the same on every run"
+    );
     verdict
 }
 
@@ -34,7 +38,7 @@
         "route order\ndown w1 w2 r1 r2\nanswered-within 6s",
     ] {
         let verdict = test_twice(expect);
-        assert!(verdict.held(), "{expect}: {verdict:#?}");
+        assert!(verdict.holds(), "{expect}: {verdict:#?}");
     }
 }
 
@@ -47,11 +51,11 @@
         ("route ask\nanswered-within 1ms", "answered-within"),
     ] {
         let verdict = test_twice(expect);
-        assert!(!verdict.held(), "{expect}");
-        let check = verdict.checks.iter().find(|check| !check.held).unwrap();
+        assert!(!verdict.holds(), "{expect}");
+        let check = verdict.checks.iter().find(|check| !check.holds).unwrap();
         assert!(check.what.starts_with(failing_line) && check.witness.is_some(), "{check:?}");
     }
-    assert!(!test_twice("route ask\nshare w1 0.9 1").held());
+    assert!(!test_twice("route ask\nshare w1 0.9 1").holds());
 }
 
 /// Guards against an expectation that holds only because nothing was sent or because it names an unknown
@@ -59,10 +63,10 @@
 #[test]
 fn expectations_without_evidence_fail() {
     let verdict = test_twice("route ask\ndraining r1 r2 w1 w2\nnever w1");
-    assert!(!verdict.held() && verdict.checks[0].seen == "nothing was sent", "{verdict:?}");
+    assert!(!verdict.holds() && verdict.checks[0].seen == "nothing was sent", "{verdict:?}");
     let config = config("expect it {\nroute ask\ndown w1\nserved 1\n}\n");
-    let verdict = test(&config, &config.servers[..2], &config.expects[0], 1);
-    assert!(!verdict.held() && verdict.checks[0].seen.contains("w1"), "{verdict:?}");
+    let verdict = run_expectation(&config, &config.servers[..2], &config.expects[0], 1);
+    assert!(!verdict.holds() && verdict.checks[0].seen.contains("w1"), "{verdict:?}");
 }
 
 #[test]
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -10,7 +10,7 @@
 use elderstage::Time;
 use elderstage_core::chain::Final;
 use elderstage_core::evidence::ToolEnd;
-use elderstage_core::{Call, ChainId, Event, Stage, Submit};
+use elderstage_core::{ChainId, Event, NewRequest, RequestedToolCall, Stage};
 use elderstage_net::channel::{Receiver, Sender, channel};
 use elderstage_net::{Conn, NetError, go};
 use elderstage_protocol::engine::{self, Message};
@@ -391,8 +391,15 @@
         let route = &self.shared.config.routes[self.route];
         let bytes = self.messages.iter().filter_map(|m| m.content.as_ref()).map(String::len).sum();
         let prefix = (!route.preamble.is_empty()).then(|| (route.name.clone(), route.preamble.len()));
-        let submit =
-            Submit { chain: self.chain, route: self.route, tenant: 0, session, prefix, bytes, repeat: false };
+        let submit = NewRequest {
+            chain: self.chain,
+            route: self.route,
+            tenant: 0,
+            session,
+            shared_prefix: prefix,
+            prompt_bytes: bytes,
+            is_repeat: false,
+        };
         let submission =
             Input::NewRequest { submit, rid: self.rid.clone(), commands: command_sender, slot: slot.clone() };
         if self.shared.inbox.offer(submission).is_err() {
@@ -477,10 +484,10 @@
         if outcome.state.is_some() {
             self.kv_params = outcome.state;
         }
-        let calls = outcome
-            .calls
-            .iter()
-            .map(|call| Call { tool: call.function.name.clone(), bytes: call.function.arguments.len() });
+        let calls = outcome.calls.iter().map(|call| RequestedToolCall {
+            tool: call.function.name.clone(),
+            argument_bytes: call.function.arguments.len(),
+        });
         let calls = calls.collect();
         self.tool_calls = outcome.calls.into_iter().map(|call| (call, None)).collect();
         tracing::debug!(
@@ -494,7 +501,7 @@
             evidence: outcome.evidence,
             took,
             usage: outcome.usage.map(|usage| (usage.prompt, usage.completion)),
-            text: self.answer_text.len() - self.turn_start,
+            text_bytes: self.answer_text.len() - self.turn_start,
             calls,
             load,
         });
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -8,7 +8,7 @@
 
 use elderstage::ServerId;
 use elderstage_core::Stage;
-use elderstage_core::addresses::{Ask, Lost, Rest};
+use elderstage_core::addresses::{ConnectionNeeds, RaceFailure, RemainingRequest};
 use elderstage_core::evidence::Evidence;
 use elderstage_net::{Conn, NetError, send};
 use elderstage_protocol::engine::{self, Finish, ToolCall, Usage};
@@ -90,11 +90,11 @@
     if let Some(key) = &attempt.idempotency_key {
         headers.push(("idempotency-key", key.as_str()));
     }
-    let ask = Ask {
-        once: attempt.is_at_most_once,
+    let ask = ConnectionNeeds {
+        must_not_repeat: attempt.is_at_most_once,
         proof: shared.catalog.proof_for(attempt.server),
-        connect: shared.config.rules.connect,
-        time: attempt.timeout.as_micros() as u64,
+        connect_limit: shared.config.rules.connect,
+        attempt_limit: attempt.timeout.as_micros() as u64,
     };
     let connect_request = ConnectRequest {
         server: attempt.server,
@@ -106,11 +106,13 @@
     };
     let (mut pooled, rest) = match shared.pool.connect(&connect_request) {
         ConnectOutcome::Connected(pooled, rest) => (pooled, rest),
-        ConnectOutcome::Lost(Lost::NotConnected) => {
+        ConnectOutcome::Lost(RaceFailure::NotConnected) => {
             return AttemptOutcome::from_evidence(Evidence::NotConnected);
         }
-        ConnectOutcome::Lost(Lost::NotProven) => return AttemptOutcome::from_evidence(Evidence::NotProven),
-        ConnectOutcome::Lost(Lost::NoRoom) => return AttemptOutcome::from_evidence(Evidence::NoRoom),
+        ConnectOutcome::Lost(RaceFailure::NotProven) => {
+            return AttemptOutcome::from_evidence(Evidence::NotProven);
+        }
+        ConnectOutcome::Lost(RaceFailure::NoRoom) => return AttemptOutcome::from_evidence(Evidence::NoRoom),
         ConnectOutcome::Answered(status) => {
             return AttemptOutcome::from_evidence(Evidence::Unsent { status });
         }
@@ -127,8 +129,8 @@
     let endpoint = pooled.endpoint(engine::COMPLETIONS);
     let wait_id = shared.pool.record_sent(attempt.server, &pooled, !attempt.is_at_most_once);
     let send_result = match rest {
-        Rest::Body => pooled.conn.write(&attempt.body),
-        Rest::Whole => send(&mut pooled.conn, "POST", &endpoint, &headers, &attempt.body),
+        RemainingRequest::Body => pooled.conn.write(&attempt.body),
+        RemainingRequest::Whole => send(&mut pooled.conn, "POST", &endpoint, &headers, &attempt.body),
     };
     let head = match send_result.and_then(|()| pooled.conn.response()) {
         Ok(head) => head,
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -18,7 +18,8 @@
 
 use elderstage::{ServerId, Time};
 use elderstage_core::addresses::{
-    Addresses, Ask, Bounds, Counts, Life, Lost, Proof, Race, Rest, Step, Trial,
+    AddressCounters, Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, Race, RaceFailure,
+    RaceStep, RemainingRequest, Trial,
 };
 use elderstage_net::channel::{Receiver, Sender, channel};
 use elderstage_net::owner::Clock;
@@ -43,7 +44,7 @@
 impl Drop for OpenCountGuard {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.upgrade() {
-            pool.addresses().closed(&self.place);
+            pool.addresses().record_closed(&self.place);
         }
     }
 }
@@ -53,7 +54,7 @@
     // Declared before the guard: the socket closes before the connection is counted as closed.
     pub conn: Conn,
     pub place: Place,
-    life: Life,
+    life: ConnectionAge,
     /// Whether it was idle in the pool before this request.
     pub reused: bool,
     _guard: OpenCountGuard,
@@ -69,7 +70,7 @@
 /// The request that a connection is needed for.
 pub(crate) struct ConnectRequest<'a> {
     pub server: &'a ServerId,
-    pub ask: Ask,
+    pub ask: ConnectionNeeds,
     /// Path and headers of the request, for a proof that sends its head (`Expect: 100-continue`).
     pub path: &'a str,
     pub headers: &'a [(&'a str, &'a str)],
@@ -82,9 +83,9 @@
 /// Result of asking the pool for a connection.
 pub(crate) enum ConnectOutcome {
     /// The connection, and which part of the request is still to be sent on it.
-    Connected(Box<PooledConn>, Rest),
+    Connected(Box<PooledConn>, RemainingRequest),
     /// No connection, with the reason.
-    Lost(Lost),
+    Lost(RaceFailure),
     /// The server answered the head of the request with this final status.
     Answered(u16),
     Cancelled,
@@ -127,7 +128,7 @@
 impl ConnPool {
     /// An empty pool. `via` is the value of the `Via` header in its own requests.
     pub fn new(
-        bounds: Bounds,
+        bounds: ConnectionLimits,
         jitter: f64,
         clock: Clock,
         via: String,
@@ -147,7 +148,7 @@
         let now = self.clock.now();
         let mut addresses = self.addresses();
         let value = f(&mut addresses, now);
-        let closing = addresses.closing();
+        let closing = addresses.take_closing();
         drop(addresses);
         drop(closing);
         value
@@ -155,15 +156,15 @@
 
     /// Replaces the list of servers: their addresses, and whether each is leaving.
     pub fn set_servers(&self, servers: Vec<(ServerId, Vec<Place>, bool)>) {
-        self.with_addresses(|addresses, now| addresses.list(now, servers));
+        self.with_addresses(|addresses, now| addresses.apply_list(now, servers));
     }
 
     /// Returns the counters, the open and idle connections, the failing addresses and the address families that are
     /// down.
-    pub fn counts(&self) -> (Counts, (usize, usize), usize, Vec<String>) {
+    pub fn counts(&self) -> (AddressCounters, (usize, usize), usize, Vec<String>) {
         self.with_addresses(|addresses, _| {
-            let down = addresses.down().map(|family| family.to_string()).collect();
-            (addresses.counts(), addresses.open(), addresses.book.failing(), down)
+            let down = addresses.down_families().map(|family| family.to_string()).collect();
+            (addresses.counts(), addresses.open_counts(), addresses.book.failing_count(), down)
         })
     }
 
@@ -171,7 +172,7 @@
     fn wrap(self: &Arc<Self>, conn: Conn, guard: OpenCountGuard) -> Box<PooledConn> {
         let now = self.clock.now();
         let place = guard.place.clone();
-        Box::new(PooledConn { conn, place, life: Life::new(now), reused: false, _guard: guard })
+        Box::new(PooledConn { conn, place, life: ConnectionAge::new(now), reused: false, _guard: guard })
     }
 
     /// A guard that keeps a connection to this address counted as open.
@@ -184,14 +185,15 @@
         pooled.conn.set_deadline(None);
         pooled.conn.set_read_timeout(None);
         let (place, life) = (pooled.place.clone(), pooled.life);
-        self.with_addresses(|addresses, now| addresses.free(now, &place, pooled, life));
+        self.with_addresses(|addresses, now| addresses.return_connection(now, &place, pooled, life));
     }
 
     /// Records that a request is written on this connection and waits for the first byte of its answer. Returns the
     /// id of the wait.
     pub fn record_sent(&self, server: &ServerId, pooled: &PooledConn, is_repeatable: bool) -> u64 {
-        let wait_id =
-            self.with_addresses(|addresses, now| addresses.sent(now, server, &pooled.place, is_repeatable));
+        let wait_id = self.with_addresses(|addresses, now| {
+            addresses.record_sent(now, server, &pooled.place, is_repeatable)
+        });
         self.waiting().insert(wait_id, pooled.conn.socket());
         wait_id
     }
@@ -199,13 +201,13 @@
     /// Records that the first byte of the answer has arrived.
     pub fn record_answered(&self, wait_id: u64) {
         self.waiting().remove(&wait_id);
-        self.with_addresses(|addresses, now| addresses.answered(now, wait_id));
+        self.with_addresses(|addresses, now| addresses.record_first_byte(now, wait_id));
     }
 
     /// Records that the wait ended without a byte. Returns `true` when the pool itself ended it.
     pub fn record_no_answer(&self, wait_id: u64, reused: bool) -> bool {
         let given_up = self.waiting().remove(&wait_id).is_none();
-        self.with_addresses(|addresses, now| addresses.silent(now, wait_id, reused));
+        self.with_addresses(|addresses, now| addresses.record_no_answer(now, wait_id, reused));
         given_up
     }
 
@@ -218,7 +220,7 @@
     /// Gets a connection for a request, proven if the core asks for that.
     pub fn connect(self: &Arc<Self>, request: &ConnectRequest<'_>) -> ConnectOutcome {
         let mut race =
-            self.with_addresses(|addresses, now| addresses.begin(now, request.server, request.ask));
+            self.with_addresses(|addresses, now| addresses.start_race(now, request.server, request.ask));
         let mut runner = RaceRunner {
             pool: self,
             request,
@@ -255,7 +257,12 @@
         let time = timeout.as_micros() as Time;
         // An address that is not proven at present is proven by a health request. Every server that `exchange` is
         // used with serves that path.
-        let ask = Ask { once: false, proof: Proof::Health, connect: self.connect_timeout_us, time };
+        let ask = ConnectionNeeds {
+            must_not_repeat: false,
+            proof: Proof::Health,
+            connect_limit: self.connect_timeout_us,
+            attempt_limit: time,
+        };
         let request = ConnectRequest { server, ask, path, headers, body_bytes: body.len(), slot: None };
         let ConnectOutcome::Connected(mut pooled, _) = self.connect(&request) else {
             return Err(ExchangeError::NotConnected);
@@ -287,7 +294,8 @@
     pub fn run_maintenance(self: &Arc<Self>, keeps_running: &std::sync::atomic::AtomicBool) {
         while keeps_running.load(std::sync::atomic::Ordering::SeqCst) {
             std::thread::sleep(MAINTENANCE_INTERVAL);
-            let due = self.with_addresses(|addresses, now| addresses.tend(now, self.connect_timeout_us));
+            let due =
+                self.with_addresses(|addresses, now| addresses.run_maintenance(now, self.connect_timeout_us));
             for wait_id in due.give_up {
                 // Removed before the shutdown: the waiting coroutine recognizes by this that the pool ended its
                 // wait.
@@ -313,14 +321,14 @@
     fn run_trial(self: &Arc<Self>, trial: &Trial) {
         let started_at = self.clock.now();
         let guard = self.count_open(&trial.place);
-        let timeout = Duration::from_micros(trial.time);
+        let timeout = Duration::from_micros(trial.time_limit);
         let result = open(trial.place.clone(), timeout).and_then(|conn| {
             let mut pooled = self.wrap(conn, guard);
-            let padding = if trial.heavy { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
+            let padding = if trial.is_padded { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
             let answer = self.request_health(&mut pooled, timeout, &[("x-padding", padding.as_str())])?;
             Ok((pooled, answer))
         });
-        self.with_addresses(|addresses, now| addresses.tried(now, trial, started_at, result.is_ok()));
+        self.with_addresses(|addresses, now| addresses.record_trial(now, trial, started_at, result.is_ok()));
         match result {
             Ok((pooled, answer)) => {
                 tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.place, "address answers again");
@@ -392,33 +400,33 @@
         loop {
             let (step, now) = self.pool.with_addresses(|addresses, now| (addresses.poll(now, race), now));
             match step {
-                Step::Reuse(lane, (mut pooled, life)) => {
+                RaceStep::Reuse(lane, (mut pooled, life)) => {
                     if pooled.conn.is_idle() {
                         (pooled.life, pooled.reused) = (life, true);
                         *lane_entry(&mut self.ready, lane) = Some(Box::new(pooled));
                     } else {
                         drop(pooled);
-                        self.pool.with_addresses(|addresses, _| addresses.stale(race, lane));
+                        self.pool.with_addresses(|addresses, _| addresses.record_stale(race, lane));
                     }
                 }
-                Step::Dial(lane, until) => self.dial(race, lane, until.saturating_sub(now)),
-                Step::Prove(lane, proof) => self.prove(race, lane, proof, now),
-                Step::Drop(lane) => {
+                RaceStep::Dial(lane, until) => self.dial(race, lane, until.saturating_sub(now)),
+                RaceStep::Prove(lane, proof) => self.prove(race, lane, proof, now),
+                RaceStep::Drop(lane) => {
                     if let Some((_, socket)) = lane_entry(&mut self.proving, lane).take() {
                         socket.shut();
                     }
                 }
-                Step::Send(lane, rest) => {
+                RaceStep::Send(lane, rest) => {
                     return match lane_entry(&mut self.ready, lane).take() {
                         Some(pooled) => ConnectOutcome::Connected(pooled, rest),
-                        None => ConnectOutcome::Lost(Lost::NotConnected),
+                        None => ConnectOutcome::Lost(RaceFailure::NotConnected),
                     };
                 }
-                Step::Lost(lost) => {
+                RaceStep::Lost(lost) => {
                     self.abort_proofs();
                     return ConnectOutcome::Lost(lost);
                 }
-                Step::Wait(until) => {
+                RaceStep::Wait(until) => {
                     if let Some(outcome) = self.wait_for_event(race, until.saturating_sub(now)) {
                         self.abort_proofs();
                         return outcome;
@@ -443,7 +451,9 @@
         go(move || {
             let started_at = pool.clock.now();
             let dialed = open(place.clone(), Duration::from_micros(timeout_us));
-            pool.with_addresses(|addresses, now| addresses.dialed(now, &place, started_at, dialed.is_ok()));
+            pool.with_addresses(|addresses, now| {
+                addresses.record_dial(now, &place, started_at, dialed.is_ok())
+            });
             let pooled = match dialed {
                 Ok(conn) => Some(pool.wrap(conn, guard)),
                 Err(error) => {
@@ -466,7 +476,7 @@
         self.proofs_started += 1;
         let (proof_id, sender, pool) = (self.proofs_started, self.event_sender(), self.pool.clone());
         *lane_entry(&mut self.proving, lane) = Some((proof_id, pooled.conn.socket()));
-        let timeout = Duration::from_micros(race.end().saturating_sub(now));
+        let timeout = Duration::from_micros(race.ends_at().saturating_sub(now));
         let head = match proof {
             Proof::Continue => {
                 let endpoint = pooled.endpoint(self.request.path);
@@ -511,14 +521,14 @@
         let (_, events) = self.events.as_ref()?;
         match events.recv() {
             Ok(RaceEvent::Dialed(lane, Some(pooled))) => {
-                if race.connected(lane) {
+                if race.record_connected(lane) {
                     *lane_entry(&mut self.ready, lane) = Some(pooled);
                 } else {
                     self.pool.put_back(*pooled);
                 }
             }
             Ok(RaceEvent::Dialed(lane, None)) => {
-                race.failed(lane);
+                race.record_failure(lane);
             }
             Ok(RaceEvent::Proved(lane, proof_id, proof_outcome)) => {
                 // A late result of an aborted proof must not count as the result of the lane's next proof.
@@ -546,22 +556,24 @@
     ) -> Option<ConnectOutcome> {
         match proof_outcome {
             ProofOutcome::Proven(pooled) => {
-                if self.pool.with_addresses(|addresses, now| addresses.proven(now, race, lane)) {
+                if self.pool.with_addresses(|addresses, now| addresses.record_proof(now, race, lane)) {
                     *lane_entry(&mut self.ready, lane) = Some(pooled);
                 }
             }
             ProofOutcome::ContinueUnsupported(pooled) => {
                 self.pool.with_addresses(|addresses, now| {
-                    addresses.without_continue(now, race, lane, pooled.is_some())
+                    addresses.record_expectation_failed(now, race, lane, pooled.is_some())
                 });
                 *lane_entry(&mut self.ready, lane) = pooled;
             }
             ProofOutcome::Final(status) => {
-                self.pool.with_addresses(|addresses, now| addresses.heard(now, &race.place(lane).clone()));
+                self.pool.with_addresses(|addresses, now| {
+                    addresses.record_other_answer(now, &race.place(lane).clone())
+                });
                 return Some(ConnectOutcome::Answered(status));
             }
             ProofOutcome::Failed => {
-                self.pool.with_addresses(|addresses, now| addresses.not_proven(now, race, lane))
+                self.pool.with_addresses(|addresses, now| addresses.record_proof_failure(now, race, lane))
             }
         }
         None
--- a/crates/front/src/mcp.rs
+++ b/crates/front/src/mcp.rs
@@ -160,6 +160,6 @@
     if let Some(retry_after) = retry_after {
         data["retryAfterMs"] = json!(retry_after / 1000);
     }
-    let error = RpcError { code, message: reason.text().into(), data: Some(data) };
+    let error = RpcError { code, message: reason.message().into(), data: Some(data) };
     Some(jsonrpc::response(Some(id), Err(error)))
 }
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -12,7 +12,7 @@
 
 use elderstage::{RequestId, ServerId, Time};
 use elderstage_core::evidence::Evidence;
-use elderstage_core::{ChainId, Core, Counters, Effect, Event, Final, Stage, Submit};
+use elderstage_core::{ChainId, Core, Counters, Effect, Event, Final, NewRequest, Stage};
 use elderstage_net::channel::Sender;
 use elderstage_net::owner::{Machine, Micros};
 use elderstage_net::{NetError, go};
@@ -52,7 +52,7 @@
 /// An event in the owner's queue.
 pub(crate) enum Input {
     /// A new request of a client.
-    NewRequest { submit: Submit, rid: String, commands: Sender<Command>, slot: Arc<CancelSlot> },
+    NewRequest { submit: NewRequest, rid: String, commands: Sender<Command>, slot: Arc<CancelSlot> },
     /// An event for the core.
     Core(Event),
     /// A load report that arrived with an answer of this server.
@@ -122,7 +122,17 @@
 
     fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Send { chain, leg, turn, attempt, server, stage, timeout, keyed, once } => {
+            Effect::Send {
+                chain,
+                leg,
+                turn,
+                attempt,
+                server,
+                stage,
+                timeout,
+                is_keyed: keyed,
+                must_not_repeat: once,
+            } => {
                 let send = SendMail { leg, turn, attempt, server, stage, timeout, keyed, once };
                 self.send_command(chain, Command::Send(send));
             }
@@ -147,7 +157,7 @@
                 }
             }
             Effect::Probe { server } => probe_server(&self.shared, server),
-            Effect::Answer { chain, last } => {
+            Effect::Answer { chain, final_answer: last } => {
                 if let Some(request) = self.open_requests.get(&chain) {
                     tracing::info!(target: "request", rid = %request.rid, ?last, "request ended");
                 }
@@ -181,8 +191,8 @@
             Input::Status(reply) => {
                 let status = Status {
                     counters: self.core.counters().clone(),
-                    held: self.core.held(),
-                    draining: self.core.draining(),
+                    held: self.core.request_count(),
+                    draining: self.core.is_draining(),
                 };
                 // The caller may have stopped waiting.
                 let _ = reply.try_send(status);
@@ -198,7 +208,7 @@
 
     fn wake(&mut self, now: Micros) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.core.wake(now, &mut effects);
+        self.core.handle_timers(now, &mut effects);
         self.apply_effects(effects);
     }
 }
@@ -259,12 +269,12 @@
         format!("elderstage_events_waiting {}", shared.inbox.waiting()),
     ];
     for (name, value) in [
-        ("requests_taken", counters.taken),
+        ("requests_taken", counters.admitted),
         ("requests_turned_away", counters.turned_away),
         ("requests_served", counters.served),
         ("requests_refused", counters.refused),
         ("requests_failed", counters.failed),
-        ("requests_left", counters.gone),
+        ("requests_left", counters.clients_gone),
         ("legs", counters.legs),
         ("attempts", counters.attempts),
         ("releases", counters.releases),
@@ -285,14 +295,14 @@
         lines.push(format!("elderstage_address_family_down{{family=\"{family}\"}} {value}"));
     }
     for (name, value) in [
-        ("waits_late", connection_counters.late),
-        ("waits_given_up", connection_counters.given_up),
+        ("waits_late", connection_counters.late_waits),
+        ("waits_given_up", connection_counters.given_up_waits),
         ("dials", connection_counters.dials),
         ("dials_failed", connection_counters.dials_failed),
         ("dials_overtaken", connection_counters.overtaken),
         ("dials_without_room", connection_counters.no_room),
         ("connections_reused", connection_counters.reused),
-        ("connections_stale", connection_counters.stale),
+        ("connections_stale", connection_counters.stale_connections),
         ("proofs", connection_counters.proofs),
         ("proofs_failed", connection_counters.proofs_failed),
         ("address_trials", connection_counters.trials),
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -12,7 +12,7 @@
 use elderstage_config::{
     Config, GroupName, Micros, ProofName, RepeatName, RoleName, ServerConfig, StateName,
 };
-use elderstage_core::addresses::{Bounds, Proof};
+use elderstage_core::addresses::{ConnectionLimits, Proof};
 use elderstage_core::{ClassPlan, Limits, Plan, RoutePlan, ToolPlan};
 use elderstage_protocol::{mcp, orca};
 
@@ -101,15 +101,15 @@
     };
     let classes = config.classes.iter().map(|class| ClassPlan {
         repeat: repeat_policy(class.repeat),
-        give_up: class.give_up,
-        give_up_per_1000: class.give_up_per_1000 as f64,
-        total: class.total,
+        first_token_limit: class.give_up,
+        first_token_limit_per_1000: class.give_up_per_1000 as f64,
+        request_limit: class.total,
     });
     let tools = config.tools.iter().map(|tool| ToolPlan {
         name: tool.name.clone(),
-        effect: tool.effect,
+        has_effect: tool.effect,
         timeout: tool.timeout,
-        tries: tool.tries,
+        max_tries: tool.tries,
     });
     let tool_index = |name: &str| config.tools.iter().position(|tool| tool.name == name);
     let routes = config.routes.iter().map(|route| RoutePlan {
@@ -117,7 +117,7 @@
         class: config.classes.iter().position(|class| class.name == route.class).unwrap_or(0),
         tools: route.tools.iter().filter_map(|name| tool_index(name)).collect(),
         max_tokens: f64::from(route.max_tokens),
-        most_legs: route.most_turns,
+        max_legs: route.most_turns,
     });
     Plan {
         settings,
@@ -125,7 +125,7 @@
         tools: tools.collect(),
         routes: routes.collect(),
         limits: Limits {
-            requests: config.front.most_requests,
+            max_requests: config.front.most_requests,
             retry_after: rules.retry_after,
             ..Limits::default()
         },
@@ -133,17 +133,17 @@
 }
 
 /// The bounds on connections that the configuration sets.
-pub(crate) fn connection_bounds(config: &Config) -> Bounds {
+pub(crate) fn connection_bounds(config: &Config) -> ConnectionLimits {
     let connections = &config.connections;
-    Bounds {
+    ConnectionLimits {
         dials_per_s: connections.dials_per_s,
-        dials_at_once: connections.dials_at_once,
-        per_server: connections.per_server,
-        in_all: connections.in_all,
-        idle_each: connections.idle_each,
-        idle_for: connections.idle,
-        age: connections.age,
-        uses: connections.uses,
+        dial_burst: connections.dials_at_once,
+        max_per_server: connections.per_server,
+        max_total: connections.in_all,
+        max_idle_per_address: connections.idle_each,
+        idle_timeout: connections.idle,
+        max_age: connections.age,
+        max_uses: connections.uses,
         grace: config.rules.drain_grace,
     }
 }
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -9,8 +9,8 @@
 
 use elderstage::ServerId;
 use elderstage_config::{Config, ToolConfig};
-use elderstage_core::addresses::{Ask, Proof};
-use elderstage_core::evidence::{ToolEnd, rpc_error, tool_status};
+use elderstage_core::addresses::{ConnectionNeeds, Proof};
+use elderstage_core::evidence::{ToolEnd, tool_end_from_rpc_error, tool_end_from_status};
 use elderstage_net::{Conn, Endpoint, NetError, Place, receive, send};
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{http, mcp, sse};
@@ -107,7 +107,12 @@
     fn send_call(&self, shared: &Shared, call: &ToolCall<'_>, deadline: Instant) -> CallOutcome {
         let time_left = || deadline.saturating_duration_since(Instant::now());
         let time = time_left().as_micros() as u64;
-        let ask = Ask { once: false, proof: Proof::None, connect: self.connect_timeout_us, time };
+        let ask = ConnectionNeeds {
+            must_not_repeat: false,
+            proof: Proof::None,
+            connect_limit: self.connect_timeout_us,
+            attempt_limit: time,
+        };
         let connect_request = ConnectRequest {
             server: &self.server,
             ask,
@@ -210,7 +215,7 @@
         }
     };
     let is_reusable = answer.head.keep_alive;
-    if let Some(end) = tool_status(answer.head.status) {
+    if let Some(end) = tool_end_from_status(answer.head.status) {
         return (CallOutcome::End(end), is_reusable);
     }
     let outcome = match extract_message(&answer.head, &answer.body).map(|bytes| jsonrpc::parse(&bytes)) {
@@ -218,7 +223,7 @@
             Ok(result) => {
                 mcp::tool_text(&result).map_or(CallOutcome::End(ToolEnd::Unknown), CallOutcome::Text)
             }
-            Err(error) => CallOutcome::End(rpc_error(error.code)),
+            Err(error) => CallOutcome::End(tool_end_from_rpc_error(error.code)),
         },
         _ => CallOutcome::End(ToolEnd::Unknown),
     };
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -98,7 +98,7 @@
         &call_body("ask", "x", 1, false),
     );
     assert_eq!(status, 406, "the response to a call is a stream, which this client does not accept");
-    assert_eq!(cluster.status().counters.taken, 0);
+    assert_eq!(cluster.status().counters.admitted, 0);
     cluster.finish_and_check();
 }
 
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -63,7 +63,7 @@
         let min_attempts = if stage == "read" { 1 } else { 2 };
         cluster.wait_until(stage, |status| status.counters.attempts >= min_attempts);
         call.disconnect();
-        cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+        cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
         let records = cluster.finish_and_check();
         let left = |seen: &Seen| matches!(seen, Seen::StateHeld { .. });
         let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
@@ -80,7 +80,7 @@
     let call = cluster.call("order", ORDER);
     cluster.wait_until("request held", |status| status.held == 1);
     call.disconnect();
-    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     assert_eq!(cluster.status().counters.attempts, 0);
     cluster.finish_and_check();
     // In the middle of the stream.
@@ -88,7 +88,7 @@
     let mut call = cluster.call("ask", "Tell me all. [words 400]");
     call.wait_for_text();
     call.disconnect();
-    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     cluster.finish_and_check();
     // During the tool call.
     let cluster = TestCluster::start_default();
@@ -98,7 +98,7 @@
     // The owner counts the call before it is made, so the test waits until the tool server has begun it.
     cluster.wait_until("tool call", |_| cluster.fleet.tools.orders() == 1);
     call.disconnect();
-    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     assert_eq!(count_tool_runs(&cluster.finish_and_check()), 1);
 }
 
@@ -196,8 +196,9 @@
     for _ in 0..5 {
         cluster.call("ask", "A little. [words 5]").expect_served();
     }
-    cluster
-        .wait_until("the stalled client is given up", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("the stalled client is given up", |status| {
+        status.counters.clients_gone == 1 && status.held == 0
+    });
     drop(stalled);
     cluster.finish_and_check();
 }
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -693,8 +693,10 @@
 /// Nanoseconds that the core takes for an attempt that finds an idle connection, with 60 servers of three addresses
 /// each.
 fn address_choice_ns(rounds: u32) -> f64 {
-    use elderstage_core::addresses::{Addresses, Ask, Bounds, Life, Proof, Step};
-    let mut addresses = Addresses::<()>::new(Bounds::default(), 0.0);
+    use elderstage_core::addresses::{
+        Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, RaceStep,
+    };
+    let mut addresses = Addresses::<()>::new(ConnectionLimits::default(), 0.0);
     let names: Vec<ServerId> = (0..60).map(|n| ServerId(format!("s{n}").into())).collect();
     let places = |n: usize| {
         ["unix:/run/s", "[::1]:", "127.0.0.1:"]
@@ -702,27 +704,32 @@
             .filter_map(|start| format!("{start}{}", 1000 + n).parse::<elderstage_net::Place>().ok())
             .collect::<Vec<_>>()
     };
-    addresses.list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), places(n), false)));
+    addresses.apply_list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), places(n), false)));
     for n in 0..60 {
         for place in places(n) {
-            addresses.heard(1, &place);
-            addresses.free(1, &place, (), Life::new(1));
+            addresses.record_other_answer(1, &place);
+            addresses.return_connection(1, &place, (), ConnectionAge::new(1));
         }
     }
-    let ask = Ask { once: false, proof: Proof::Continue, connect: 250_000, time: 1_000_000 };
+    let ask = ConnectionNeeds {
+        must_not_repeat: false,
+        proof: Proof::Continue,
+        connect_limit: 250_000,
+        attempt_limit: 1_000_000,
+    };
     let mut times_ns = Vec::new();
     for batch in 0..20 {
         let started = Instant::now();
         let batch_rounds = (rounds / 20).max(1);
         for round in 0..batch_rounds {
             let server = &names[((batch * batch_rounds + round) % 60) as usize];
-            let mut race = addresses.begin(2, server, ask);
-            let Step::Reuse(lane, (conn, life)) = addresses.poll(2, &mut race) else { continue };
+            let mut race = addresses.start_race(2, server, ask);
+            let RaceStep::Reuse(lane, (conn, life)) = addresses.poll(2, &mut race) else { continue };
             let _ = addresses.poll(2, &mut race);
             let place = race.place(lane).clone();
-            let number = addresses.sent(2, server, &place, true);
-            addresses.answered(2, number);
-            addresses.free(2, &place, conn, life);
+            let number = addresses.record_sent(2, server, &place, true);
+            addresses.record_first_byte(2, number);
+            addresses.return_connection(2, &place, conn, life);
         }
         times_ns.push(started.elapsed().as_nanos() as f64 / f64::from(batch_rounds));
     }
--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use elderstage::{ServerId, Time};
-use elderstage_core::addresses::{Addresses, Ask, Bounds, Life, Proof, Race, Step, Trial};
+use elderstage_core::addresses::{
+    Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, Race, RaceStep, Trial,
+};
 use elderstage_protocol::place::{Family, Place};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
@@ -204,8 +206,8 @@
     let mut seed_rng = ChaCha8Rng::seed_from_u64(scenario.seed);
     let list = || names.iter().cloned().zip(places.iter().cloned()).map(|(n, p)| (n, p, false));
     let fronts = (0..scenario.fronts).map(|_| {
-        let mut addresses = Addresses::new(Bounds::default(), seed_rng.random());
-        addresses.list(0, list());
+        let mut addresses = Addresses::new(ConnectionLimits::default(), seed_rng.random());
+        addresses.apply_list(0, list());
         Front {
             addresses,
             requests: Vec::new(),
@@ -307,13 +309,14 @@
             EventKind::DialEnded { race, lane, since, ok } => {
                 let place = self.fronts[front].requests[race].race.place(lane).clone();
                 let state = &mut self.fronts[front];
-                state.addresses.dialed(self.now, &place, since, ok);
+                state.addresses.record_dial(self.now, &place, since, ok);
                 let request = &mut state.requests[race];
-                let is_wanted = if ok { request.race.connected(lane) } else { request.race.failed(lane) };
+                let is_wanted =
+                    if ok { request.race.record_connected(lane) } else { request.race.record_failure(lane) };
                 if !ok {
-                    state.addresses.closed(&place);
+                    state.addresses.record_closed(&place);
                 } else if !is_wanted {
-                    state.addresses.free(self.now, &place, (), Life::new(self.now));
+                    state.addresses.return_connection(self.now, &place, (), ConnectionAge::new(self.now));
                 }
                 self.advance_race(front, race);
             }
@@ -324,11 +327,11 @@
                     return;
                 }
                 if ok {
-                    state.addresses.proven(self.now, &mut request.race, lane);
+                    state.addresses.record_proof(self.now, &mut request.race, lane);
                 } else {
                     let place = request.race.place(lane).clone();
-                    state.addresses.not_proven(self.now, &mut request.race, lane);
-                    state.addresses.closed(&place);
+                    state.addresses.record_proof_failure(self.now, &mut request.race, lane);
+                    state.addresses.record_closed(&place);
                 }
                 self.advance_race(front, race);
             }
@@ -336,15 +339,20 @@
             EventKind::ConnectionFreed { server, address, opened } => {
                 let place = self.places[server][address].clone();
                 let state = &mut self.fronts[front];
-                state.addresses.heard(self.now, &place);
-                state.addresses.free(self.now, &place, (), Life { born: opened, uses: 1 });
+                state.addresses.record_other_answer(self.now, &place);
+                state.addresses.return_connection(
+                    self.now,
+                    &place,
+                    (),
+                    ConnectionAge { opened_at: opened, uses: 1 },
+                );
                 self.close_returned(front);
             }
             EventKind::TrialEnded { trial, since, ok } => {
                 let state = &mut self.fronts[front];
                 let trial = state.trials[trial].clone();
-                state.addresses.tried(self.now, &trial, since, ok);
-                state.addresses.closed(&trial.place);
+                state.addresses.record_trial(self.now, &trial, since, ok);
+                state.addresses.record_closed(&trial.place);
             }
             EventKind::Maintain => self.maintain(front),
         }
@@ -353,11 +361,11 @@
     /// Closes the connections that the pool gave back. Which ones they were matters only for the count of open ones.
     fn close_returned(&mut self, front: usize) {
         let state = &mut self.fronts[front];
-        for () in state.addresses.closing() {
+        for () in state.addresses.take_closing() {
             // The count is by address. Any open address will do, since the limits are over all servers.
-            if let Some(place) = self.places.iter().flatten().find(|place| state.addresses.open_at(place) > 0)
+            if let Some(place) = self.places.iter().flatten().find(|place| state.addresses.open_to(place) > 0)
             {
-                state.addresses.closed(place);
+                state.addresses.record_closed(place);
             }
         }
     }
@@ -371,16 +379,21 @@
         match self.scenario.policy {
             Policy::Sequential => return self.connect_sequentially(server),
             Policy::Race => {
-                let mut addresses = Addresses::new(Bounds::default(), 0.0);
-                addresses.list(0, [(self.names[server].clone(), self.places[server].clone(), false)]);
+                let mut addresses = Addresses::new(ConnectionLimits::default(), 0.0);
+                addresses.apply_list(0, [(self.names[server].clone(), self.places[server].clone(), false)]);
                 self.fronts[front].addresses = addresses;
             }
             Policy::Learned => {}
         }
-        let ask = Ask { once: true, proof: Proof::Continue, connect: CONNECT_TIMEOUT, time: 10 * SECOND };
+        let ask = ConnectionNeeds {
+            must_not_repeat: true,
+            proof: Proof::Continue,
+            connect_limit: CONNECT_TIMEOUT,
+            attempt_limit: 10 * SECOND,
+        };
         let lanes = self.scenario.families.len();
         let state = &mut self.fronts[front];
-        let race = state.addresses.begin(self.now, &self.names[server], ask);
+        let race = state.addresses.start_race(self.now, &self.names[server], ask);
         state.requests.push(PendingRequest {
             race,
             server,
@@ -430,8 +443,8 @@
             }
             let (server, started) = (request.server, request.started);
             match state.addresses.poll(now, &mut request.race) {
-                Step::Reuse(..) => {}
-                Step::Dial(lane, until) => {
+                RaceStep::Reuse(..) => {}
+                RaceStep::Dial(lane, until) => {
                     let place = request.race.place(lane).clone();
                     let behavior = self.behavior(&place);
                     *self.dials.entry(now / SECOND).or_default() += 1;
@@ -442,7 +455,7 @@
                     };
                     self.schedule(at, front, EventKind::DialEnded { race, lane, since: now, ok });
                 }
-                Step::Prove(lane, _) => {
+                RaceStep::Prove(lane, _) => {
                     request.proof_numbers[lane] += 1;
                     let number = request.proof_numbers[lane];
                     let behavior = {
@@ -457,19 +470,19 @@
                         );
                     }
                 }
-                Step::Drop(lane) => {
+                RaceStep::Drop(lane) => {
                     request.proof_numbers[lane] += 1;
                     let place = request.race.place(lane).clone();
-                    state.addresses.closed(&place);
+                    state.addresses.record_closed(&place);
                 }
-                Step::Send(lane, _) => {
+                RaceStep::Send(lane, _) => {
                     request.is_finished = true;
                     let place = request.race.place(lane).clone();
                     let address = self.places[server].iter().position(|p| *p == place).unwrap_or(0);
                     let unused: Vec<Place> =
-                        request.race.unused().map(|lane| request.race.place(lane).clone()).collect();
+                        request.race.unused_lanes().map(|lane| request.race.place(lane).clone()).collect();
                     for place in unused {
-                        state.addresses.free(now, &place, (), Life::new(now));
+                        state.addresses.return_connection(now, &place, (), ConnectionAge::new(now));
                     }
                     self.schedule(
                         now + CONNECTION_USE,
@@ -479,12 +492,12 @@
                     self.record_delay(started, now - started);
                     return self.close_returned(front);
                 }
-                Step::Lost(_) => {
+                RaceStep::Lost(_) => {
                     request.is_finished = true;
                     self.summary.failed += 1;
                     return;
                 }
-                Step::Wait(until) => return self.schedule(until, front, EventKind::WaitEnded { race }),
+                RaceStep::Wait(until) => return self.schedule(until, front, EventKind::WaitEnded { race }),
             }
         }
     }
@@ -497,16 +510,18 @@
             return;
         }
         let state = &mut self.fronts[front];
-        let due = state.addresses.tend(now, CONNECT_TIMEOUT);
-        let is_down =
-            state.addresses.down().any(|family| self.scenario.fault.0.is_none_or(|fault| family == fault));
+        let due = state.addresses.run_maintenance(now, CONNECT_TIMEOUT);
+        let is_down = state
+            .addresses
+            .down_families()
+            .any(|family| self.scenario.fault.0.is_none_or(|fault| family == fault));
         if is_down && state.demoted_at.is_none() {
             state.demoted_at = Some(now);
         }
         if now >= self.scenario.fault_end
             && state.recovered_at.is_none()
             && !is_down
-            && state.addresses.book.failing() == 0
+            && state.addresses.book.failing_count() == 0
         {
             state.recovered_at = Some(now);
         }
@@ -517,7 +532,7 @@
             let (at, ok) = match (behavior.connects(), behavior.answers()) {
                 (Some(true), Some(true)) => (now + 2 * behavior.round_trip(), true),
                 (Some(_), Some(_)) => (now + 2 * behavior.round_trip(), false),
-                _ => (now + trial.time, false),
+                _ => (now + trial.time_limit, false),
             };
             let state = &mut self.fronts[front];
             state.trials.push(trial);
