--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -12,7 +12,7 @@
 
 /// Subcommands of `elderstage fleet`.
 #[derive(Subcommand)]
-pub enum What {
+pub enum FleetCommand {
     /// Run a keeper of the record, or an agent beside a front or an engine, until SIGTERM.
     Run {
         /// Configuration file of this keeper or agent.
@@ -51,14 +51,14 @@
 const UNCONFIRMED_EXIT_CODE: u8 = 3;
 
 /// Runs a subcommand of `elderstage fleet`.
-pub fn fleet(what: &What) -> Result<ExitCode, String> {
+pub fn run_fleet_command(what: &FleetCommand) -> Result<ExitCode, String> {
     match what {
-        What::Run { config } => {
+        FleetCommand::Run { config } => {
             elderstage_fleetd::run(config).map_err(|error| error.to_string())?;
             Ok(ExitCode::SUCCESS)
         }
-        What::Propose { file, to, by, again } => propose(file, to, by, *again),
-        What::Show { to, json } => show(*to, *json),
+        FleetCommand::Propose { file, to, by, again } => propose(file, to, by, *again),
+        FleetCommand::Show { to, json } => show(*to, *json),
     }
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -65,7 +65,7 @@
     /// Run keepers and agents of a fleet, propose changes to them, and show their state.
     Fleet {
         #[command(subcommand)]
-        command: fleet::What,
+        command: fleet::FleetCommand,
     },
     /// Run stand-in engines, a tool server and one front, and print an example request.
     Demo {
@@ -112,7 +112,7 @@
         Command::Serve { config, addr_file, seed } => serve::serve(&config, addr_file.as_deref(), seed),
         Command::Node { config } => node::node(config),
         Command::Config { command } => config::run(&command),
-        Command::Fleet { command } => fleet::fleet(&command),
+        Command::Fleet { command } => fleet::run_fleet_command(&command),
         Command::Demo { listen } => demo::run(listen),
         Command::Measure { command } => measure::measure(&command),
         Command::Rehearse { script, json, keep, requests } => {
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -18,6 +18,6 @@
         listen: non_empty_variable("PROXY_LISTEN"),
         discovery: non_empty_variable("PROXY_DISCOVERY"),
     };
-    elderstage_node::node(&path, &environment).map_err(|error| error.to_string())?;
+    elderstage_node::run(&path, &environment).map_err(|error| error.to_string())?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Endpoint, exchange, open};
+use elderstage_net::{EndpointPath, connect, exchange};
 use elderstage_rehearsal::fleet::{Fleet, demo};
 use elderstage_standin::traffic::Log;
 
@@ -79,7 +79,7 @@
         "{{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{{\"name\":\"ask\",\
          \"arguments\":{{\"prompt\":\"x [words {words}]\"}}}}}}"
     );
-    let endpoint = Endpoint::new(addr, "/mcp");
+    let endpoint = EndpointPath::new(addr, "/mcp");
     let response =
         exchange("POST", &endpoint, &[("content-type", "application/json")], body.as_bytes(), TIMEOUT)
             .unwrap();
@@ -93,7 +93,7 @@
     let addr = front.addr;
     let stream = std::thread::spawn(move || ask(addr, 120));
     let end = Instant::now() + TIMEOUT;
-    let metrics = Endpoint::new(addr, "/metrics");
+    let metrics = EndpointPath::new(addr, "/metrics");
     loop {
         let text = exchange("GET", &metrics, &[], b"", TIMEOUT).unwrap().body;
         if String::from_utf8(text).unwrap().contains("elderstage_requests_held 1") {
@@ -118,7 +118,7 @@
     let fleet = start_fleet();
     let front = start_front("descriptors", &fleet, "ulimit -n 64;");
     // The system completes all of these connections, but the front can accept only some of them.
-    let connections: Vec<_> = (0..150).map(|_| open(front.addr, TIMEOUT).unwrap()).collect();
+    let connections: Vec<_> = (0..150).map(|_| connect(front.addr, TIMEOUT).unwrap()).collect();
     let end = Instant::now() + TIMEOUT;
     while !std::fs::read_to_string(front.dir.join("log")).unwrap().contains("no room for a connection") {
         assert!(Instant::now() < end, "the front never ran out of file descriptors");
--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use elderstage_tally::{Tally, Told};
+use elderstage_tally::{Tally, TallySnapshot};
 
 use crate::evidence::Report;
 use crate::members::{Identity, Members, OutgoingMessage};
@@ -24,7 +24,7 @@
     /// A message from a member of this fleet.
     PeerMessage { peer: Name, body: MemberMessage },
     /// The counts that the front wrote last.
-    TallyRead(Told),
+    TallyRead(TallySnapshot),
 }
 
 /// What the caller does next, in order.
@@ -43,7 +43,7 @@
     keepers: Vec<Name>,
     members: Members,
     /// The front's latest counts. An agent beside an engine has none and sends empty reports as a sign of life.
-    latest_tally: Option<Told>,
+    latest_tally: Option<TallySnapshot>,
     is_beside_front: bool,
     report_version: u64,
     next_report: Micros,
@@ -111,8 +111,9 @@
             Input::TallyRead(latest_tally) => {
                 // Files are read in the order in which they were written. Boots are compared for equality only, since
                 // the front's clock may have gone back between two starts.
-                let newer =
-                    |last: &Told| latest_tally.boot != last.boot || latest_tally.version > last.version;
+                let newer = |last: &TallySnapshot| {
+                    latest_tally.boot != last.boot || latest_tally.version > last.version
+                };
                 if self.latest_tally.as_ref().is_none_or(newer) {
                     self.latest_tally = Some(latest_tally);
                 }
--- a/crates/fleet/src/evidence/summary.rs
+++ b/crates/fleet/src/evidence/summary.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_tally::{Counts, Key};
+use elderstage_tally::{GroupKey, OutcomeCounts};
 use serde::{Deserialize, Serialize};
 
 use super::store::ReportStore;
@@ -14,7 +14,7 @@
 /// Counts of one group over all members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupCounts {
-    pub counts: Counts,
+    pub counts: OutcomeCounts,
     /// Members that have counts in this group, and how many of them are silent.
     pub members: u32,
     pub silent: u32,
@@ -35,7 +35,7 @@
 /// Counts of all groups and the number of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceSummary {
-    pub groups: BTreeMap<Key, GroupCounts>,
+    pub groups: BTreeMap<GroupKey, GroupCounts>,
     pub members: u32,
     pub silent: u32,
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -140,7 +140,7 @@
     /// Members with reports, and how many of them are silent.
     pub counting: u32,
     pub silent: u32,
-    pub groups: Vec<(elderstage_tally::Key, GroupCounts)>,
+    pub groups: Vec<(elderstage_tally::GroupKey, GroupCounts)>,
 }
 
 /// Why a frame is refused.
--- a/crates/fleet/tests/evidence.rs
+++ b/crates/fleet/tests/evidence.rs
@@ -5,13 +5,13 @@
 use elderstage_fleet::SECOND;
 use elderstage_fleet::evidence::{EvidenceSummary, Report, ReportStore};
 use elderstage_fleet::members::MemberKind;
-use elderstage_tally::{Key, Tally};
+use elderstage_tally::{GroupKey, Tally};
 use proptest::prelude::*;
 use world::{Simulation, checks, name};
 
 fn make_report(member: &str, boot: u64, version: u64, asked: u64) -> Report {
     let mut tally = Tally::default();
-    let counts = tally.of(&Key { class: "chat".into(), ..Key::default() });
+    let counts = tally.counts_mut(&GroupKey { class: "chat".into(), ..GroupKey::default() });
     (counts.asked, counts.in_time) = (asked, asked);
     Report { member: name(member), kind: MemberKind::Front, zone: name("a"), boot, version, tally }
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use elderstage_fleet::record::{Command, Operation, Outcome, Proposer, RecordError};
 use elderstage_fleet::wire::{self, ClientRequest, ClientResponse, Frame, MemberMessage};
 use elderstage_fleet::{MILLISECOND, Micros, SECOND};
-use elderstage_tally::{Key, Tally, Told};
+use elderstage_tally::{GroupKey, Tally, TallySnapshot};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -47,7 +47,7 @@
     /// Paused until this time; events in between wait.
     pub paused_until: Micros,
     /// What the front beside an agent has counted since its start.
-    pub front_tally: Option<Told>,
+    pub front_tally: Option<TallySnapshot>,
     /// The error with which a keeper has ended by itself.
     pub exit_reason: Option<String>,
 }
@@ -166,8 +166,11 @@
         };
         for index in 0..simulation.names.len() {
             if index >= keepers && index < keepers + fronts {
-                simulation.processes[index].front_tally =
-                    Some(Told { boot: simulation.rng.random(), version: 0, tally: Tally::default() });
+                simulation.processes[index].front_tally = Some(TallySnapshot {
+                    boot: simulation.rng.random(),
+                    version: 0,
+                    tally: Tally::default(),
+                });
             }
             simulation.start(index);
         }
@@ -394,8 +397,13 @@
     /// Adds requests to the counts of the front beside an agent.
     pub fn count_requests(&mut self, index: usize, asked: u64, in_time: u64) {
         let Some(front_tally) = &mut self.processes[index].front_tally else { return };
-        let key = Key { class: "chat".into(), release: "r1".into(), settings: "s1".into(), ..Key::default() };
-        let is_beside_front = front_tally.tally.of(&key);
+        let key = GroupKey {
+            class: "chat".into(),
+            release: "r1".into(),
+            settings: "s1".into(),
+            ..GroupKey::default()
+        };
+        let is_beside_front = front_tally.tally.counts_mut(&key);
         (is_beside_front.asked, is_beside_front.in_time) =
             (is_beside_front.asked + asked, is_beside_front.in_time + in_time);
         front_tally.version += 1;
@@ -403,7 +411,7 @@
         self.deliver_tally(index, front_tally);
     }
 
-    fn deliver_tally(&mut self, index: usize, front_tally: Told) {
+    fn deliver_tally(&mut self, index: usize, front_tally: TallySnapshot) {
         if let Some(Core::Agent(agent)) = &mut self.processes[index].core {
             let mut out = Vec::new();
             agent.handle(self.now, agent::Input::TallyRead(front_tally), &mut out);
@@ -414,7 +422,7 @@
     /// Restarts the front beside an agent: it counts from zero under a random boot ID, as its clock may be wrong.
     pub fn restart_front(&mut self, index: usize) {
         let boot = self.rng.random();
-        self.processes[index].front_tally = Some(Told { boot, version: 0, tally: Tally::default() });
+        self.processes[index].front_tally = Some(TallySnapshot { boot, version: 0, tally: Tally::default() });
     }
 
     /// Runs the simulation for this time.
--- a/crates/fleetd/src/client.rs
+++ b/crates/fleetd/src/client.rs
@@ -9,7 +9,7 @@
 use elderstage_fleet::wire::{
     self, ClientRequest, ClientResponse, FleetStatus, Frame, Hello, PROTOCOL_VERSION,
 };
-use elderstage_net::{go, init_small, open};
+use elderstage_net::{connect, init_single_worker, spawn};
 use thiserror::Error;
 
 use crate::links::read_frame;
@@ -37,9 +37,9 @@
 
 /// Runs the exchange on a coroutine and waits for it.
 fn request(at: SocketAddr, request: ClientRequest) -> Result<ClientResponse, ClientError> {
-    init_small(4);
+    init_single_worker(4);
     let (response, responses) = mpsc::channel();
-    go(move || drop(response.send(exchange(at, request))));
+    spawn(move || drop(response.send(exchange(at, request))));
     responses.recv().unwrap_or_else(|_| {
         Err(ClientError::UnexpectedResponse { at, reason: "the request was dropped".into() })
     })
@@ -48,7 +48,7 @@
 /// Connects, sends the request and reads the response.
 fn exchange(at: SocketAddr, request: ClientRequest) -> Result<ClientResponse, ClientError> {
     let unreachable = |reason: String| ClientError::Unreachable { at, reason };
-    let mut conn = open(at, CONNECT_TIMEOUT).map_err(|error| unreachable(error.to_string()))?;
+    let mut conn = connect(at, CONNECT_TIMEOUT).map_err(|error| unreachable(error.to_string()))?;
     conn.set_write_timeout(Some(CONNECT_TIMEOUT));
     conn.set_read_timeout(Some(RESPONSE_TIMEOUT));
     for frame in [
--- a/crates/fleetd/src/host.rs
+++ b/crates/fleetd/src/host.rs
@@ -9,7 +9,7 @@
 use elderstage_fleet::agent::{self, Agent};
 use elderstage_fleet::keeper::{self, Keeper, Notice};
 use elderstage_fleet::wire::{self, Frame};
-use elderstage_net::owner::{Machine, Micros};
+use elderstage_net::owner::{Micros, StateMachine};
 
 use crate::disk::Disk;
 use crate::links::{Event, FrameSender, PeerConnections};
@@ -121,7 +121,7 @@
     }
 }
 
-impl Machine for FleetProcess {
+impl StateMachine for FleetProcess {
     type Event = Event;
 
     fn handle(&mut self, now: Micros, event: Event) -> bool {
@@ -175,7 +175,7 @@
         })
     }
 
-    fn wake(&mut self, now: Micros) {
+    fn on_timer(&mut self, now: Micros) {
         match &mut self.core {
             Core::Keeper(core, _) => {
                 let mut outputs = Vec::new();
--- a/crates/fleetd/src/links.rs
+++ b/crates/fleetd/src/links.rs
@@ -13,8 +13,8 @@
 use elderstage_fleet::name::Name;
 use elderstage_fleet::wire::{self, ClientRequest, FleetKey, Frame, Hello, MemberMessage, PROTOCOL_VERSION};
 use elderstage_net::channel::{Receiver, Sender, channel};
-use elderstage_net::owner::Inbox;
-use elderstage_net::{Conn, NetError, go, open};
+use elderstage_net::owner::EventSender;
+use elderstage_net::{Conn, NetError, connect, spawn};
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -74,14 +74,14 @@
     /// The process shall stop.
     Stop,
     /// New counts were read from the file of the front.
-    TallyRead(elderstage_tally::Told),
+    TallyRead(elderstage_tally::TallySnapshot),
 }
 
 /// Context shared by all connections of a process.
 pub struct ConnectionContext {
     pub key: FleetKey,
     pub me: Name,
-    pub inbox: Inbox<Event>,
+    pub inbox: EventSender<Event>,
     pub next_connection_id: AtomicUsize,
 }
 
@@ -103,7 +103,7 @@
     loop {
         match wire::decode(conn.pending()) {
             Ok(Some((frame, frame_length))) => {
-                conn.used(frame_length);
+                conn.consume(frame_length);
                 return Ok(frame);
             }
             Ok(None) => conn.fill().map_err(|error| match error {
@@ -125,7 +125,7 @@
             break;
         }
     }
-    conn.socket().shut();
+    conn.socket().shutdown();
 }
 
 /// Validates the first frame of a peer: `Some` name for a member, `None` for a client.
@@ -164,12 +164,12 @@
 /// Exchanges frames with a member until the connection ends.
 fn serve_member(context: &Arc<ConnectionContext>, mut conn: Conn, peer: Name, reply_hello: bool) {
     let (conn_id, (sender, frames)) = (context.new_connection_id(), FrameSender::new());
-    let Ok(writer) = conn.writer() else { return };
+    let Ok(writer) = conn.try_clone_for_writing() else { return };
     let queued = sender.queued.clone();
     if reply_hello && let Ok(hello) = wire::encode(&context.hello()) {
         sender.send(hello.into());
     }
-    go(move || write_frames(writer, frames, queued));
+    spawn(move || write_frames(writer, frames, queued));
     conn.set_read_timeout(Some(PEER_READ_TIMEOUT));
     context.inbox.send(Event::PeerConnected { conn: conn_id, peer: peer.clone(), sender });
     let reason = loop {
@@ -184,35 +184,35 @@
         }
     };
     tracing::debug!(target: "fleet", %peer, %reason, "connection closed");
-    conn.socket().shut();
+    conn.socket().shutdown();
     context.inbox.send(Event::PeerDisconnected { conn: conn_id, peer });
 }
 
 /// Serves the requests of a client until the connection ends.
 fn serve_client(context: &Arc<ConnectionContext>, mut conn: Conn) {
     let (conn_id, (sender, frames)) = (context.new_connection_id(), FrameSender::new());
-    let Ok(writer) = conn.writer() else { return };
+    let Ok(writer) = conn.try_clone_for_writing() else { return };
     let queued = sender.queued.clone();
-    go(move || write_frames(writer, frames, queued));
+    spawn(move || write_frames(writer, frames, queued));
     conn.set_read_timeout(Some(CLIENT_READ_TIMEOUT));
     while let Ok(Frame::ClientRequest(request)) = read_frame(&mut conn) {
         if !context.inbox.send(Event::ClientRequest { conn: conn_id, request, sender: sender.clone() }) {
             break;
         }
     }
-    conn.socket().shut();
+    conn.socket().shutdown();
     context.inbox.send(Event::ClientDisconnected { conn: conn_id });
 }
 
 /// Opens a connection to a member after `delay`.
 fn connect_to(context: Arc<ConnectionContext>, peer: Name, at: SocketAddr, delay: Duration) {
-    go(move || {
+    spawn(move || {
         elderstage_net::sleep(delay);
         let connect_failed = |reason: String| {
             tracing::debug!(target: "fleet", %peer, %at, %reason, "failed to connect");
             context.inbox.send(Event::ConnectFailed { peer: peer.clone() });
         };
-        let mut conn = match open(at, CONNECT_TIMEOUT) {
+        let mut conn = match connect(at, CONNECT_TIMEOUT) {
             Ok(conn) => conn,
             Err(error) => return connect_failed(error.to_string()),
         };
--- a/crates/fleetd/src/run.rs
+++ b/crates/fleetd/src/run.rs
@@ -12,9 +12,9 @@
 use elderstage_fleet::keeper::{Keeper, KeeperSetup};
 use elderstage_fleet::members::{Identity, MemberKind};
 use elderstage_fleet::record::RecordError;
-use elderstage_net::owner::{Clock, Inbox, queue, run as spawn_owner};
-use elderstage_net::{Listener, go, init_small};
-use elderstage_tally::Told;
+use elderstage_net::owner::{Clock, EventSender, queue, spawn_machine};
+use elderstage_net::{Listener, init_single_worker, spawn};
+use elderstage_tally::TallySnapshot;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use thiserror::Error;
@@ -66,7 +66,7 @@
     let config = Config::parse(&text).map_err(|error| FleetError::Config { path: path.into(), error })?;
     // Before anything else, so that an early signal is not lost.
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
-    init_small(MAX_KEPT_STACKS);
+    init_single_worker(MAX_KEPT_STACKS);
     let listener =
         Listener::bind(config.listen).map_err(|error| FleetError::Listen { at: config.listen, error })?;
     let boot = disk::next_boot_id(&config.directory, rand::random())?;
@@ -82,12 +82,12 @@
     let connections = PeerConnections::new(context.clone(), configured_addresses(&config), address_overrides);
     let process = new_process(&config, at, boot, clock, connections)?;
     let has_failed = process.has_failed.clone();
-    let owner = spawn_owner("fleet", clock, events, process)?;
-    let (stop, accept_context) = (listener.stopper(), context);
-    go(move || {
+    let owner = spawn_machine("fleet", clock, events, process)?;
+    let (stop, accept_context) = (listener.handle(), context);
+    spawn(move || {
         let each = move |conn| {
             let context = accept_context.clone();
-            go(move || links::handle_accepted(context, conn));
+            spawn(move || links::handle_accepted(context, conn));
         };
         listener
             .serve(each, |error| tracing::error!(target: "fleet", %error, "failed to accept a connection"));
@@ -174,7 +174,7 @@
 fn wait_for_end(
     config: &Config,
     signals: &mut Signals,
-    inbox: &Inbox<Event>,
+    inbox: &EventSender<Event>,
     owner: &JoinHandle<FleetProcess>,
     has_failed: &AtomicBool,
 ) -> bool {
@@ -210,7 +210,7 @@
 }
 
 /// Reads a front's counts.
-fn read_tally(path: &Path) -> Result<Told, String> {
+fn read_tally(path: &Path) -> Result<TallySnapshot, String> {
     use std::io::Read;
     let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
     let mut text = String::new();
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -12,7 +12,7 @@
 use elderstage_core::evidence::ToolEnd;
 use elderstage_core::{ChainId, Event, NewRequest, RequestedToolCall, Stage};
 use elderstage_net::channel::{Receiver, Sender, channel};
-use elderstage_net::{Conn, NetError, go};
+use elderstage_net::{Conn, NetError, spawn};
 use elderstage_protocol::engine::{self, Message};
 use elderstage_protocol::jsonrpc::Id;
 use elderstage_protocol::{http, mcp as codec, sse};
@@ -34,11 +34,11 @@
 pub(crate) fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
     conn.limits = http::Limits { head: shared.config.front.head, body: shared.config.front.body };
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         shared.connections.fetch_add(1, Ordering::Relaxed);
         let mut client = ClientConnection { shared: &shared, conn, writer: None };
         client.serve();
-        client.conn.socket().shut();
+        client.conn.socket().shutdown();
         shared.connections.fetch_sub(1, Ordering::Relaxed);
     });
 }
@@ -59,10 +59,10 @@
         self.conn.set_write_timeout(Some(stall));
         loop {
             self.conn.set_read_timeout(Some(idle));
-            let received = self.conn.request().and_then(|head| {
+            let received = self.conn.receive_request().and_then(|head| {
                 self.conn.set_read_timeout(Some(stall));
-                self.conn.take_body(&head)?;
-                let body = self.conn.body(head.framing)?;
+                self.conn.send_continue(&head)?;
+                let body = self.conn.receive_body(head.framing)?;
                 Ok((head, body))
             });
             let (head, body) = match received {
@@ -244,13 +244,13 @@
         let rid = client_rid.map_or_else(|| format!("{front_name}-{}", chain.0), str::to_owned);
         let mut writer = match self.writer.take() {
             Some(writer) => writer,
-            None => self.conn.writer()?,
+            None => self.conn.try_clone_for_writing()?,
         };
         writer.set_write_timeout(Some(Duration::from_micros(self.shared.config.front.stall)));
         let (end_sender, call_ended) = channel();
         let shared = self.shared.clone();
         let guard = ActiveCallGuard::new(&shared, session_id.clone(), id.clone());
-        go(move || {
+        spawn(move || {
             let _guard = guard;
             let mut request =
                 ToolCallRequest::new(&shared, writer, chain, id, route, rid, prompt, progress_token);
@@ -289,7 +289,7 @@
                 Err(error) => {
                     self.shared.inbox.send(Input::Core(Event::ClientGone { chain }));
                     // The shutdown makes further writes of the call's coroutine fail.
-                    self.conn.socket().shut();
+                    self.conn.socket().shutdown();
                     let _ = call_ended.recv();
                     return Err(error);
                 }
@@ -402,7 +402,7 @@
         };
         let submission =
             Input::NewRequest { submit, rid: self.rid.clone(), commands: command_sender, slot: slot.clone() };
-        if self.shared.inbox.offer(submission).is_err() {
+        if self.shared.inbox.try_send(submission).is_err() {
             // The owner's queue is full or the owner has ended: the request was not submitted.
             let retry_after = self.shared.config.rules.retry_after;
             let reason = elderstage_core::Reason::FrontFull;
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -132,7 +132,7 @@
         RemainingRequest::Body => pooled.conn.write(&attempt.body),
         RemainingRequest::Whole => send(&mut pooled.conn, "POST", &endpoint, &headers, &attempt.body),
     };
-    let head = match send_result.and_then(|()| pooled.conn.response()) {
+    let head = match send_result.and_then(|()| pooled.conn.receive_response()) {
         Ok(head) => head,
         Err(error) => {
             let given_up = shared.pool.record_no_answer(wait_id, pooled.reused);
@@ -174,7 +174,7 @@
 
 /// Reads a response that is not a stream: a reader's answer or an error.
 fn read_whole_response(conn: &mut Conn, head: &http::Response, stage: Stage) -> AttemptOutcome {
-    let body = match conn.body(head.framing) {
+    let body = match conn.receive_body(head.framing) {
         Ok(body) => body,
         Err(error) => return AttemptOutcome::from_evidence(evidence_of(&error)),
     };
@@ -244,7 +244,7 @@
     let max_call_bytes = shared.config.front.body;
     loop {
         bytes.clear();
-        match conn.body_piece(&mut body, &mut bytes) {
+        match conn.receive_body_piece(&mut body, &mut bytes) {
             // The body ended before the `[DONE]` event.
             Ok(false) => return AttemptOutcome::from_evidence(Evidence::Broke),
             Ok(true) => {}
@@ -270,7 +270,7 @@
         }
         if stream_state.is_done {
             // The end of the body must follow; without it the connection cannot be reused.
-            let body_end = conn.body_piece(&mut body, &mut bytes);
+            let body_end = conn.receive_body_piece(&mut body, &mut bytes);
             let calls = stream_state.calls.into_tool_calls();
             let is_consistent = match stream_state.finish {
                 None => false,
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -24,8 +24,8 @@
 
 use elderstage_config::Config;
 use elderstage_core::{Core, Event};
-use elderstage_net::owner::{Clock, Inbox, queue, run};
-use elderstage_net::{Listener, Stop, go, init};
+use elderstage_net::owner::{Clock, EventSender, queue, spawn_machine};
+use elderstage_net::{Listener, ListenerHandle, init, spawn};
 use thiserror::Error;
 
 use links::ConnPool;
@@ -65,7 +65,7 @@
 pub(crate) struct Shared {
     pub config: Config,
     pub catalog: Catalog,
-    pub inbox: Inbox<Input>,
+    pub inbox: EventSender<Input>,
     pub pool: Arc<ConnPool>,
     pub sessions: Sessions,
     pub tools: Vec<tools::ToolClient>,
@@ -81,7 +81,7 @@
 pub struct Front {
     shared: Arc<Shared>,
     addr: SocketAddr,
-    listener: Stop,
+    listener: ListenerHandle,
     keeps_running: Arc<AtomicBool>,
 }
 
@@ -128,10 +128,11 @@
                 .spawn(maintain)
                 .map_err(StartError::Thread)?;
         }
-        run("owner", clock, events, Owner::new(core, shared.clone())).map_err(StartError::Thread)?;
-        let stop = listener.stopper();
+        spawn_machine("owner", clock, events, Owner::new(core, shared.clone()))
+            .map_err(StartError::Thread)?;
+        let stop = listener.handle();
         let accept_shared = shared.clone();
-        go(move || {
+        spawn(move || {
             let on_accept_error = |error: &std::io::Error| {
                 tracing::warn!(target: "front", %error, "no room for a connection; trying again");
             };
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -24,7 +24,8 @@
 use elderstage_net::channel::{Receiver, Sender, channel};
 use elderstage_net::owner::Clock;
 use elderstage_net::{
-    Answer, Conn, Endpoint, NetError, Place, Socket, alarm, go, open, receive, send, waiting_head,
+    Conn, EndpointPath, NetError, Place, ReceivedResponse, ShutdownHandle, call_at, connect,
+    expect_continue_head, receive, send, spawn,
 };
 use elderstage_protocol::{engine, http};
 
@@ -62,8 +63,8 @@
 
 impl PooledConn {
     /// The endpoint of this path at the connected server.
-    pub fn endpoint(&self, path: &str) -> Endpoint {
-        Endpoint::new(self.place.clone(), path)
+    pub fn endpoint(&self, path: &str) -> EndpointPath {
+        EndpointPath::new(self.place.clone(), path)
     }
 }
 
@@ -119,7 +120,7 @@
 pub(crate) struct ConnPool {
     addresses: Mutex<Addresses<PooledConn>>,
     /// Sockets of requests that wait for the first byte of their answer, by the wait id that the core gave them.
-    waiting: Mutex<HashMap<u64, Socket>>,
+    waiting: Mutex<HashMap<u64, ShutdownHandle>>,
     clock: Clock,
     via: String,
     connect_timeout_us: Time,
@@ -211,7 +212,7 @@
         given_up
     }
 
-    fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<u64, Socket>> {
+    fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<u64, ShutdownHandle>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -252,7 +253,7 @@
         headers: &[(&str, &str)],
         body: &[u8],
         timeout: Duration,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<ReceivedResponse, ExchangeError> {
         let deadline = Instant::now() + timeout;
         let time = timeout.as_micros() as Time;
         // An address that is not proven at present is proven by a health request. Every server that `exchange` is
@@ -300,7 +301,7 @@
                 // Removed before the shutdown: the waiting coroutine recognizes by this that the pool ended its
                 // wait.
                 if let Some(socket) = self.waiting().remove(&wait_id) {
-                    socket.shut();
+                    socket.shutdown();
                 }
             }
             for (family, down) in due.families {
@@ -312,7 +313,7 @@
             }
             for trial in due.trials {
                 let pool = self.clone();
-                go(move || pool.run_trial(&trial));
+                spawn(move || pool.run_trial(&trial));
             }
         }
     }
@@ -322,7 +323,7 @@
         let started_at = self.clock.now();
         let guard = self.count_open(&trial.place);
         let timeout = Duration::from_micros(trial.time_limit);
-        let result = open(trial.place.clone(), timeout).and_then(|conn| {
+        let result = connect(trial.place.clone(), timeout).and_then(|conn| {
             let mut pooled = self.wrap(conn, guard);
             let padding = if trial.is_padded { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
             let answer = self.request_health(&mut pooled, timeout, &[("x-padding", padding.as_str())])?;
@@ -348,7 +349,7 @@
         pooled: &mut PooledConn,
         timeout: Duration,
         extra_headers: &[(&str, &str)],
-    ) -> Result<Answer, NetError> {
+    ) -> Result<ReceivedResponse, NetError> {
         pooled.conn.set_write_timeout(Some(timeout));
         pooled.conn.set_deadline(Some(Instant::now() + timeout));
         let endpoint = pooled.endpoint(engine::HEALTH);
@@ -375,7 +376,7 @@
     /// Connections ready to use, by lane.
     ready: Vec<Option<Box<PooledConn>>>,
     /// Id of the running proof and the socket it uses, by lane.
-    proving: Vec<Option<(u32, Socket)>>,
+    proving: Vec<Option<(u32, ShutdownHandle)>>,
     proofs_started: u32,
     events: Option<(Sender<RaceEvent>, Receiver<RaceEvent>)>,
 }
@@ -413,7 +414,7 @@
                 RaceStep::Prove(lane, proof) => self.prove(race, lane, proof, now),
                 RaceStep::Drop(lane) => {
                     if let Some((_, socket)) = lane_entry(&mut self.proving, lane).take() {
-                        socket.shut();
+                        socket.shutdown();
                     }
                 }
                 RaceStep::Send(lane, rest) => {
@@ -439,7 +440,7 @@
     /// Aborts the running proofs by shutting down their sockets.
     fn abort_proofs(&mut self) {
         for (_, socket) in self.proving.drain(..).flatten() {
-            socket.shut();
+            socket.shutdown();
         }
     }
 
@@ -448,9 +449,9 @@
         let (pool, sender) = (self.pool.clone(), self.event_sender());
         let place = race.place(lane).clone();
         let guard = pool.count_open(&place);
-        go(move || {
+        spawn(move || {
             let started_at = pool.clock.now();
-            let dialed = open(place.clone(), Duration::from_micros(timeout_us));
+            let dialed = connect(place.clone(), Duration::from_micros(timeout_us));
             pool.with_addresses(|addresses, now| {
                 addresses.record_dial(now, &place, started_at, dialed.is_ok())
             });
@@ -480,11 +481,11 @@
         let head = match proof {
             Proof::Continue => {
                 let endpoint = pooled.endpoint(self.request.path);
-                Some(waiting_head("POST", &endpoint, self.request.headers, self.request.body_bytes))
+                Some(expect_continue_head("POST", &endpoint, self.request.headers, self.request.body_bytes))
             }
             _ => None,
         };
-        go(move || {
+        spawn(move || {
             pooled.conn.set_write_timeout(Some(timeout));
             pooled.conn.set_deadline(Some(Instant::now() + timeout));
             let proof_outcome = match head {
@@ -508,7 +509,7 @@
     fn wait_for_event(&mut self, race: &mut Race, timeout_us: Time) -> Option<ConnectOutcome> {
         let sender = self.event_sender();
         let timer_sender = sender.clone();
-        alarm(Instant::now() + Duration::from_micros(timeout_us), move || {
+        call_at(Instant::now() + Duration::from_micros(timeout_us), move || {
             let _ = timer_sender.send(RaceEvent::TimerFired);
         });
         if let Some((slot, key)) = self.request.slot
@@ -582,7 +583,7 @@
 
 /// Proves a connection by the head of the request: writes it and reads the interim or final answer.
 fn prove_by_head(mut pooled: Box<PooledConn>, head: &[u8]) -> ProofOutcome {
-    let received = pooled.conn.write(head).and_then(|()| pooled.conn.go_on());
+    let received = pooled.conn.write(head).and_then(|()| pooled.conn.receive_continue());
     let response: http::Response = match received {
         Ok(None) => return ProofOutcome::Proven(pooled),
         Ok(Some(response)) => response,
@@ -591,6 +592,6 @@
     if response.status != 417 {
         return ProofOutcome::Final(response.status);
     }
-    let stays_open = response.keep_alive && pooled.conn.body(response.framing).is_ok();
+    let stays_open = response.keep_alive && pooled.conn.receive_body(response.framing).is_ok();
     ProofOutcome::ContinueUnsupported(stays_open.then_some(pooled))
 }
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -14,8 +14,8 @@
 use elderstage_core::evidence::Evidence;
 use elderstage_core::{ChainId, Core, Counters, Effect, Event, Final, NewRequest, Stage};
 use elderstage_net::channel::Sender;
-use elderstage_net::owner::{Machine, Micros};
-use elderstage_net::{NetError, go};
+use elderstage_net::owner::{Micros, StateMachine};
+use elderstage_net::{NetError, spawn};
 use elderstage_protocol::{engine, orca};
 
 use crate::Shared;
@@ -170,7 +170,7 @@
     }
 }
 
-impl Machine for Owner {
+impl StateMachine for Owner {
     type Event = Input;
 
     fn handle(&mut self, now: Micros, input: Input) -> bool {
@@ -206,7 +206,7 @@
         self.core.next_timer()
     }
 
-    fn wake(&mut self, now: Micros) {
+    fn on_timer(&mut self, now: Micros) {
         let mut effects = std::mem::take(&mut self.effects);
         self.core.handle_timers(now, &mut effects);
         self.apply_effects(effects);
@@ -217,7 +217,7 @@
 /// without harm.
 fn release_state(shared: &Arc<Shared>, server: ServerId, rid: String) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let body = serde_json::json!({"rid": rid}).to_string();
         let timeout = Duration::from_micros(shared.config.rules.let_go / MAX_RELEASE_TRIES);
         let headers = [("content-type", "application/json"), ("via", shared.catalog.via.as_str())];
@@ -237,7 +237,7 @@
 /// Probes the health of a server and reports the result to the core.
 fn probe_server(shared: &Arc<Shared>, server: ServerId) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let started_at = shared.clock.now();
         let headers = [orca::REPORT_REQUEST_HEADER, ("via", shared.catalog.via.as_str())];
         let timeout = Duration::from_micros(shared.config.rules.connect);
@@ -266,7 +266,7 @@
         format!("elderstage_requests_held {}", status.held),
         format!("elderstage_connections {}", shared.connections.load(Ordering::Relaxed)),
         format!("elderstage_draining {}", u8::from(status.draining)),
-        format!("elderstage_events_waiting {}", shared.inbox.waiting()),
+        format!("elderstage_events_waiting {}", shared.inbox.queued_len()),
     ];
     for (name, value) in [
         ("requests_taken", counters.admitted),
--- a/crates/front/src/slot.rs
+++ b/crates/front/src/slot.rs
@@ -5,7 +5,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use elderstage_net::Socket;
+use elderstage_net::ShutdownHandle;
 
 /// Identifies one operation of a request: an attempt at an engine, or one try of a tool call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// It has no socket yet.
     Nothing,
     /// The socket is shut down.
-    ShutSocket(Socket),
+    ShutSocket(ShutdownHandle),
     /// Connections are being made; the callback notifies the coroutine that waits for them.
     Notify(Box<dyn Fn() + Send>),
 }
@@ -55,7 +55,7 @@
     }
 
     /// Registers the socket of the operation. Returns `false` when the operation was cancelled meanwhile.
-    pub fn set_connected(&self, key: OperationKey, socket: Socket) -> bool {
+    pub fn set_connected(&self, key: OperationKey, socket: ShutdownHandle) -> bool {
         let mut state = self.lock();
         state.current = Some((key, CancelMethod::ShutSocket(socket)));
         state.cancelled != Some(key)
@@ -73,7 +73,7 @@
         let mut state = self.lock();
         state.cancelled = Some(key);
         match &state.current {
-            Some((current, CancelMethod::ShutSocket(socket))) if *current == key => socket.shut(),
+            Some((current, CancelMethod::ShutSocket(socket))) if *current == key => socket.shutdown(),
             Some((current, CancelMethod::Notify(cancel))) if *current == key => cancel(),
             _ => {}
         }
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -11,7 +11,7 @@
 use elderstage_config::{Config, ToolConfig};
 use elderstage_core::addresses::{ConnectionNeeds, Proof};
 use elderstage_core::evidence::{ToolEnd, tool_end_from_rpc_error, tool_end_from_status};
-use elderstage_net::{Conn, Endpoint, NetError, Place, receive, send};
+use elderstage_net::{Conn, EndpointPath, NetError, Place, receive, send};
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{http, mcp, sse};
 use serde_json::Value;
@@ -25,7 +25,7 @@
     pub name: String,
     /// Id of its server in the connection pool. It contains a space, so that it never equals the name of an engine.
     pub server: ServerId,
-    endpoint: Endpoint,
+    endpoint: EndpointPath,
     connect_timeout_us: u64,
     session: Mutex<Option<Session>>,
     next_id: AtomicI64,
@@ -66,7 +66,7 @@
         ToolClient {
             name: tool.name.clone(),
             server: ServerId(format!("tool {}", tool.name).into()),
-            endpoint: Endpoint::new(tool.addr, tool.path.clone()),
+            endpoint: EndpointPath::new(tool.addr, tool.path.clone()),
             connect_timeout_us: config.rules.connect,
             session: Mutex::default(),
             next_id: AtomicI64::new(1),
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
-use elderstage_net::{NetError, open};
+use elderstage_net::{NetError, connect};
 use elderstage_protocol::mcp;
 use elderstage_rehearsal::fleet::ANY_PORT;
 use elderstage_standin::peer::{Peer, Script};
 
 /// Sends raw bytes and returns the status and the body of the response.
 fn send_raw(cluster: &TestCluster, bytes: &[u8]) -> (u16, String) {
-    let mut conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut conn = connect(cluster.addr, MAX_WAIT).unwrap();
     conn.set_read_timeout(Some(MAX_WAIT));
     conn.write(bytes).unwrap();
-    let head = conn.response().unwrap();
-    let body = conn.body(head.framing).unwrap();
+    let head = conn.receive_response().unwrap();
+    let body = conn.receive_body(head.framing).unwrap();
     (head.status, String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -46,7 +46,7 @@
         assert_eq!(send_raw(&cluster, bytes.as_bytes()).0, status, "{bytes:?}");
     }
     // A client that leaves in the middle of a body must not affect other clients, and nothing stays held for it.
-    let mut incomplete = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut incomplete = connect(cluster.addr, MAX_WAIT).unwrap();
     incomplete.write(b"POST /mcp HTTP/1.1\r\ncontent-length: 50\r\n\r\n{").unwrap();
     drop(incomplete);
     cluster.call("ask", "Still there? [words 3]").expect_served();
@@ -211,7 +211,7 @@
 fn closing_a_session_ends_its_calls_and_a_get_stream_stays_open() {
     let cluster = TestCluster::start_default();
     let session = cluster.open_session();
-    let conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let conn = connect(cluster.addr, MAX_WAIT).unwrap();
     let mut call = Call::send(conn, cluster.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
     call.wait_for_text();
     let (status, _) = send_raw(
@@ -220,10 +220,10 @@
     );
     assert_eq!(status, 204);
     assert_eq!(call.wait_for_end(), CallEnd::NoResponse);
-    let mut stream = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut stream = connect(cluster.addr, MAX_WAIT).unwrap();
     stream.write(b"GET /mcp HTTP/1.1\r\naccept: text/event-stream\r\n\r\n").unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(300)));
-    assert_eq!(stream.response().unwrap().status, 200);
+    assert_eq!(stream.receive_response().unwrap().status, 200);
     assert!(matches!(stream.fill(), Err(NetError::TimedOut)), "the stream must stay open");
     cluster.finish_and_check();
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use elderstage_front::{Front, Status};
-use elderstage_net::{Conn, Endpoint, NetError, open, send};
+use elderstage_net::{Conn, EndpointPath, NetError, connect, send};
 use elderstage_protocol::http::Body;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::place::Family;
@@ -116,13 +116,13 @@
 
     /// Sends a call on a connection of its own.
     pub fn call(&self, tool: &str, prompt: &str) -> Call {
-        let conn = open(self.addr, MAX_WAIT).unwrap();
+        let conn = connect(self.addr, MAX_WAIT).unwrap();
         Call::send(conn, self.addr, tool, prompt, 1, None, true)
     }
 
     /// The value of one metric of the front.
     pub fn metric(&self, name: &str) -> u64 {
-        let to = Endpoint::new(self.addr, "/metrics");
+        let to = EndpointPath::new(self.addr, "/metrics");
         let answer = elderstage_net::exchange("GET", &to, &[], b"", MAX_WAIT).unwrap();
         let text = String::from_utf8(answer.body).unwrap();
         let line = text.lines().find(|line| line.split(' ').next() == Some(name));
@@ -154,7 +154,7 @@
     }
 
     pub fn post_with(&self, headers: &[(&str, &str)], body: &str) -> (u16, String) {
-        let to = Endpoint::new(self.addr, "/mcp");
+        let to = EndpointPath::new(self.addr, "/mcp");
         let answer = elderstage_net::exchange("POST", &to, headers, body.as_bytes(), MAX_WAIT).unwrap();
         (answer.head.status, String::from_utf8(answer.body).unwrap())
     }
@@ -209,7 +209,7 @@
         if let Some(session) = session {
             headers.push((mcp::SESSION_HEADER, session));
         }
-        let to = Endpoint::new(addr, "/mcp");
+        let to = EndpointPath::new(addr, "/mcp");
         send(&mut conn, "POST", &to, &headers, call_body(tool, prompt, id, progress).as_bytes()).unwrap();
         Call::receive(conn, id)
     }
@@ -230,12 +230,12 @@
             let mut bytes = Vec::new();
             match &mut self.body {
                 None => {
-                    let head = self.conn.response()?;
+                    let head = self.conn.receive_response()?;
                     assert_eq!(head.status, 200);
                     self.body = Some(Body::new(head.framing));
                 }
                 Some(body) => {
-                    if !self.conn.body_piece(body, &mut bytes)? {
+                    if !self.conn.receive_body_piece(body, &mut bytes)? {
                         return Ok(None);
                     }
                     self.parser.push(&bytes, &mut self.events).unwrap();
@@ -284,7 +284,7 @@
 
     /// Closes the connection without waiting for the answer.
     pub fn disconnect(self) {
-        self.conn.socket().shut();
+        self.conn.socket().shutdown();
     }
 }
 
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
-use elderstage_net::{Conn, open};
+use elderstage_net::{Conn, connect};
 use elderstage_protocol::{http, mcp};
 use elderstage_standin::host::{Control, Faults};
 use elderstage_standin::model::Ail;
@@ -31,7 +31,7 @@
     assert_eq!(call.text, text, "the progress texts must make up the answer");
     assert!(text.contains("order 1 placed"), "{text}");
     let no_progress = Call::send(
-        open(cluster.addr, MAX_WAIT).unwrap(),
+        connect(cluster.addr, MAX_WAIT).unwrap(),
         cluster.addr,
         "ask",
         "Hello. [words 5]",
@@ -140,7 +140,7 @@
 fn a_cancelled_call_gets_no_response_and_its_id_can_be_reused() {
     let cluster = TestCluster::start_default();
     let session = cluster.open_session();
-    let conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let conn = connect(cluster.addr, MAX_WAIT).unwrap();
     let mut call = Call::send(conn, cluster.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
     call.wait_for_text();
     let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
@@ -160,7 +160,7 @@
 #[test]
 fn two_calls_on_one_connection_are_answered_in_order() {
     let cluster = TestCluster::start_default();
-    let mut conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut conn = connect(cluster.addr, MAX_WAIT).unwrap();
     conn.set_read_timeout(Some(MAX_WAIT));
     // Both requests are in one write, so that the front may get them in one socket read.
     let mut both = Vec::new();
@@ -215,7 +215,7 @@
     let done = std::thread::spawn(move || front.finish(&AtomicBool::new(false)));
     assert!(order.expect_served().contains("order 1 placed"));
     assert!(done.join().unwrap(), "all requests must have ended by themselves");
-    assert!(open(cluster.addr, Duration::from_millis(500)).is_err(), "the front must not listen any more");
+    assert!(connect(cluster.addr, Duration::from_millis(500)).is_err(), "the front must not listen any more");
     cluster.fleet.stop();
 }
 
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -15,30 +15,30 @@
 
 /// The address of a server, and the path of its service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Endpoint {
+pub struct EndpointPath {
     /// The server's address.
     pub place: Place,
     /// The path of the request target.
     pub path: String,
 }
 
-impl Endpoint {
+impl EndpointPath {
     /// Creates an endpoint.
-    pub fn new(place: impl Into<Place>, path: impl Into<String>) -> Endpoint {
-        Endpoint { place: place.into(), path: path.into() }
+    pub fn new(place: impl Into<Place>, path: impl Into<String>) -> EndpointPath {
+        EndpointPath { place: place.into(), path: path.into() }
     }
 }
 
 /// A complete response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ReceivedResponse {
     pub head: http::Response,
     pub body: Vec<u8>,
 }
 
 /// Opens a connection within `timeout`. Connecting to a Unix socket succeeds or fails at once: one whose
 /// backlog is full counts as unreachable.
-pub fn open(place: impl Into<Place>, timeout: Duration) -> Result<Conn, NetError> {
+pub fn connect(place: impl Into<Place>, timeout: Duration) -> Result<Conn, NetError> {
     let until = Instant::now() + timeout;
     let conn = match place.into() {
         Place::Tcp(addr) => {
@@ -69,7 +69,7 @@
 pub fn send(
     conn: &mut Conn,
     method: &str,
-    to: &Endpoint,
+    to: &EndpointPath,
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Result<(), NetError> {
@@ -79,29 +79,34 @@
 }
 
 /// Builds the head of a request with `Expect: 100-continue`, whose body is sent after the peer's consent.
-pub fn waiting_head(method: &str, to: &Endpoint, headers: &[(&str, &str)], body: usize) -> Vec<u8> {
+pub fn expect_continue_head(
+    method: &str,
+    to: &EndpointPath,
+    headers: &[(&str, &str)],
+    body: usize,
+) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
     http::write_waiting_head(method, &to.path, &to.place.host(), headers, body, &mut out);
     out
 }
 
 /// Receives a complete response.
-pub fn receive(conn: &mut Conn) -> Result<Answer, NetError> {
-    let head = conn.response()?;
-    let body = conn.body(head.framing)?;
-    Ok(Answer { head, body })
+pub fn receive(conn: &mut Conn) -> Result<ReceivedResponse, NetError> {
+    let head = conn.receive_response()?;
+    let body = conn.receive_body(head.framing)?;
+    Ok(ReceivedResponse { head, body })
 }
 
 /// Sends one request on a new connection and receives the complete response within `timeout`.
 pub fn exchange(
     method: &str,
-    to: &Endpoint,
+    to: &EndpointPath,
     headers: &[(&str, &str)],
     body: &[u8],
     timeout: Duration,
-) -> Result<Answer, NetError> {
+) -> Result<ReceivedResponse, NetError> {
     let deadline = Instant::now() + timeout;
-    let mut conn = open(to.place.clone(), timeout)?;
+    let mut conn = connect(to.place.clone(), timeout)?;
     conn.set_write_timeout(Some(timeout));
     conn.set_deadline(Some(deadline));
     send(&mut conn, method, to, headers, body)?;
--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -48,11 +48,11 @@
 
 /// A handle to shut down a connection that another coroutine or thread uses.
 #[derive(Clone)]
-pub struct Socket(Arc<Stream>);
+pub struct ShutdownHandle(Arc<Stream>);
 
-impl Socket {
+impl ShutdownHandle {
     /// Shuts the connection down: all reads and writes on it end, now and later.
-    pub fn shut(&self) {
+    pub fn shutdown(&self) {
         // An error means that the peer has closed it already.
         let _ = self.0.shutdown_both();
     }
@@ -111,8 +111,8 @@
     }
 
     /// A handle with which others can shut the connection down.
-    pub fn socket(&self) -> Socket {
-        Socket(self.io.inner().clone())
+    pub fn socket(&self) -> ShutdownHandle {
+        ShutdownHandle(self.io.inner().clone())
     }
 
     /// Waits until a connect in progress has succeeded or failed.
@@ -130,7 +130,7 @@
     }
 
     /// A second handle for writing from another coroutine. It uses a descriptor of its own.
-    pub fn writer(&self) -> Result<Conn, NetError> {
+    pub fn try_clone_for_writing(&self) -> Result<Conn, NetError> {
         let mut conn = Conn::new(self.io.inner().try_clone()?)?;
         conn.limits = self.limits;
         Ok(conn)
@@ -205,7 +205,7 @@
     }
 
     /// Marks `n` of the pending bytes as consumed, or all where there are fewer.
-    pub fn used(&mut self, n: usize) {
+    pub fn consume(&mut self, n: usize) {
         self.consumed = self.consumed.saturating_add(n).min(self.buffer.len());
     }
 
@@ -292,7 +292,7 @@
         let (until, mut discarded) = (Instant::now() + timeout, 0);
         while discarded < max_bytes {
             discarded += self.pending().len();
-            self.used(usize::MAX);
+            self.consume(usize::MAX);
             match self.try_fill() {
                 Ok(true) => {}
                 Ok(false) if Instant::now() < until => self.pause(Some(until)),
@@ -354,7 +354,7 @@
 
     /// Receives the head of the next request. Fails with [`NetError::Closed`] if the peer closed the
     /// connection.
-    pub fn request(&mut self) -> Result<http::Request, NetError> {
+    pub fn receive_request(&mut self) -> Result<http::Request, NetError> {
         loop {
             if let Some((head, n)) = http::parse_request(self.pending(), self.limits)? {
                 self.consumed += n;
@@ -365,7 +365,7 @@
     }
 
     /// Receives the head of the next response. Interim responses (1xx) are skipped.
-    pub fn response(&mut self) -> Result<http::Response, NetError> {
+    pub fn receive_response(&mut self) -> Result<http::Response, NetError> {
         loop {
             let head = self.any_response()?;
             if head.status >= 200 {
@@ -376,7 +376,7 @@
 
     /// Waits for the response to the head of a request with `Expect: 100-continue` (RFC 9110, 10.1.1).
     /// `None`: the peer accepts the body. Otherwise its final response.
-    pub fn go_on(&mut self) -> Result<Option<http::Response>, NetError> {
+    pub fn receive_continue(&mut self) -> Result<Option<http::Response>, NetError> {
         loop {
             match self.any_response()? {
                 head if head.status == 100 => return Ok(None),
@@ -400,7 +400,7 @@
     }
 
     /// Writes `100 Continue` if the request asks for it and no byte of its body has been received.
-    pub fn take_body(&mut self, head: &http::Request) -> Result<(), NetError> {
+    pub fn send_continue(&mut self, head: &http::Request) -> Result<(), NetError> {
         let expects_continue =
             head.headers.get("expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
         if expects_continue && !self.has_pending() {
@@ -410,7 +410,7 @@
     }
 
     /// Receives the next piece of a body and appends it to `out`; `false` when the body has ended.
-    pub fn body_piece(&mut self, body: &mut Body, out: &mut Vec<u8>) -> Result<bool, NetError> {
+    pub fn receive_body_piece(&mut self, body: &mut Body, out: &mut Vec<u8>) -> Result<bool, NetError> {
         loop {
             if body.done() {
                 return Ok(false);
@@ -434,14 +434,14 @@
     }
 
     /// Receives a whole body within the size limit.
-    pub fn body(&mut self, framing: Framing) -> Result<Vec<u8>, NetError> {
+    pub fn receive_body(&mut self, framing: Framing) -> Result<Vec<u8>, NetError> {
         if let Framing::Length(n) = framing
             && n > self.limits.body as u64
         {
             return Err(HttpError::BodyTooLarge(self.limits.body).into());
         }
         let (mut body, mut out) = (Body::new(framing), Vec::new());
-        while self.body_piece(&mut body, &mut out)? {
+        while self.receive_body_piece(&mut body, &mut out)? {
             if out.len() > self.limits.body {
                 return Err(HttpError::BodyTooLarge(self.limits.body).into());
             }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -12,14 +12,14 @@
 mod stream;
 mod watch;
 
-pub use client::{Answer, Endpoint, exchange, open, receive, send, waiting_head};
-pub use conn::{Conn, NetError, Socket, Waker};
+pub use client::{EndpointPath, ReceivedResponse, connect, exchange, expect_continue_head, receive, send};
+pub use conn::{Conn, NetError, ShutdownHandle, Waker};
 pub use elderstage_protocol::place::Place;
-pub use listener::{Listener, Stop};
+pub use listener::{Listener, ListenerHandle};
 pub use may::coroutine::sleep;
-pub use spawn::{STACK_WORDS, go, init, init_small};
+pub use spawn::{STACK_WORDS, init, init_single_worker, spawn};
 pub use stream::Stream;
-pub use watch::alarm;
+pub use watch::call_at;
 
 /// Channels between coroutines, and from threads to coroutines.
 pub mod channel {
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -71,17 +71,17 @@
 }
 
 /// A handle that stops a listener from another coroutine or thread.
-pub struct Stop {
+pub struct ListenerHandle {
     is_stopped: Arc<AtomicBool>,
     is_draining: Arc<AtomicBool>,
     waker: WaitIoWaker,
     socket: std::sync::Weak<ListeningSocket>,
 }
 
-impl Stop {
+impl ListenerHandle {
     /// Lets the listener accept the connections that wait in its backlog and then close. Such a connection
     /// may already carry a whole request and would be reset with the socket. Call this again until
-    /// [`Stop::is_closed`], since a wake-up may be lost.
+    /// [`ListenerHandle::is_closed`], since a wake-up may be lost.
     pub fn stop_after_backlog(&self) {
         self.is_draining.store(true, Ordering::SeqCst);
         self.waker.wakeup();
@@ -134,7 +134,7 @@
 
     /// Listens at a TCP address or a Unix socket path. A socket file that an earlier process left behind is
     /// replaced. A socket file at which a process still listens is not, nor is any other file.
-    pub fn at(place: &Place) -> io::Result<Listener> {
+    pub fn bind_endpoint(place: &Place) -> io::Result<Listener> {
         let path = match place {
             Place::Tcp(addr) => return Listener::bind(addr),
             Place::Unix(path) => path,
@@ -180,9 +180,14 @@
     }
 
     /// A handle that stops this listener.
-    pub fn stopper(&self) -> Stop {
+    pub fn handle(&self) -> ListenerHandle {
         let (is_stopped, is_draining) = (self.is_stopped.clone(), self.is_draining.clone());
-        Stop { is_stopped, is_draining, waker: self.io.waker(), socket: Arc::downgrade(&self._closed_last) }
+        ListenerHandle {
+            is_stopped,
+            is_draining,
+            waker: self.io.waker(),
+            socket: Arc::downgrade(&self._closed_last),
+        }
     }
 
     /// Accepts connections and passes them to `on_connection` until the listener is stopped. Must run in a
--- a/crates/net/src/owner.rs
+++ b/crates/net/src/owner.rs
@@ -1,8 +1,8 @@
 //! A thread that owns a state machine. It takes events from a bounded queue in order, and wakes the machine
 //! for its timers. The machine's state needs no locks, since only this thread uses it.
 //!
-//! When the queue is full, [`Inbox::offer`] fails at once. It is for new work that may be refused.
-//! [`Inbox::send`] waits. It is for events of accepted work, which must not be lost. A waiting coroutine does
+//! When the queue is full, [`EventSender::try_send`] fails at once. It is for new work that may be refused.
+//! [`EventSender::send`] waits. It is for events of accepted work, which must not be lost. A waiting coroutine does
 //! not receive from its socket, so the backpressure reaches the peer.
 
 use std::thread::JoinHandle;
@@ -17,7 +17,7 @@
 pub type Micros = u64;
 
 /// A state machine that runs in a thread of its own and is driven by events and timers.
-pub trait Machine: Send + 'static {
+pub trait StateMachine: Send + 'static {
     /// What the machine takes from its queue.
     type Event: Send + 'static;
 
@@ -26,21 +26,21 @@
     /// The time of the machine's next timer, if it has one.
     fn next_timer(&self) -> Option<Micros>;
     /// Handles due timers. Called at or after the time of the next timer.
-    fn wake(&mut self, now: Micros);
+    fn on_timer(&mut self, now: Micros);
 }
 
 /// The sending end of the event queue.
-pub struct Inbox<E>(Sender<E>);
+pub struct EventSender<E>(Sender<E>);
 
-impl<E> Clone for Inbox<E> {
-    fn clone(&self) -> Inbox<E> {
-        Inbox(self.0.clone())
+impl<E> Clone for EventSender<E> {
+    fn clone(&self) -> EventSender<E> {
+        EventSender(self.0.clone())
     }
 }
 
-impl<E> Inbox<E> {
+impl<E> EventSender<E> {
     /// Queues an event. Fails and returns the event if the queue is full or the owner has ended.
-    pub fn offer(&self, event: E) -> Result<(), E> {
+    pub fn try_send(&self, event: E) -> Result<(), E> {
         self.0.try_send(event).map_err(TrySendError::into_inner)
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// The number of queued events.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_len(&self) -> usize {
         self.0.len()
     }
 }
@@ -81,14 +81,14 @@
     }
 }
 
-/// Creates a queue for `capacity` events: the sending end, and the receiving end for [`run`].
-pub fn queue<E>(capacity: usize) -> (Inbox<E>, Receiver<E>) {
+/// Creates a queue for `capacity` events: the sending end, and the receiving end for [`spawn_machine`].
+pub fn queue<E>(capacity: usize) -> (EventSender<E>, Receiver<E>) {
     let (sender, receiver) = bounded(capacity);
-    (Inbox(sender), receiver)
+    (EventSender(sender), receiver)
 }
 
 /// Runs a machine in a thread of its own until it ends or all its inboxes are dropped.
-pub fn run<M: Machine>(
+pub fn spawn_machine<M: StateMachine>(
     name: &str,
     clock: Clock,
     events: Receiver<M::Event>,
@@ -101,7 +101,7 @@
                 Some(at) => {
                     let now = clock.now();
                     if at <= now {
-                        machine.wake(now);
+                        machine.on_timer(now);
                         events.try_recv().map_err(|error| match error {
                             crossbeam_channel::TryRecvError::Empty => RecvTimeoutError::Timeout,
                             crossbeam_channel::TryRecvError::Disconnected => RecvTimeoutError::Disconnected,
--- a/crates/net/src/spawn.rs
+++ b/crates/net/src/spawn.rs
@@ -12,7 +12,7 @@
 
 static INIT: Once = Once::new();
 
-/// Sets up the coroutine runtime with `workers` worker threads. Only the first call of this or [`init_small`]
+/// Sets up the coroutine runtime with `workers` worker threads. Only the first call of this or [`init_single_worker`]
 /// has an effect.
 pub fn init(workers: usize) {
     INIT.call_once(|| {
@@ -25,7 +25,7 @@
 
 /// Sets up the coroutine runtime for a small machine: one worker thread that the system may run on any core,
 /// and `stacks` stacks kept for reuse.
-pub fn init_small(stacks: usize) {
+pub fn init_single_worker(stacks: usize) {
     INIT.call_once(|| {
         let config = may::config();
         config
@@ -37,7 +37,7 @@
 }
 
 /// Runs `f` in a new coroutine.
-pub fn go<F: FnOnce() + Send + 'static>(f: F) {
+pub fn spawn<F: FnOnce() + Send + 'static>(f: F) {
     // SAFETY: `may` marks spawning as unsafe for two reasons. First, a coroutine may continue on another
     // thread after a switch and see other thread-local state. No code here keeps a reference into
     // thread-local storage across a call that can switch: locks of `std` are never held during I/O, and
--- a/crates/net/src/watch/mod.rs
+++ b/crates/net/src/watch/mod.rs
@@ -211,7 +211,7 @@
 
 /// Calls `f` at that time or a little after, on the timer thread. `f` must be quick, since it delays all time
 /// limits. The call cannot be cancelled.
-pub fn alarm(at: Instant, f: impl FnOnce() + Send + 'static) {
+pub fn call_at(at: Instant, f: impl FnOnce() + Send + 'static) {
     let timer_thread = timer_thread();
     timer_thread.add_entry(timer_thread.micros(at) + 1, |queue, key| {
         queue.callbacks.insert(key, Box::new(f));
--- a/crates/net/tests/closing.rs
+++ b/crates/net/tests/closing.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use elderstage_net::{Listener, go, init};
+use elderstage_net::{Listener, init, spawn};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -23,9 +23,9 @@
     init(2);
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let addr = listener.addr();
-    go(move || {
+    spawn(move || {
         let on_connection = |mut conn: elderstage_net::Conn| {
-            go(move || {
+            spawn(move || {
                 conn.set_deadline(Some(std::time::Instant::now() + LONG));
                 // Receives only the first piece of what the client sends.
                 conn.fill().unwrap();
@@ -56,7 +56,7 @@
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let addr = listener.addr();
     let (done, finished) = mpsc::channel();
-    go(move || {
+    spawn(move || {
         let on_connection = |conn: elderstage_net::Conn| {
             conn.close_gracefully(LONG, 1 << 20);
             done.send(()).unwrap();
@@ -76,16 +76,16 @@
 fn waiting_connections_are_served_before_the_listener_closes() {
     init(2);
     let listener = Listener::bind("127.0.0.1:0").unwrap();
-    let (addr, stop) = (listener.addr(), listener.stopper());
+    let (addr, stop) = (listener.addr(), listener.handle());
     let mut clients: Vec<TcpStream> = (0..50).map(|_| connect(addr)).collect();
     for client in &mut clients {
         client.write_all(b"?").unwrap();
     }
     stop.stop_after_backlog();
     assert!(!stop.is_closed());
-    go(move || {
+    spawn(move || {
         let on_connection = |mut conn: elderstage_net::Conn| {
-            go(move || {
+            spawn(move || {
                 conn.fill().unwrap();
                 conn.write(b"!").unwrap();
                 conn.close_gracefully(LONG, 1 << 20);
--- a/crates/net/tests/limits.rs
+++ b/crates/net/tests/limits.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, Listener, go, init};
+use elderstage_net::{Conn, Listener, init, spawn};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -15,10 +15,10 @@
 fn serve(handler: impl Fn(Conn) + Send + Clone + 'static) -> std::net::SocketAddr {
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let addr = listener.addr();
-    go(move || {
+    spawn(move || {
         let on_connection = |conn: Conn| {
             let handler = handler.clone();
-            go(move || handler(conn))
+            spawn(move || handler(conn))
         };
         listener.serve(on_connection, |error| panic!("{error}"))
     });
@@ -41,7 +41,7 @@
             while !matches!(conn.try_fill(), Ok(true)) {
                 conn.pause(Some(Instant::now() + LONG * 10));
             }
-            conn.used(usize::MAX);
+            conn.consume(usize::MAX);
             // No byte arrives now, so only the limit ends this wait.
             let until = Instant::now() + Duration::from_micros(300);
             while Instant::now() < until {
--- a/crates/net/tests/places.rs
+++ b/crates/net/tests/places.rs
@@ -5,7 +5,7 @@
 use std::os::unix::net::UnixListener;
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, NetError, Place, go, init, open};
+use elderstage_net::{Conn, NetError, Place, connect, init, spawn};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -13,7 +13,7 @@
 fn in_coroutine<T: Send + 'static>(f: impl FnOnce() -> T + Send + 'static) -> T {
     init(2);
     let (sender, receiver) = std::sync::mpsc::channel();
-    go(move || {
+    spawn(move || {
         let _ = sender.send(f());
     });
     receiver.recv_timeout(LONG).unwrap()
@@ -33,8 +33,8 @@
     peer.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").unwrap();
     let body = in_coroutine(move || {
         conn.set_read_timeout(Some(LONG));
-        let head = conn.response().unwrap();
-        conn.body(head.framing).unwrap()
+        let head = conn.receive_response().unwrap();
+        conn.receive_body(head.framing).unwrap()
     });
     assert_eq!(body, b"hi", "{place}");
 }
@@ -45,7 +45,7 @@
     let place = Place::Tcp(tcp.local_addr().unwrap());
     let conn = in_coroutine({
         let place = place.clone();
-        move || open(place, LONG).unwrap()
+        move || connect(place, LONG).unwrap()
     });
     exchange(place, tcp.accept().unwrap().0, || conn);
     let path = socket_path("carry");
@@ -53,7 +53,7 @@
     let place = Place::Unix(path.clone());
     let conn = in_coroutine({
         let place = place.clone();
-        move || open(place, LONG).unwrap()
+        move || connect(place, LONG).unwrap()
     });
     exchange(place, unix.accept().unwrap().0, || conn);
     std::fs::remove_file(path).unwrap();
@@ -71,7 +71,7 @@
         Place::Unix(format!("/{}", "long".repeat(60)).into()),
     ] {
         let text = place.to_string();
-        let result = in_coroutine(move || open(place, LONG).map(|_| ()));
+        let result = in_coroutine(move || connect(place, LONG).map(|_| ()));
         assert!(matches!(result, Err(NetError::Io(_))), "{text}: {result:?}");
     }
     std::fs::remove_file(stale).unwrap();
@@ -84,9 +84,9 @@
     let addr = listener.local_addr().unwrap();
     let started = Instant::now();
     let result = in_coroutine(move || {
-        let mut conn = open(addr, LONG).unwrap();
+        let mut conn = connect(addr, LONG).unwrap();
         conn.set_deadline(Some(Instant::now() + Duration::from_millis(60)));
-        conn.response().map(|_| ())
+        conn.receive_response().map(|_| ())
     });
     assert!(matches!(result, Err(NetError::TimedOut)));
     assert!(started.elapsed() >= Duration::from_millis(60));
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -100,7 +100,7 @@
             if is_first { accepted_at + REQUEST_TIMEOUT } else { Instant::now() + REQUEST_TIMEOUT };
         is_first = false;
         conn.set_deadline(Some(deadline));
-        let head = match conn.request() {
+        let head = match conn.receive_request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => return reject(conn, error.status(), &error.to_string()),
             Err(NetError::TimedOut) => return reject(conn, 408, "no whole request in time"),
@@ -254,7 +254,7 @@
         conn.pause(Some(Instant::now() + MEMORY_RETRY_INTERVAL));
     };
     let memory_wait = started.elapsed();
-    let received = conn.take_body(head).and_then(|()| conn.body(head.framing));
+    let received = conn.send_continue(head).and_then(|()| conn.receive_body(head.framing));
     match received {
         Ok(bytes) => Ok(ReceivedBody { bytes, memory_permit, received_at: Instant::now() - memory_wait }),
         Err(NetError::Http(error)) => {
@@ -338,7 +338,7 @@
             if pending > REQUEST_LIMITS.head + REQUEST_LIMITS.body || self.has_discarded {
                 self.has_discarded = true;
                 discarded += pending;
-                conn.used(usize::MAX);
+                conn.consume(usize::MAX);
             }
             if discarded > MAX_DISCARD_PER_POLL {
                 self.has_more = true;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use elderstage_net::owner::Clock;
-use elderstage_net::{NetError, Place, open, sleep};
+use elderstage_net::{NetError, Place, connect, sleep};
 use elderstage_platform::hub::Input;
 use elderstage_platform::values::MAX_OBJECT_BYTES;
 use elderstage_platform::watch::Watch;
@@ -61,7 +61,7 @@
     watch: &mut Watch,
 ) -> Result<(), NetError> {
     let index = watch.start(clock.now());
-    let mut conn = open(Place::Tcp(at), CONNECT_TIMEOUT)?;
+    let mut conn = connect(Place::Tcp(at), CONNECT_TIMEOUT)?;
     conn.limits = LIMITS;
     conn.set_write_timeout(Some(CONNECT_TIMEOUT));
     let request = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: {at}\r\n\r\n");
@@ -87,7 +87,7 @@
             }
             Some(body) => {
                 let n = body.push(conn.pending(), &mut received)?;
-                conn.used(n);
+                conn.consume(n);
                 for list in watch.push(clock.now(), &received, &shared.names).map_err(io_error)? {
                     let (seq, whole, hosts) = (list.version, list.is_complete, list.hosts.len());
                     tracing::debug!(target: "discovery", seq, whole, hosts);
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -11,7 +11,7 @@
 
 use elderstage::{Outcome, RequestId, ServerId};
 use elderstage_net::NetError;
-use elderstage_net::go;
+use elderstage_net::spawn;
 use elderstage_platform::hub::Input;
 use elderstage_platform::reply::{self, AbortReason, AnswerKind, WriteProgress};
 use elderstage_platform::report;
@@ -92,7 +92,7 @@
 /// Runs an attempt in a coroutine of its own and submits its outcome.
 pub fn start_attempt(shared: &Arc<Shared>, attempt: Attempt) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let started = Instant::now();
         let end = run_attempt(&shared, &attempt, started + attempt.timeout);
         attempt.channel.finish_attempt(attempt.number);
@@ -265,7 +265,7 @@
     while !body.done() {
         if connection.conn().has_pending() {
             let Ok(n) = body.push(connection.conn().pending(), &mut out) else { return (out, false) };
-            connection.conn().used(n);
+            connection.conn().consume(n);
         } else if receive_more(connection, None, deadline).is_err() {
             return (out, false);
         }
@@ -339,7 +339,7 @@
             }
         }
         match pushed {
-            Ok(n) => connection.conn().used(n),
+            Ok(n) => connection.conn().consume(n),
             Err(error) => {
                 tracing::debug!(target: "answer", %error, server = %attempt.server.0, begun = has_begun, "invalid stream");
                 return Ok((broken(has_begun), false));
@@ -421,7 +421,7 @@
 /// Asks an engine for its load in a coroutine of its own and submits the result.
 pub fn start_probe(shared: &Arc<Shared>, server: ServerId, dial: SocketAddr) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let (outcome, report) = match exchange(&shared, dial, "GET /-/load HTTP/1.1\r\n", PROBE_TIMEOUT) {
             Ok((head, body)) if head.status == 200 => {
                 let header = head.headers.get(report::HEADER).map(str::to_owned);
@@ -442,7 +442,7 @@
 /// too.
 pub fn start_release(shared: &Arc<Shared>, call: ReleaseCall) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let ReleaseCall { id, trace, holder, round, engine, dial } = call;
         let started = Instant::now();
         let head_lines = format!("DELETE /kv/leases/{trace} HTTP/1.1\r\n");
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use elderstage::{RequestId, Settings};
-use elderstage_net::owner::{Machine, Micros};
+use elderstage_net::owner::{Micros, StateMachine};
 use elderstage_platform::ask::ClientRequest;
 use elderstage_platform::hub::{Command, Hub, Input};
 
@@ -189,11 +189,11 @@
     }
 }
 
-impl Machine for EventLoop {
+impl StateMachine for EventLoop {
     type Event = SubmittedEvent;
 
     fn handle(&mut self, now: Micros, submitted: SubmittedEvent) -> bool {
-        self.queue_wait.record(submitted.at.elapsed(), self.shared.inbox.waiting());
+        self.queue_wait.record(submitted.at.elapsed(), self.shared.inbox.queued_len());
         match submitted.event {
             Event::RequestReceived { id, mut ask, channel, received_at } => {
                 let waited_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
@@ -227,7 +227,7 @@
         self.hub.next_timer()
     }
 
-    fn wake(&mut self, now: Micros) {
+    fn on_timer(&mut self, now: Micros) {
         self.hub.run_due_timers(now, &mut self.commands);
         self.execute_commands();
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -26,8 +26,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use elderstage::settings::SettingNames;
-use elderstage_net::owner::{Clock, Inbox, queue, run};
-use elderstage_net::{Conn, Listener, go, init_small, sleep};
+use elderstage_net::owner::{Clock, EventSender, queue, spawn_machine};
+use elderstage_net::{Conn, Listener, init_single_worker, sleep, spawn};
 use elderstage_platform::counting::ClassCounts;
 use elderstage_platform::hub::{Hub, Input};
 use elderstage_platform::start::{ConfigError, EnvironmentOverrides, NodeConfig};
@@ -98,7 +98,7 @@
 pub(crate) struct Shared {
     names: SettingNames,
     connect_timeout: Duration,
-    inbox: Inbox<SubmittedEvent>,
+    inbox: EventSender<SubmittedEvent>,
     pool: Arc<Pool>,
     client_connections: Arc<ClientConnections>,
     body_memory: Arc<MemoryBudget>,
@@ -166,12 +166,12 @@
 }
 
 /// Runs a node until SIGTERM or SIGINT, and then until all accepted requests are answered.
-pub fn node(path: &Path, environment: &EnvironmentOverrides) -> Result<(), NodeError> {
+pub fn run(path: &Path, environment: &EnvironmentOverrides) -> Result<(), NodeError> {
     // Signals are caught from here on. One that arrives during the start is handled after it.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(NodeError::System)?;
     let start = read_config(path, environment)?;
     let shares = limits::Shares::from_allowed(start.allowed);
-    init_small(shares.stacks);
+    init_single_worker(shares.stacks);
     let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let clock = Clock::new(u64::try_from(epoch.as_micros()).unwrap_or_default());
     let (inbox, events) = queue(EVENT_QUEUE_CAPACITY);
@@ -203,21 +203,21 @@
         ));
     }
     let mut tally_writer = TallyWriter::new(clock.now());
-    run("owner", clock, events, EventLoop::new(hub, shared.clone())).map_err(NodeError::System)?;
+    spawn_machine("owner", clock, events, EventLoop::new(hub, shared.clone())).map_err(NodeError::System)?;
     let seq = start.known.version;
     shared.submit(Event::HubInput(Input::ListReceived { list: start.known.clone(), restored: true }));
     let listener =
         Listener::bind(start.listen).map_err(|error| NodeError::Listen { at: start.listen, error })?;
-    let stop = listener.stopper();
+    let stop = listener.handle();
     let accept_shared = shared.clone();
-    go(move || {
+    spawn(move || {
         listener.serve(
             |conn| accept(&accept_shared, conn),
             |error| tracing::warn!(target: "node", %error, "accept"),
         )
     });
     let (watch_shared, started) = (shared.clone(), Instant::now());
-    go(move || discovery::run_watch(&watch_shared, clock, seq));
+    spawn(move || discovery::run_watch(&watch_shared, clock, seq));
     let (mut shutdown_requested_at, mut quiescent_since): (Option<Instant>, Option<Instant>) = (None, None);
     let (mut last_cleanup, mut last_state_log) = (Instant::now(), Instant::now());
     loop {
@@ -267,7 +267,7 @@
                 || shared.open_requests.load(Ordering::SeqCst) > 0
                 || shared.pending_releases.load(Ordering::SeqCst) > 0
                 || !shared.client_connections.is_empty()
-                || shared.inbox.waiting() > 0;
+                || shared.inbox.queued_len() > 0;
             quiescent_since = if is_busy { None } else { quiescent_since.or(Some(Instant::now())) };
             if quiescent_since.is_some_and(|since| since.elapsed() >= QUIESCENCE_PERIOD) {
                 tracing::info!(target: "node", "all requests are answered");
@@ -294,7 +294,7 @@
         }
     };
     let shared = shared.clone();
-    go(move || client::serve(&shared, conn, &permit));
+    spawn(move || client::serve(&shared, conn, &permit));
 }
 
 /// Applies a new configuration completely or not at all. The server list, requests and connections are kept.
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
-use elderstage_tally::{Tally, Told};
+use elderstage_tally::{Tally, TallySnapshot};
 
 /// Holds the latest counts from the event loop until they are written.
 #[derive(Default)]
@@ -42,7 +42,7 @@
     pub fn write(&mut self, slot: &TallySlot, file: &Path) {
         let Some(tally) = slot.take() else { return };
         self.version += 1;
-        let report = Told { boot: self.boot, version: self.version, tally };
+        let report = TallySnapshot { boot: self.boot, version: self.version, tally };
         let mut temporary = file.as_os_str().to_owned();
         temporary.push(".new");
         let result = serde_json::to_vec(&report)
--- a/crates/platform/src/counting.rs
+++ b/crates/platform/src/counting.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use elderstage::{RequestId, Settings, Time};
-use elderstage_tally::{Counts, Key, Tally};
+use elderstage_tally::{GroupKey, OutcomeCounts, Tally};
 
 /// A request that is open.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     release: String,
     /// For each class: its current key in the tally, its aim for the time to the first token, and the addition to the aim for
     /// each prompt token, in microseconds.
-    classes: Vec<(Key, Time, f64)>,
+    classes: Vec<(GroupKey, Time, f64)>,
     tally: Tally,
     open: HashMap<RequestId, OpenRequest>,
 }
@@ -59,8 +59,12 @@
     pub fn set_settings(&mut self, digest: &str, names: &[String], settings: &Settings) {
         let class_entry = |(index, class): (usize, &elderstage::Class)| {
             let name = names.get(index).cloned().unwrap_or_else(|| index.to_string());
-            let key =
-                Key { class: name, release: self.release.clone(), settings: digest.into(), ..Key::default() };
+            let key = GroupKey {
+                class: name,
+                release: self.release.clone(),
+                settings: digest.into(),
+                ..GroupKey::default()
+            };
             (key, class.ttft_target, class.ttft_target_per_1000_tokens / 1000.0)
         };
         self.classes = settings.classes.iter().enumerate().map(class_entry).collect();
@@ -72,9 +76,9 @@
     }
 
     /// Returns the counts of a class.
-    fn counts(&mut self, class: usize) -> &mut Counts {
-        let rest = Key::rest();
-        self.tally.of(self.classes.get(class).map_or(&rest, |(key, ..)| key))
+    fn counts(&mut self, class: usize) -> &mut OutcomeCounts {
+        let rest = GroupKey::overflow();
+        self.tally.counts_mut(self.classes.get(class).map_or(&rest, |(key, ..)| key))
     }
 
     /// Records the arrival of a request.
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, Endpoint, NetError, exchange, open, send, sleep};
+use elderstage_net::{Conn, EndpointPath, NetError, connect, exchange, send, sleep};
 use elderstage_protocol::http::Body;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{mcp, sse};
@@ -259,7 +259,7 @@
 
     /// Sends the MCP `initialize` request to a front and returns the session that it gives, if any.
     pub fn initialize(addr: SocketAddr) -> Result<Option<String>, NetError> {
-        let to = Endpoint::new(addr, "/mcp");
+        let to = EndpointPath::new(addr, "/mcp");
         let body = mcp::initialize_request(&Id::Number(0), "rehearsal", "0.1.0");
         let headers =
             [("content-type", "application/json"), ("accept", "application/json, text/event-stream")];
@@ -326,7 +326,7 @@
                 None => break,
             }
         }
-        open(addr, Duration::from_secs(1))
+        connect(addr, Duration::from_secs(1))
     }
 
     /// Sends the request once. `None` if nothing was sent.
@@ -359,7 +359,7 @@
         };
         lock(&self.in_flight).insert(rid.into(), request);
         log(Seen::Sent { rid: rid.into(), class: timeout.class.clone(), front: front.name.clone(), total });
-        let to = Endpoint::new(front.addr, "/mcp");
+        let to = EndpointPath::new(front.addr, "/mcp");
         let sent = send(&mut conn, "POST", &to, &headers, body.as_bytes());
         let end = match sent {
             Ok(()) => self.read_answer(planned, rid, &mut conn, started, timeout),
@@ -378,7 +378,7 @@
             }
             _ => {}
         }
-        conn.socket().shut();
+        conn.socket().shutdown();
         Some(end)
     }
 
@@ -403,11 +403,11 @@
             conn.set_deadline(Some(read_until));
             bytes.clear();
             let read = match &mut body {
-                None => conn.response().map(|head| {
+                None => conn.receive_response().map(|head| {
                     body = Some(Body::new(head.framing));
                     true
                 }),
-                Some(body) => conn.body_piece(body, &mut bytes),
+                Some(body) => conn.receive_body_piece(body, &mut bytes),
             };
             match read {
                 Ok(true) => {}
@@ -507,7 +507,7 @@
         let Some(session) = session else { return };
         self.log.see(LOG_SOURCE, Seen::Left { rid: rid.into() });
         let body = jsonrpc::notification("notifications/cancelled", json!({"requestId": id}));
-        let to = Endpoint::new(addr, "/mcp");
+        let to = EndpointPath::new(addr, "/mcp");
         let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
         // The front may have died meanwhile, and its requests with it.
         let _ = exchange("POST", &to, &headers, body.as_bytes(), Duration::from_secs(1));
@@ -520,7 +520,7 @@
             .is_some_and(|request| request.behavior == ClientBehavior::CancelDuringToolCall);
         if cancels {
             let (clients, rid) = (self.clone(), rid.to_owned());
-            elderstage_net::go(move || clients.cancel(&rid));
+            elderstage_net::spawn(move || clients.cancel(&rid));
         }
     }
 
@@ -528,7 +528,7 @@
     pub fn start_request(self: &Arc<Self>, planned: PlannedRequest) {
         self.active.fetch_add(1, Ordering::SeqCst);
         let clients = self.clone();
-        elderstage_net::go(move || {
+        elderstage_net::spawn(move || {
             clients.run_request(&planned);
             clients.active.fetch_sub(1, Ordering::SeqCst);
         });
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -14,7 +14,7 @@
     Action, Arrival, Event, ListMode, Outcome, RequestId, Router, ServerEntry, ServerId, ServerStatus,
     example_settings,
 };
-use elderstage_net::{Conn, Endpoint, Listener, NetError, go, open, receive, send};
+use elderstage_net::{Conn, EndpointPath, Listener, NetError, connect, receive, send, spawn};
 use elderstage_protocol::engine::{self, Ask, Message, Stage};
 use elderstage_protocol::http::{self, Body};
 use elderstage_protocol::jsonrpc::{self, Id};
@@ -129,10 +129,10 @@
 
 /// Reads a stream to its end and passes the events of each read to `on_events`.
 fn read_events(conn: &mut Conn, mut on_events: impl FnMut(&[sse::Event])) -> Result<(), NetError> {
-    let head = conn.response()?;
+    let head = conn.receive_response()?;
     let (mut body, mut parser) = (Body::new(head.framing), sse::Parser::default());
     let (mut bytes, mut events) = (Vec::new(), Vec::new());
-    while conn.body_piece(&mut body, &mut bytes)? {
+    while conn.receive_body_piece(&mut body, &mut bytes)? {
         if parser.push(&bytes, &mut events).is_err() {
             return Err(NetError::Closed);
         }
@@ -162,11 +162,11 @@
     };
     let path = engine::COMPLETIONS.to_owned();
     let json = [("content-type", "application/json"), ("x-request-id", "direct/1/0")];
-    let to = Endpoint::new(reader, path.clone());
+    let to = EndpointPath::new(reader, path.clone());
     send(&mut conns.0, "POST", &to, &json, &engine::body(&ask(Stage::Read)))?;
     let answer = receive(&mut conns.0)?;
     let Some((_, state)) = engine::read_answer(&answer.body) else { return Err(NetError::Closed) };
-    let to = Endpoint::new(writer, path);
+    let to = EndpointPath::new(writer, path);
     send(&mut conns.1, "POST", &to, &json, &engine::body(&ask(Stage::Write(state))))?;
     let mut first = None;
     read_events(&mut conns.1, |_| {
@@ -178,7 +178,7 @@
 /// Time to first token of a request that goes through the front.
 fn time_front_request(front: SocketAddr, prompt: &str, conn: &mut Conn) -> Result<Duration, NetError> {
     let started = Instant::now();
-    let to = Endpoint::new(front, "/mcp");
+    let to = EndpointPath::new(front, "/mcp");
     send(conn, "POST", &to, &HEADERS, &call_body(prompt))?;
     let mut first = None;
     read_events(conn, |_| {
@@ -219,7 +219,7 @@
             (results.clone(), active.clone(), direct_conns.clone(), front_conns.clone());
         let (readers, writers, front) = (readers.clone(), writers.clone(), front.addr);
         active.fetch_add(1, Ordering::SeqCst);
-        go(move || {
+        spawn(move || {
             let prompt = format!("{} of {number} [words 8]", "a prompt of some length ".repeat(20));
             let elapsed = if number % 2 == 0 {
                 let index = (number / 2) as usize % readers.len();
@@ -229,9 +229,8 @@
                 };
                 let conns = match idle {
                     Some(conns) => Ok(conns),
-                    None => {
-                        open(readers[index], TIMEOUT).and_then(|r| Ok((r, open(writers[index], TIMEOUT)?)))
-                    }
+                    None => connect(readers[index], TIMEOUT)
+                        .and_then(|r| Ok((r, connect(writers[index], TIMEOUT)?))),
                 };
                 conns.and_then(|mut conns| {
                     let took = time_direct_request(readers[index], writers[index], &prompt, &mut conns)?;
@@ -242,7 +241,7 @@
                 let idle = lock(&front_conns).pop();
                 let conn = match idle {
                     Some(conn) => Ok(conn),
-                    None => open(front, TIMEOUT),
+                    None => connect(front, TIMEOUT),
                 };
                 conn.and_then(|mut conn| {
                     let took = time_front_request(front, &prompt, &mut conn)?;
@@ -309,12 +308,12 @@
     http::write_chunk(&last, &mut end);
     end.extend_from_slice(http::LAST_CHUNK);
     let (events, end) = (Arc::new(events), Arc::new(end));
-    go(move || {
+    spawn(move || {
         let on_connection = move |mut conn: Conn| {
             let (events, end) = (events.clone(), end.clone());
-            go(move || {
-                while let Ok(head) = conn.request() {
-                    if conn.body(head.framing).is_err() {
+            spawn(move || {
+                while let Ok(head) = conn.receive_request() {
+                    if conn.receive_body(head.framing).is_err() {
                         return;
                     }
                     let mut out = Vec::new();
@@ -351,12 +350,15 @@
     let part = addr_file.with_extension("part");
     std::fs::write(&part, listener.addr().to_string())?;
     std::fs::rename(&part, addr_file)?;
-    go(move || {
+    spawn(move || {
         let on_connection = move |conn: Conn| {
-            go(move || {
-                let (Ok(upstream), Ok(to_client)) = (open(target, TIMEOUT), conn.writer()) else { return };
-                let Ok(to_upstream) = upstream.writer() else { return };
-                go(move || copy_bytes(conn, to_upstream));
+            spawn(move || {
+                let (Ok(upstream), Ok(to_client)) = (connect(target, TIMEOUT), conn.try_clone_for_writing())
+                else {
+                    return;
+                };
+                let Ok(to_upstream) = upstream.try_clone_for_writing() else { return };
+                spawn(move || copy_bytes(conn, to_upstream));
                 copy_bytes(upstream, to_client);
             });
         };
@@ -376,7 +378,7 @@
             break;
         }
     }
-    to.socket().shut();
+    to.socket().shutdown();
 }
 
 /// Number of bytes at the end of a stream that are checked for its success.
@@ -389,11 +391,11 @@
     let started = Instant::now();
     for _ in 0..streams {
         let (active, received) = (active.clone(), received.clone());
-        go(move || {
-            let done = open(addr, TIMEOUT).and_then(|mut conn| {
+        spawn(move || {
+            let done = connect(addr, TIMEOUT).and_then(|mut conn| {
                 conn.set_read_timeout(Some(TIMEOUT));
                 if through_front {
-                    let to = Endpoint::new(addr, "/mcp");
+                    let to = EndpointPath::new(addr, "/mcp");
                     send(&mut conn, "POST", &to, &HEADERS, &call_body("all of it"))?;
                 } else {
                     let ask = Ask {
@@ -403,14 +405,14 @@
                         max_tokens: 1 << 20,
                         stage: Stage::Whole,
                     };
-                    let to = Endpoint::new(addr, engine::COMPLETIONS);
+                    let to = EndpointPath::new(addr, engine::COMPLETIONS);
                     send(&mut conn, "POST", &to, &HEADERS[..1], &engine::body(&ask))?;
                 }
                 // In both cases the bytes are read and discarded; the last chunk marks the end.
-                let head = conn.response()?;
+                let head = conn.receive_response()?;
                 let (mut body, mut bytes) = (Body::new(head.framing), Vec::new());
                 // Enough of the end is kept to tell whether the stream was served.
-                while conn.body_piece(&mut body, &mut bytes)? {
+                while conn.receive_body_piece(&mut body, &mut bytes)? {
                     bytes.drain(..bytes.len().saturating_sub(TAIL_BYTES));
                 }
                 let tail = String::from_utf8_lossy(&bytes);
@@ -510,10 +512,10 @@
         let (active, open_streams, served, max_open) =
             (active.clone(), open_streams.clone(), served.clone(), max_open.clone());
         let addr = front.addr;
-        go(move || {
-            let done = open(addr, TIMEOUT).and_then(|mut conn| {
+        spawn(move || {
+            let done = connect(addr, TIMEOUT).and_then(|mut conn| {
                 conn.set_read_timeout(Some(TIMEOUT));
-                let to = Endpoint::new(addr, "/mcp");
+                let to = EndpointPath::new(addr, "/mcp");
                 send(&mut conn, "POST", &to, &HEADERS, &call_body(&format!("stream {number} [words 50]")))?;
                 let (mut is_first, mut is_served) = (true, false);
                 read_events(&mut conn, |events| {
@@ -557,7 +559,7 @@
 
 /// The front's own counters of ended requests and attempts that are not 0.
 fn request_end_counters(addr: SocketAddr) -> Value {
-    let to = Endpoint::new(addr, "/metrics");
+    let to = EndpointPath::new(addr, "/metrics");
     let answer = elderstage_net::exchange("GET", &to, &[], b"", Duration::from_secs(5));
     let text = answer.map(|answer| String::from_utf8_lossy(&answer.body).into_owned()).unwrap_or_default();
     let lines = text.lines().filter_map(|line| line.split_once(' '));
@@ -655,7 +657,7 @@
     for place in places {
         let (name, rounds) = (place.family().to_string(), (rounds / 20).max(20));
         let (sender, receiver) = std::sync::mpsc::channel();
-        go(move || {
+        spawn(move || {
             // The receiver may have given up.
             let _ = sender.send(time_exchanges(&place, rounds));
         });
@@ -673,8 +675,8 @@
 /// Median time in microseconds of an exchange on a pooled connection, and on a new one.
 fn time_exchanges(place: &elderstage_net::Place, rounds: u32) -> Result<(f64, f64), String> {
     let message = |error: NetError| error.to_string();
-    let to = Endpoint::new(place.clone(), engine::HEALTH);
-    let mut pooled = open(place.clone(), TIMEOUT).map_err(message)?;
+    let to = EndpointPath::new(place.clone(), engine::HEALTH);
+    let mut pooled = connect(place.clone(), TIMEOUT).map_err(message)?;
     let (mut pooled_us, mut new_us) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
         let started = Instant::now();
@@ -682,7 +684,7 @@
         receive(&mut pooled).map_err(message)?;
         pooled_us.push(started.elapsed().as_nanos() as f64 / 1e3);
         let started = Instant::now();
-        let mut conn = open(place.clone(), TIMEOUT).map_err(message)?;
+        let mut conn = connect(place.clone(), TIMEOUT).map_err(message)?;
         send(&mut conn, "GET", &to, &[], b"").map_err(message)?;
         receive(&mut conn).map_err(message)?;
         new_us.push(started.elapsed().as_nanos() as f64 / 1e3);
--- a/crates/standin/src/host/door.rs
+++ b/crates/standin/src/host/door.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use elderstage_net::{Listener, Place, Stop, go};
+use elderstage_net::{Listener, ListenerHandle, Place, spawn};
 
 use super::{OpenConnection, Shared, lock, serve};
 
@@ -58,7 +58,7 @@
     fault: DoorFault,
     /// A listener bound before the engine starts, so that its port is known.
     prebound: Option<Listener>,
-    listener_stop: Option<Stop>,
+    listener_stop: Option<ListenerHandle>,
     /// The socket whose backlog is full, and the connections that fill it.
     backlog_fill: Option<(socket2::Socket, Vec<socket2::Socket>)>,
 }
@@ -116,7 +116,7 @@
                 if let (DoorFault::Denied, Place::Unix(path)) = (self.fault, &self.place) {
                     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o000))?;
                 }
-                self.listener_stop = Some(listener.stopper());
+                self.listener_stop = Some(listener.handle());
                 spawn_accept_loop(shared, listener, index);
                 Ok(())
             }
@@ -141,7 +141,7 @@
         if matches!(fault, DoorFault::Refuses | DoorFault::Missing | DoorFault::Closes) {
             for connection in lock(&shared.connections).values() {
                 if connection.address_index == index && !connection.is_busy.load(Ordering::SeqCst) {
-                    connection.socket.shut();
+                    connection.socket.shutdown();
                 }
             }
         }
@@ -197,7 +197,7 @@
         // A starting process removes the socket file that an earlier one left.
         remove_socket_file(path)?;
     }
-    retry_while_in_use(|| Listener::at(place))
+    retry_while_in_use(|| Listener::bind_endpoint(place))
 }
 
 fn remove_socket_file(path: &Path) -> std::io::Result<()> {
@@ -217,7 +217,7 @@
 /// Accepts connections and serves each in its own coroutine.
 fn spawn_accept_loop(shared: &Arc<Shared>, listener: Listener, address_index: usize) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let on_connection = {
             let shared = shared.clone();
             move |conn: elderstage_net::Conn| {
@@ -227,7 +227,7 @@
                     OpenConnection { address_index, socket: conn.socket(), is_busy: is_busy.clone() };
                 lock(&shared.connections).insert(connection_id, open_connection);
                 let shared = shared.clone();
-                go(move || {
+                spawn(move || {
                     serve::serve_connection(&shared, conn, address_index, &is_busy);
                     lock(&shared.connections).remove(&connection_id);
                 });
--- a/crates/standin/src/host/machine.rs
+++ b/crates/standin/src/host/machine.rs
@@ -216,7 +216,7 @@
     }
 }
 
-impl owner::Machine for EngineDriver {
+impl owner::StateMachine for EngineDriver {
     type Event = Command;
 
     fn handle(&mut self, now: Micros, command: Command) -> bool {
@@ -274,7 +274,7 @@
         self.engine.next_step_end().into_iter().chain(next_expiry).min()
     }
 
-    fn wake(&mut self, now: Micros) {
+    fn on_timer(&mut self, now: Micros) {
         self.expire_states(now);
         let mut events = Vec::new();
         self.engine.end_due_step(now, &mut events);
--- a/crates/standin/src/host/mod.rs
+++ b/crates/standin/src/host/mod.rs
@@ -13,8 +13,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use elderstage_net::owner::{self, Clock, Inbox};
-use elderstage_net::{Listener, Place, Socket};
+use elderstage_net::owner::{self, Clock, EventSender};
+use elderstage_net::{Listener, Place, ShutdownHandle};
 use elderstage_protocol::orca;
 
 use crate::model::{Ail, Engine, Spec};
@@ -81,7 +81,7 @@
 /// An open connection: the index of its listen address, and whether a request is in progress on it.
 pub(crate) struct OpenConnection {
     address_index: usize,
-    socket: Socket,
+    socket: ShutdownHandle,
     is_busy: Arc<AtomicBool>,
 }
 
@@ -91,7 +91,7 @@
     addr: SocketAddr,
     log: Log,
     faults: Mutex<Faults>,
-    inbox: Inbox<Command>,
+    inbox: EventSender<Command>,
     connections: Mutex<HashMap<u64, OpenConnection>>,
     next_id: AtomicU64,
     addresses: Vec<Mutex<ListenAddress>>,
@@ -118,7 +118,7 @@
     pub fn start(options: Options, cold: bool, log: Log) -> std::io::Result<Host> {
         let mut addresses = Vec::new();
         for place in [Place::Tcp(options.listen)].iter().chain(&options.also) {
-            addresses.push(Mutex::new(ListenAddress::new(Listener::at(place)?)));
+            addresses.push(Mutex::new(ListenAddress::new(Listener::bind_endpoint(place)?)));
         }
         let addr = match lock(&addresses[0]).place() {
             Place::Tcp(addr) => *addr,
@@ -141,7 +141,7 @@
             options,
         });
         let driver = EngineDriver::new(engine, shared.options.name.clone(), shared.log.clone());
-        owner::run(&format!("engine-{}", shared.options.name), clock, commands, driver)?;
+        owner::spawn_machine(&format!("engine-{}", shared.options.name), clock, commands, driver)?;
         shared.log_start(cold);
         start_listening(&shared)?;
         Ok(Host { shared })
@@ -199,7 +199,7 @@
                     shared.addresses.iter().for_each(|address| lock(address).stop_listening());
                     shared.inbox.send(Command::Restart { cold: true });
                     for connection in lock(&shared.connections).drain() {
-                        connection.1.socket.shut();
+                        connection.1.socket.shutdown();
                     }
                     shared.log.see(&shared.options.name, Seen::Down);
                 }
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use elderstage_net::channel::{Receiver, channel};
-use elderstage_net::{Conn, Endpoint, NetError, exchange, sleep};
+use elderstage_net::{Conn, EndpointPath, NetError, exchange, sleep};
 use elderstage_protocol::{engine, http, orca, sse};
 use serde_json::{Value, json};
 
@@ -49,7 +49,7 @@
     while !conn.is_closed() && lock(&shared.addresses[address_index]).fault() == fault {
         sleep(FAULT_CHECK_INTERVAL);
     }
-    conn.socket().shut();
+    conn.socket().shutdown();
 }
 
 /// Serves a connection until it is closed, with the faults of its listen address and of the host.
@@ -61,13 +61,13 @@
 ) {
     let fault = lock(&shared.addresses[address_index]).fault();
     match fault {
-        DoorFault::Closes => return conn.socket().shut(),
+        DoorFault::Closes => return conn.socket().shutdown(),
         DoorFault::Slow => sleep(SLOW_HANDSHAKE),
         _ => {}
     }
     let faults = lock(&shared.faults).clone();
     if faults.table_full {
-        conn.socket().shut();
+        conn.socket().shutdown();
         return;
     }
     if !faults.handshake.is_zero() {
@@ -76,7 +76,7 @@
     conn.set_write_timeout(Some(SOCKET_WRITE_TIMEOUT));
     loop {
         conn.set_read_timeout(Some(IDLE_TIMEOUT));
-        let head = match conn.request() {
+        let head = match conn.receive_request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => {
                 let _ = send_response(
@@ -101,7 +101,7 @@
             DoorFault::Stalls | DoorFault::Silent => {
                 // A request whose body was sent is logged as received, because the rules check what was sent.
                 let is_body_sent = head.target == engine::COMPLETIONS && !expects_continue;
-                let body = if is_body_sent { conn.body(head.framing).ok() } else { None };
+                let body = if is_body_sent { conn.receive_body(head.framing).ok() } else { None };
                 let rid = body.map(|body| shared.log_request(&head, &body));
                 hold_until_fault_ends(shared, &conn, address_index, fault);
                 if let Some(rid) = rid {
@@ -109,13 +109,13 @@
                 }
                 return;
             }
-            DoorFault::ClosesOnRequest => return conn.socket().shut(),
+            DoorFault::ClosesOnRequest => return conn.socket().shutdown(),
             _ => {}
         }
-        if conn.take_body(&head).is_err() {
+        if conn.send_continue(&head).is_err() {
             return;
         }
-        let Ok(body) = conn.body(head.framing) else { return };
+        let Ok(body) = conn.receive_body(head.framing) else { return };
         let is_completion = head.target == engine::COMPLETIONS;
         if fault == DoorFault::StallsAfterContinue && is_completion {
             // Logged as received: the body was sent, and the rules check what was sent.
@@ -146,7 +146,7 @@
         match outcome {
             Ok(AfterRequest::KeepOpen) if keep_alive => {}
             _ => {
-                conn.socket().shut();
+                conn.socket().shutdown();
                 return;
             }
         }
@@ -572,7 +572,7 @@
     let Ok(addr) = format!("{host}:{port}").parse::<SocketAddr>() else { return false };
     let via = format!("1.1 {} ({})", shared.options.name, shared.options.zone);
     let post_to_reader = |path: &str| {
-        let endpoint = Endpoint::new(addr, path);
+        let endpoint = EndpointPath::new(addr, path);
         exchange(
             "POST",
             &endpoint,
--- a/crates/standin/src/peer.rs
+++ b/crates/standin/src/peer.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use elderstage_net::{Conn, Listener, Stop, go, sleep};
+use elderstage_net::{Conn, Listener, ListenerHandle, sleep, spawn};
 
 use crate::host::lock;
 
@@ -21,7 +21,7 @@
 /// A running scripted peer; it stops listening when dropped.
 pub struct Peer {
     addr: SocketAddr,
-    stop: Stop,
+    stop: ListenerHandle,
     script: Arc<Mutex<Script>>,
 }
 
@@ -29,22 +29,22 @@
     /// Starts a peer at this address.
     pub fn start(listen: SocketAddr, script: Script) -> std::io::Result<Peer> {
         let listener = Listener::bind(listen)?;
-        let (addr, stop) = (listener.addr(), listener.stopper());
+        let (addr, stop) = (listener.addr(), listener.handle());
         let script = Arc::new(Mutex::new(script));
         let current_script = script.clone();
-        go(move || {
+        spawn(move || {
             let on_connection = move |mut conn: Conn| {
                 let script = lock(&current_script).clone();
-                go(move || {
+                spawn(move || {
                     conn.set_read_timeout(Some(Duration::from_secs(20)));
-                    let Ok(head) = conn.request() else { return };
-                    let _ = conn.take_body(&head);
-                    let _ = conn.body(head.framing);
+                    let Ok(head) = conn.receive_request() else { return };
+                    let _ = conn.send_continue(&head);
+                    let _ = conn.receive_body(head.framing);
                     let _ = conn.write(&script.bytes);
                     while !script.close && conn.is_idle() {
                         sleep(Duration::from_millis(20));
                     }
-                    conn.socket().shut();
+                    conn.socket().shutdown();
                 });
             };
             listener.serve(on_connection, |_| {});
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use elderstage_net::{Conn, Listener, NetError, Socket, Stop, go, sleep};
+use elderstage_net::{Conn, Listener, ListenerHandle, NetError, ShutdownHandle, sleep, spawn};
 use elderstage_protocol::jsonrpc::{self, Id, Message, RpcError};
 use elderstage_protocol::{http, mcp, sse};
 use serde_json::{Value, json};
@@ -47,8 +47,8 @@
     addr: SocketAddr,
     log: Log,
     fault: Mutex<ToolFault>,
-    connections: Mutex<HashMap<u64, Socket>>,
-    listener_stop: Mutex<Option<Stop>>,
+    connections: Mutex<HashMap<u64, ShutdownHandle>>,
+    listener_stop: Mutex<Option<ListenerHandle>>,
     next_id: AtomicU64,
     order_count: AtomicU64,
     answers_by_stream: bool,
@@ -99,7 +99,7 @@
         if let Some(stop) = lock(&self.shared.listener_stop).take() {
             stop.stop();
             for connection in lock(&self.shared.connections).drain() {
-                connection.1.shut();
+                connection.1.shutdown();
             }
         }
     }
@@ -115,16 +115,16 @@
 
 /// Accepts connections and serves each in its own coroutine.
 fn start_listening(shared: &Arc<Shared>, listener: Listener) {
-    *lock(&shared.listener_stop) = Some(listener.stopper());
+    *lock(&shared.listener_stop) = Some(listener.handle());
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let on_connection = {
             let shared = shared.clone();
             move |conn: Conn| {
                 let connection_id = shared.next_id.fetch_add(1, Ordering::Relaxed);
                 lock(&shared.connections).insert(connection_id, conn.socket());
                 let shared = shared.clone();
-                go(move || {
+                spawn(move || {
                     serve_connection(&shared, conn);
                     lock(&shared.connections).remove(&connection_id);
                 });
@@ -138,13 +138,13 @@
 fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
     loop {
         conn.set_read_timeout(Some(IDLE_TIMEOUT));
-        let Ok(head) = conn.request() else { return };
-        if conn.take_body(&head).is_err() {
+        let Ok(head) = conn.receive_request() else { return };
+        if conn.send_continue(&head).is_err() {
             return;
         }
-        let Ok(body) = conn.body(head.framing) else { return };
+        let Ok(body) = conn.receive_body(head.framing) else { return };
         if !matches!(serve_request(shared, &mut conn, &head, &body), Ok(true)) {
-            conn.socket().shut();
+            conn.socket().shutdown();
             return;
         }
     }
--- a/crates/tally/src/lib.rs
+++ b/crates/tally/src/lib.rs
@@ -14,7 +14,7 @@
 pub use times::DurationHistogram;
 
 /// Maximum number of groups that one process counts separately. Classes times settings amount to a few dozen.
-/// Further groups are counted under [`Key::rest`], so that memory stays bounded in a service whose
+/// Further groups are counted under [`GroupKey::overflow`], so that memory stays bounded in a service whose
 /// settings change every minute.
 pub const MAX_GROUPS: usize = 1024;
 /// Maximum length of a part of a key, in bytes. Digests have 64.
@@ -22,7 +22,7 @@
 
 /// Identifies a group of requests that are counted together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct GroupKey {
     /// Class of the requests, by its name in the settings.
     pub class: String,
     /// Release of the program that served them.
@@ -37,10 +37,10 @@
     pub variant: String,
 }
 
-impl Key {
+impl GroupKey {
     /// The key under which all groups beyond [`MAX_GROUPS`] are counted.
-    pub fn rest() -> Key {
-        Key { class: "(rest)".into(), ..Key::default() }
+    pub fn overflow() -> GroupKey {
+        GroupKey { class: "(rest)".into(), ..GroupKey::default() }
     }
 
     /// Whether no part is longer than [`MAX_TEXT_BYTES`].
@@ -54,7 +54,7 @@
 /// Counts of one group. Every request in `asked` is counted in exactly one of `in_time`, `late`, `refused`,
 /// `failed`, `broken` and `gone`, or is still open.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct OutcomeCounts {
     /// Requests that were received.
     pub asked: u64,
     /// Served completely, with the first token within the class's time target.
@@ -75,9 +75,9 @@
     pub token_gap: DurationHistogram,
 }
 
-impl Counts {
+impl OutcomeCounts {
     /// Adds the counts of another process.
-    pub fn add(&mut self, other: &Counts) {
+    pub fn add(&mut self, other: &OutcomeCounts) {
         for (count, other_count) in [
             (&mut self.asked, other.asked),
             (&mut self.in_time, other.in_time),
@@ -103,18 +103,21 @@
 
 /// All counts of one process, by group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally(BTreeMap<Key, Counts>);
+pub struct Tally(BTreeMap<GroupKey, OutcomeCounts>);
 
 impl Tally {
     /// The counts of a group, created if missing.
-    pub fn of(&mut self, key: &Key) -> &mut Counts {
-        let key =
-            if self.0.len() >= MAX_GROUPS && !self.0.contains_key(key) { Key::rest() } else { key.clone() };
+    pub fn counts_mut(&mut self, key: &GroupKey) -> &mut OutcomeCounts {
+        let key = if self.0.len() >= MAX_GROUPS && !self.0.contains_key(key) {
+            GroupKey::overflow()
+        } else {
+            key.clone()
+        };
         self.0.entry(key).or_default()
     }
 
     /// All groups with their counts.
-    pub fn groups(&self) -> impl Iterator<Item = (&Key, &Counts)> {
+    pub fn groups(&self) -> impl Iterator<Item = (&GroupKey, &OutcomeCounts)> {
         self.0.iter()
     }
 
@@ -131,13 +134,13 @@
     /// Adds the counts of another process, group by group.
     pub fn add(&mut self, other: &Tally) {
         for (key, counts) in &other.0 {
-            self.of(key).add(counts);
+            self.counts_mut(key).add(counts);
         }
     }
 
     /// The sum over all groups.
-    pub fn sum(&self) -> Counts {
-        let mut sum = Counts::default();
+    pub fn sum(&self) -> OutcomeCounts {
+        let mut sum = OutcomeCounts::default();
         self.0.values().for_each(|counts| sum.add(counts));
         sum
     }
@@ -152,7 +155,7 @@
 
 impl<'de> Deserialize<'de> for Tally {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Tally, D::Error> {
-        let groups: Vec<(Key, Counts)> = Vec::deserialize(deserializer)?;
+        let groups: Vec<(GroupKey, OutcomeCounts)> = Vec::deserialize(deserializer)?;
         if groups.len() > MAX_GROUPS + 1 {
             return Err(serde::de::Error::custom(format!(
                 "{} groups, expected {MAX_GROUPS} at most",
@@ -171,7 +174,7 @@
 
 /// The report that a front writes for the agent on its machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct TallySnapshot {
     /// Start time of the process in microseconds, which distinguishes it from its predecessor. It is compared
     /// only with other starts of the same member, never with the clock of another machine.
     pub boot: u64,
