--- a/crates/cli/tests/node/peer.rs
+++ b/crates/cli/tests/node/peer.rs
@@ -7,11 +7,11 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-use elderstage_protocol::http::{self, Body, Limits, Request};
+use elderstage_protocol::http::{self, BodyDecoder, Limits, Request};
 
 use crate::support::*;
 
-const LIMITS: Limits = Limits { head: 64 << 10, body: 1 << 20 };
+const LIMITS: Limits = Limits { head_bytes: 64 << 10, body_bytes: 1 << 20 };
 
 /// A scripted server: a listening socket, and its idle connections.
 pub struct Peer {
@@ -151,8 +151,8 @@
             }
         };
         self.received.drain(..n);
-        let (mut body, mut out) = (Body::new(head.framing), Vec::new());
-        while !body.done() {
+        let (mut body, mut out) = (BodyDecoder::new(head.framing), Vec::new());
+        while !body.is_done() {
             if self.received.is_empty() && !self.receive_more() {
                 return None;
             }
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -10,7 +10,7 @@
 pub use std::collections::BTreeMap;
 
 use crate::bed::HoldPoints;
-use elderstage_protocol::http::{self, Body, Limits, Response};
+use elderstage_protocol::http::{self, BodyDecoder, Limits, Response};
 pub use elderstage_standin::platform::{How, Pass, Platform, whole_answer};
 pub use serde_json::Value;
 
@@ -180,8 +180,8 @@
                 return answer;
             }
         };
-        let (mut body, mut out) = (Body::new(head.framing), Vec::new());
-        while !body.done() {
+        let (mut body, mut out) = (BodyDecoder::new(head.framing), Vec::new());
+        while !body.is_done() {
             if self.received.is_empty() && !self.receive_more() {
                 break;
             }
@@ -189,7 +189,7 @@
             self.received.drain(..n);
         }
         answer.status = head.status;
-        answer.is_complete = body.done();
+        answer.is_complete = body.is_done();
         answer.body = String::from_utf8_lossy(&out).into_owned();
         answer.head = Some(head);
         answer
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 use crate::lines::At;
 
@@ -130,7 +130,7 @@
     pub at: At,
     pub name: String,
     /// Addresses, in the order of preference.
-    pub places: Vec<Place>,
+    pub places: Vec<Endpoint>,
     pub kind: String,
     pub zone: String,
     pub cell: u32,
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 use crate::lines::{At, ConfigError, Directive, Errors, closest_name, parse_with_recovery};
 use crate::model::*;
@@ -228,7 +228,7 @@
     }
 
     /// Parses one or more addresses, in the order of preference.
-    fn parse_server_addresses(&mut self, section: &mut Section<'_>, name: &'static str) -> Vec<Place> {
+    fn parse_server_addresses(&mut self, section: &mut Section<'_>, name: &'static str) -> Vec<Endpoint> {
         let Some(directive) = self.take_directive(section, name) else {
             self.report_missing(section.at, format!("expected {name} in section \"{}\"", section.name));
             return Vec::new();
@@ -237,10 +237,10 @@
             let what = format!("{name}: expected from 1 to {MAX_SERVER_ADDRESSES} addresses");
             self.report_error(directive.at, what);
         }
-        let mut places: Vec<Place> = Vec::new();
+        let mut places: Vec<Endpoint> = Vec::new();
         for (index, value) in directive.values.iter().enumerate() {
             let number = index + 1;
-            match value.parse::<Place>() {
+            match value.parse::<Endpoint>() {
                 Ok(place) => match places.iter().position(|other| *other == place) {
                     Some(first) => {
                         let what = format!(
--- a/crates/core/src/addresses/book.rs
+++ b/crates/core/src/addresses/book.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderstage::{ServerId, Time};
-use elderstage_protocol::place::{Family, Place};
+use elderstage_protocol::place::{AddressFamily, Endpoint};
 
 /// Weight of one sample in the mean times.
 const SAMPLE_WEIGHT: f64 = 0.3;
@@ -89,7 +89,7 @@
 /// An address that an attempt may try.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    pub place: Place,
+    pub place: Endpoint,
     pub mean_connect: f64,
     pub mean_proof: f64,
     /// A request that may be repeated needs no proof first.
@@ -106,14 +106,14 @@
     next_trial_at: Option<Time>,
     pause_count: u32,
     /// The address of the last trial of the family.
-    last_trial_place: Option<Place>,
+    last_trial_place: Option<Endpoint>,
     has_trial: bool,
 }
 
 /// One server's addresses, as listed.
 #[derive(Clone, Debug)]
 struct ListedServer {
-    places: Vec<Place>,
+    places: Vec<Endpoint>,
     leaving_since: Option<Time>,
 }
 
@@ -121,14 +121,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct AddressBook {
     servers: BTreeMap<ServerId, ListedServer>,
-    addresses: BTreeMap<Place, AddressState>,
-    families: BTreeMap<Family, FamilyState>,
+    addresses: BTreeMap<Endpoint, AddressState>,
+    families: BTreeMap<AddressFamily, FamilyState>,
     /// Until when earlier proofs of a family's addresses do not count.
-    proofs_invalid_until: BTreeMap<Family, Time>,
+    proofs_invalid_until: BTreeMap<AddressFamily, Time>,
     /// Addresses that have failed or are doubtful.
-    failing: BTreeSet<Place>,
+    failing: BTreeSet<Endpoint>,
     /// Addresses to try because a request has waited long or because they are slow.
-    suspects: BTreeSet<Place>,
+    suspects: BTreeSet<Endpoint>,
     /// When to look for slow addresses next.
     next_slow_check: Time,
     /// This front's share of the jitter, from 0 to 1.
@@ -166,7 +166,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
     pub server: ServerId,
-    pub place: Place,
+    pub place: Endpoint,
     /// The trial is for the whole family.
     pub is_family_trial: bool,
     /// Requests got no answer although connections were made. The trial must be as long as a request, since a
@@ -190,7 +190,11 @@
 
     /// Applies a full list: each server's addresses in the configured order, and whether the server is
     /// leaving. What is known of an address that stays is kept, whichever server has it now.
-    pub fn apply_list(&mut self, now: Time, servers: impl IntoIterator<Item = (ServerId, Vec<Place>, bool)>) {
+    pub fn apply_list(
+        &mut self,
+        now: Time,
+        servers: impl IntoIterator<Item = (ServerId, Vec<Endpoint>, bool)>,
+    ) {
         let mut previous = std::mem::take(&mut self.servers);
         for (server, places, is_leaving) in servers {
             let before = previous.remove(&server).and_then(|listed| listed.leaving_since);
@@ -203,7 +207,7 @@
                 self.servers.insert(server, listed);
             }
         }
-        let mut leaving_by_place: BTreeMap<&Place, Option<Time>> = BTreeMap::new();
+        let mut leaving_by_place: BTreeMap<&Endpoint, Option<Time>> = BTreeMap::new();
         for listed in self.servers.values() {
             for place in &listed.places {
                 let left = leaving_by_place.entry(place).or_insert(listed.leaving_since);
@@ -222,7 +226,7 @@
                 .retain(|server, _| self.servers.get(server).is_some_and(|s| s.leaving_since.is_none()));
         }
         // A family that no listed server has any more is dropped; otherwise it would be tried forever.
-        let listed: BTreeSet<Family> = self
+        let listed: BTreeSet<AddressFamily> = self
             .addresses
             .iter()
             .filter(|(_, address)| address.leaving_since.is_none())
@@ -232,13 +236,13 @@
     }
 
     /// The state of one address.
-    pub fn address(&self, place: &Place) -> Option<&AddressState> {
+    pub fn address(&self, place: &Endpoint) -> Option<&AddressState> {
         self.addresses.get(place)
     }
 
     /// Whether connections to an address are to be closed: no server has it any more, and the grace period is
     /// over.
-    pub fn should_close(&self, place: &Place, now: Time, grace: Time) -> bool {
+    pub fn should_close(&self, place: &Endpoint, now: Time, grace: Time) -> bool {
         match self.addresses.get(place) {
             None => true,
             Some(address) => address.leaving_since.is_some_and(|left| now >= left + grace),
@@ -246,7 +250,7 @@
     }
 
     /// Whether a family counts as down, for all servers.
-    pub fn family_down(&self, family: Family) -> bool {
+    pub fn family_down(&self, family: AddressFamily) -> bool {
         self.families.get(&family).is_some_and(|state| state.next_trial_at.is_some())
     }
 
@@ -297,7 +301,7 @@
     }
 
     /// Marks slow addresses for a trial and returns them.
-    fn mark_slow_addresses(&mut self, now: Time) -> Vec<Place> {
+    fn mark_slow_addresses(&mut self, now: Time) -> Vec<Endpoint> {
         if now < self.next_slow_check {
             return Vec::new();
         }
@@ -319,28 +323,28 @@
     }
 
     /// The addresses of a server in the listed order.
-    pub fn places(&self, server: &ServerId) -> &[Place] {
+    pub fn places(&self, server: &ServerId) -> &[Endpoint] {
         self.servers.get(server).map_or(&[], |listed| &listed.places)
     }
 
     // ---- Observations ----
 
     /// Counts a dial that starts.
-    pub fn dial_started(&mut self, place: &Place) {
+    pub fn dial_started(&mut self, place: &Endpoint) {
         if let Some(address) = self.addresses.get_mut(place) {
             address.dials_in_progress += 1;
         }
     }
 
     /// Counts a dial that ended, with or without a connection.
-    pub fn dial_ended(&mut self, place: &Place) {
+    pub fn dial_ended(&mut self, place: &Endpoint) {
         if let Some(address) = self.addresses.get_mut(place) {
             address.dials_in_progress = address.dials_in_progress.saturating_sub(1);
         }
     }
 
     /// Records the time of a successful connect.
-    pub fn record_connect(&mut self, place: &Place, took: Time) {
+    pub fn record_connect(&mut self, place: &Endpoint, took: Time) {
         if let Some(address) = self.addresses.get_mut(place) {
             update_mean(&mut address.mean_connect, took);
         }
@@ -348,7 +352,7 @@
 
     /// Records that the address answered: it works, and so does its family. `took` is the duration of a
     /// proof; `None` stands for the answer to a request.
-    pub fn record_answer(&mut self, place: &Place, now: Time, took: Option<Time>) {
+    pub fn record_answer(&mut self, place: &Endpoint, now: Time, took: Option<Time>) {
         let Some(address) = self.addresses.get_mut(place) else { return };
         if let Some(took) = took {
             update_mean(&mut address.mean_proof, took);
@@ -383,7 +387,7 @@
         let Some(family) = self.families.remove(&place.family()) else { return };
         if family.next_trial_at.is_some() {
             // The family is back: its failed addresses are tried again soon, spread over the first pause.
-            let of_family: Vec<Place> =
+            let of_family: Vec<Endpoint> =
                 self.failing.iter().filter(|p| p.family() == place.family()).cloned().collect();
             let count = of_family.len().max(1) as Time;
             for (number, place) in of_family.iter().enumerate() {
@@ -397,7 +401,7 @@
 
     /// Records a failed connect, or a connection that was closed or stalled during its proof. `since` is when
     /// that dial or proof started.
-    pub fn record_failure(&mut self, place: &Place, now: Time, since: Time) {
+    pub fn record_failure(&mut self, place: &Endpoint, now: Time, since: Time) {
         let jitter = self.jitter;
         let Some(address) = self.addresses.get_mut(place) else { return };
         // A dial that started before the last failure was recorded says nothing new. Otherwise 100 concurrent
@@ -416,12 +420,12 @@
     }
 
     /// A dial failed or a connection broke: proofs of the family's addresses do not count for a while.
-    pub fn invalidate_proofs(&mut self, place: &Place, now: Time) {
+    pub fn invalidate_proofs(&mut self, place: &Endpoint, now: Time) {
         self.proofs_invalid_until.insert(place.family(), now + PROOFS_INVALID_FOR);
     }
 
     /// Records a request that got no byte of answer over an open connection.
-    pub fn record_no_answer(&mut self, place: &Place, now: Time, since: Time) {
+    pub fn record_no_answer(&mut self, place: &Endpoint, now: Time, since: Time) {
         let jitter = self.jitter;
         let Some(address) = self.addresses.get_mut(place) else { return };
         // Answers to proofs do not count here: a path may pass those and lose the requests that follow.
@@ -438,7 +442,7 @@
     /// A request over this address has waited long: asks for trials of it and of the server's other
     /// addresses. Without the latter, a front whose requests all wait on a dead path would never learn that
     /// another path works.
-    pub fn suspect_addresses(&mut self, server: &ServerId, place: &Place, now: Time) {
+    pub fn suspect_addresses(&mut self, server: &ServerId, place: &Endpoint, now: Time) {
         let Some(listed) = self.servers.get(server) else { return };
         for place in listed.places.iter().chain([place].into_iter().filter(|p| !listed.places.contains(p))) {
             if let Some(address) = self.addresses.get(place)
@@ -452,11 +456,11 @@
 
     /// Whether requests that wait on this address should be given up: it has failed or is doubtful, while
     /// another address of the server has answered after `since`.
-    pub fn should_give_up(&self, server: &ServerId, place: &Place, since: Time) -> bool {
+    pub fn should_give_up(&self, server: &ServerId, place: &Endpoint, since: Time) -> bool {
         if !self.addresses.get(place).is_some_and(AddressState::is_failing) {
             return false;
         }
-        let works = |other: &Place| {
+        let works = |other: &Endpoint| {
             other != place
                 && self.addresses.get(other).is_some_and(|address| {
                     !address.is_failing() && address.last_proven.is_some_and(|at| at > since)
@@ -466,7 +470,7 @@
     }
 
     /// Records that the address rejects `Expect: 100-continue`.
-    pub fn record_rejected_continue(&mut self, place: &Place) {
+    pub fn record_rejected_continue(&mut self, place: &Endpoint) {
         if let Some(address) = self.addresses.get_mut(place) {
             address.rejects_continue = true;
         }
@@ -474,7 +478,13 @@
 
     /// Records that a server was reached at `won` after the addresses `lost` had failed or were late, and
     /// marks a family as down once enough servers show this.
-    pub fn record_family_failures(&mut self, server: &ServerId, won: &Place, lost: &[Place], now: Time) {
+    pub fn record_family_failures(
+        &mut self,
+        server: &ServerId,
+        won: &Endpoint,
+        lost: &[Endpoint],
+        now: Time,
+    ) {
         for place in lost {
             let family = place.family();
             // The server must be reached by another family: a dead server says nothing of the network.
@@ -500,7 +510,7 @@
     /// trial takes longer than `connect`.
     pub fn start_trials(&mut self, now: Time, connect: Time, mut may: impl FnMut() -> bool) -> Vec<Trial> {
         let mut out = Vec::new();
-        let down: Vec<Family> =
+        let down: Vec<AddressFamily> =
             self.families.iter().filter(|(_, s)| s.next_trial_at.is_some()).map(|(f, _)| *f).collect();
         for family in down {
             let Some(place) = self.next_family_trial(family, now) else { continue };
@@ -515,7 +525,7 @@
         }
         let slow = self.mark_slow_addresses(now);
         let wanted = self.failing.union(&self.suspects);
-        let due: Vec<Place> = wanted.filter(|place| self.is_trial_due(place, now)).cloned().collect();
+        let due: Vec<Endpoint> = wanted.filter(|place| self.is_trial_due(place, now)).cloned().collect();
         for place in due {
             let Some(server) = self.listed_server_of(&place) else { continue };
             if !may() {
@@ -542,7 +552,7 @@
         out
     }
 
-    fn is_trial_due(&self, place: &Place, now: Time) -> bool {
+    fn is_trial_due(&self, place: &Endpoint, now: Time) -> bool {
         let address = self.addresses.get(place);
         let due = address.is_some_and(|k| {
             now >= k.next_trial_at && !k.has_trial && k.dials_in_progress == 0 && k.leaving_since.is_none()
@@ -551,12 +561,12 @@
     }
 
     /// The next address by which to try a family that is down, if a trial is due.
-    fn next_family_trial(&self, family: Family, now: Time) -> Option<Place> {
+    fn next_family_trial(&self, family: AddressFamily, now: Time) -> Option<Endpoint> {
         let state = self.families.get(&family)?;
         if state.has_trial || state.next_trial_at.is_none_or(|until| now < until) {
             return None;
         }
-        let of_family = |(place, address): &(&Place, &AddressState)| {
+        let of_family = |(place, address): &(&Endpoint, &AddressState)| {
             place.family() == family && address.leaving_since.is_none()
         };
         let after = self.addresses.iter().filter(of_family).map(|(place, _)| place);
@@ -566,7 +576,7 @@
     }
 
     /// A listed server that has this address and is not leaving.
-    fn listed_server_of(&self, place: &Place) -> Option<ServerId> {
+    fn listed_server_of(&self, place: &Endpoint) -> Option<ServerId> {
         let has = |listed: &ListedServer| listed.leaving_since.is_none() && listed.places.contains(place);
         self.servers.iter().find(|(_, listed)| has(listed)).map(|(server, _)| server.clone())
     }
--- a/crates/core/src/addresses/book_tests.rs
+++ b/crates/core/src/addresses/book_tests.rs
@@ -7,7 +7,7 @@
     ServerId(name.into())
 }
 
-fn places(of: usize) -> Vec<Place> {
+fn places(of: usize) -> Vec<Endpoint> {
     vec![
         format!("unix:/run/{of}").parse().unwrap(),
         format!("[::1]:{}", 8000 + of).parse().unwrap(),
@@ -26,12 +26,12 @@
     book
 }
 
-fn order(book: &AddressBook, of: usize, now: Time) -> Vec<Family> {
+fn order(book: &AddressBook, of: usize, now: Time) -> Vec<AddressFamily> {
     book.candidates(&server(&name(of)), now).into_iter().map(|choice| choice.place.family()).collect()
 }
 
-const ALL: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
-const UNIX_LAST: [Family; 3] = [Family::V6, Family::V4, Family::Unix];
+const ALL: [AddressFamily; 3] = [AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
+const UNIX_LAST: [AddressFamily; 3] = [AddressFamily::V6, AddressFamily::V4, AddressFamily::Unix];
 
 fn trials(book: &mut AddressBook, now: Time) -> Vec<Trial> {
     book.start_trials(now, 250_000, || true)
@@ -107,8 +107,8 @@
         book.record_failure(&at[1], S, S);
         book.record_family_failures(&server(&name(of)), &at[2], &at[1..2], S);
     }
-    assert!(book.family_down(Family::V6));
-    assert_eq!(order(&book, 40, S), [Family::Unix, Family::V4, Family::V6]);
+    assert!(book.family_down(AddressFamily::V6));
+    assert_eq!(order(&book, 40, S), [AddressFamily::Unix, AddressFamily::V4, AddressFamily::V6]);
     // Meanwhile its single addresses are not tried. The family is, by one address at a time, a different one
     // each time.
     let first = trials(&mut book, S + FIRST_PAUSE);
@@ -149,13 +149,13 @@
         &places(2)[1..2],
         21 * S + FAMILY_FAILURE_LIFETIME,
     );
-    assert!(!book.family_down(Family::V6));
+    assert!(!book.family_down(AddressFamily::V6));
     // Nor does a failure where an address of the same family won.
     for of in 0..9 {
         let other = [format!("127.0.0.2:{}", 8000 + of).parse().unwrap()];
         book.record_family_failures(&server(&name(of)), &places(of)[2], &other, 100 * S);
     }
-    assert!(!book.family_down(Family::V4));
+    assert!(!book.family_down(AddressFamily::V4));
 }
 
 #[test]
@@ -166,7 +166,7 @@
         book.record_family_failures(&server(&name(of)), &at[2], &at[1..2], S);
         book.record_answer(&places(8 - of)[1], S, None);
     }
-    assert!(!book.family_down(Family::V6));
+    assert!(!book.family_down(AddressFamily::V6));
 }
 
 #[test]
@@ -183,7 +183,7 @@
     }
     assert_eq!(order(&book, 0, S), []);
     book.dial_ended(&at[1]);
-    assert_eq!(order(&book, 0, S), [Family::V6]);
+    assert_eq!(order(&book, 0, S), [AddressFamily::V6]);
 }
 
 /// A path that passes only small packets: connects and heads get through, bodies do not.
@@ -280,7 +280,7 @@
             && pause_length(60, 1.0) <= (LONGEST_PAUSE as f64 * 1.5) as Time
     );
     assert_ne!(pause_length(3, 0.1), pause_length(3, 0.9));
-    assert_eq!(NAMES.map(|name| name.parse::<Place>().unwrap().family()), ALL);
+    assert_eq!(NAMES.map(|name| name.parse::<Endpoint>().unwrap().family()), ALL);
 }
 
 #[test]
--- a/crates/core/src/addresses/gate.rs
+++ b/crates/core/src/addresses/gate.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 use elderstage::Time;
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 /// One front's limits on dials and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -67,7 +67,7 @@
     /// the generic cell rate algorithm, ITU-T I.371).
     burst_available_at: Time,
     /// Connections that are open or being dialed, by address.
-    open_by_place: HashMap<Place, usize>,
+    open_by_place: HashMap<Endpoint, usize>,
     /// Connections that are open or being dialed, in total.
     total: usize,
 }
@@ -84,7 +84,7 @@
     }
 
     /// Whether one more connection fits to the server that has these addresses.
-    pub fn has_room<'a>(&self, places: impl Iterator<Item = &'a Place>) -> bool {
+    pub fn has_room<'a>(&self, places: impl Iterator<Item = &'a Endpoint>) -> bool {
         let open_count: usize = places.map(|place| self.open_by_place.get(place).copied().unwrap_or(0)).sum();
         open_count < self.bounds.max_per_server && self.total < self.bounds.max_total
     }
@@ -109,13 +109,13 @@
     }
 
     /// Counts a connection that is open or being dialed.
-    pub fn count_opened(&mut self, place: &Place) {
+    pub fn count_opened(&mut self, place: &Endpoint) {
         *self.open_by_place.entry(place.clone()).or_default() += 1;
         self.total += 1;
     }
 
     /// Counts a connection as closed.
-    pub fn count_closed(&mut self, place: &Place) {
+    pub fn count_closed(&mut self, place: &Endpoint) {
         if let Some(count) = self.open_by_place.get_mut(place) {
             *count -= 1;
             self.total -= 1;
@@ -136,7 +136,7 @@
     }
 
     /// Connections to one address that are open or being dialed.
-    pub fn open_to(&self, place: &Place) -> usize {
+    pub fn open_to(&self, place: &Endpoint) -> usize {
         self.open_by_place.get(place).copied().unwrap_or(0)
     }
 }
--- a/crates/core/src/addresses/gate/tests.rs
+++ b/crates/core/src/addresses/gate/tests.rs
@@ -2,8 +2,8 @@
 
 const S: Time = 1_000_000;
 
-fn place(n: u16) -> Place {
-    Place::Tcp(([127, 0, 0, 1], n).into())
+fn place(n: u16) -> Endpoint {
+    Endpoint::Tcp(([127, 0, 0, 1], n).into())
 }
 
 #[test]
--- a/crates/core/src/addresses/mod.rs
+++ b/crates/core/src/addresses/mod.rs
@@ -18,7 +18,7 @@
 mod waits;
 
 use elderstage::{ServerId, Time};
-use elderstage_protocol::place::{Family, Place};
+use elderstage_protocol::place::{AddressFamily, Endpoint};
 use waits::Waits;
 
 pub use book::{AddressBook, AddressState, Candidate, Trial};
@@ -90,13 +90,13 @@
     /// Trials to carry out.
     pub trials: Vec<Trial>,
     /// Families that went down (`true`) or came back since the last call.
-    pub families: Vec<(Family, bool)>,
+    pub families: Vec<(AddressFamily, bool)>,
     /// Numbers of the requests to give up: their address delivers nothing, and another one works.
     pub give_up: Vec<u64>,
 }
 
 /// The families, in the order of `Addresses::known_down`.
-const FAMILIES: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
+const FAMILIES: [AddressFamily; 3] = [AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
 
 /// The connections and dials of one front, for the race to one server.
 struct RaceSupply<'a, C> {
@@ -108,13 +108,13 @@
 }
 
 impl<C> ConnectionSource<(C, ConnectionAge)> for RaceSupply<'_, C> {
-    fn take_idle(&mut self, now: Time, place: &Place) -> Option<(C, ConnectionAge)> {
+    fn take_idle(&mut self, now: Time, place: &Endpoint) -> Option<(C, ConnectionAge)> {
         let taken = self.pool.take(now, place);
         self.counts.reused += u64::from(taken.is_some());
         taken
     }
 
-    fn reserve_dial(&mut self, now: Time, by: Time, place: &Place) -> Option<Time> {
+    fn reserve_dial(&mut self, now: Time, by: Time, place: &Endpoint) -> Option<Time> {
         let places = || {
             self.book.places(&self.server).iter().chain([place].into_iter().filter(|p| {
                 // The server's addresses may have changed since the attempt started.
@@ -135,13 +135,13 @@
         at
     }
 
-    fn cancel_dial(&mut self, place: &Place) {
+    fn cancel_dial(&mut self, place: &Endpoint) {
         self.limiter.count_closed(place);
         self.book.dial_ended(place);
         self.counts.dials -= 1;
     }
 
-    fn proof_late(&mut self, now: Time, since: Time, place: &Place) {
+    fn proof_late(&mut self, now: Time, since: Time, place: &Endpoint) {
         self.counts.proofs_failed += 1;
         self.book.record_failure(place, now, since);
     }
@@ -172,17 +172,17 @@
     }
 
     /// Connections to one address that are open or being dialed.
-    pub fn open_to(&self, place: &Place) -> usize {
+    pub fn open_to(&self, place: &Endpoint) -> usize {
         self.limiter.open_to(place)
     }
 
     /// Families that count as down.
-    pub fn down_families(&self) -> impl Iterator<Item = Family> + '_ {
+    pub fn down_families(&self) -> impl Iterator<Item = AddressFamily> + '_ {
         FAMILIES.into_iter().filter(|family| self.book.family_down(*family))
     }
 
     /// Counts and returns the families that went down or came back, with whether they are down now.
-    fn take_family_changes(&mut self) -> Vec<(Family, bool)> {
+    fn take_family_changes(&mut self) -> Vec<(AddressFamily, bool)> {
         let mut changed = Vec::new();
         for (index, family) in FAMILIES.into_iter().enumerate() {
             let down = self.book.family_down(family);
@@ -241,7 +241,7 @@
     }
 
     /// Records the end of a dial, with or without a connection. The caller also notifies the race.
-    pub fn record_dial(&mut self, now: Time, place: &Place, since: Time, is_connected: bool) {
+    pub fn record_dial(&mut self, now: Time, place: &Endpoint, since: Time, is_connected: bool) {
         self.book.dial_ended(place);
         if is_connected {
             self.book.record_connect(place, now.saturating_sub(since));
@@ -289,7 +289,13 @@
     // ---- After the request was sent ----
 
     /// Records that the request was written. The number identifies it in the calls that follow.
-    pub fn record_sent(&mut self, now: Time, server: &ServerId, place: &Place, is_repeatable: bool) -> u64 {
+    pub fn record_sent(
+        &mut self,
+        now: Time,
+        server: &ServerId,
+        place: &Endpoint,
+        is_repeatable: bool,
+    ) -> u64 {
         self.waits.start(server, place, now, is_repeatable)
     }
 
@@ -311,25 +317,29 @@
     }
 
     /// Records an answer over an address that is not the answer to a request, for instance to a health check.
-    pub fn record_other_answer(&mut self, now: Time, place: &Place) {
+    pub fn record_other_answer(&mut self, now: Time, place: &Endpoint) {
         self.book.record_answer(place, now, Some(1));
     }
 
     /// Takes back a connection after a complete answer.
-    pub fn return_connection(&mut self, now: Time, place: &Place, conn: C, life: ConnectionAge) {
+    pub fn return_connection(&mut self, now: Time, place: &Endpoint, conn: C, life: ConnectionAge) {
         let should_close = self.book.should_close(place, now, self.bounds.grace);
         self.pool.put(now, place, conn, life, should_close);
     }
 
     /// Records that a connection was closed, or that a dial ended without one.
-    pub fn record_closed(&mut self, place: &Place) {
+    pub fn record_closed(&mut self, place: &Endpoint) {
         self.limiter.count_closed(place);
     }
 
     // ---- Periodic work ----
 
     /// Applies a full list of servers: each one's addresses, and whether it is leaving.
-    pub fn apply_list(&mut self, now: Time, servers: impl IntoIterator<Item = (ServerId, Vec<Place>, bool)>) {
+    pub fn apply_list(
+        &mut self,
+        now: Time,
+        servers: impl IntoIterator<Item = (ServerId, Vec<Endpoint>, bool)>,
+    ) {
         self.book.apply_list(now, servers);
         self.waits.retain_servers(|server| !self.book.places(server).is_empty());
     }
--- a/crates/core/src/addresses/pool.rs
+++ b/crates/core/src/addresses/pool.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use elderstage::Time;
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 use super::gate::ConnectionLimits;
 
@@ -34,7 +34,7 @@
 /// Idle connections by address, and connections to close.
 pub struct Pool<C> {
     bounds: ConnectionLimits,
-    idle: HashMap<Place, Vec<Idle<C>>>,
+    idle: HashMap<Endpoint, Vec<Idle<C>>>,
     closing: Vec<C>,
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// Takes the most recently used idle connection, so that surplus ones expire.
-    pub fn take(&mut self, now: Time, place: &Place) -> Option<(C, ConnectionAge)> {
+    pub fn take(&mut self, now: Time, place: &Endpoint) -> Option<(C, ConnectionAge)> {
         let list = self.idle.get_mut(place)?;
         while let Some(Idle { conn, life, since }) = list.pop() {
             if now < since + self.bounds.idle_timeout && now < life.opened_at + self.bounds.max_age {
@@ -62,7 +62,7 @@
 
     /// Keeps a connection for the next request, or marks it for closing. `is_leaving`: its address is no
     /// longer in use.
-    pub fn put(&mut self, now: Time, place: &Place, conn: C, life: ConnectionAge, is_leaving: bool) {
+    pub fn put(&mut self, now: Time, place: &Endpoint, conn: C, life: ConnectionAge, is_leaving: bool) {
         let is_worn_out = is_leaving || self.is_worn_out(life, now);
         let list = self.idle.entry(place.clone()).or_default();
         if is_worn_out || list.len() >= self.bounds.max_idle_per_address {
@@ -74,7 +74,7 @@
 
     /// Marks for closing the connections that are idle too long, too old, or at an address for which
     /// `is_leaving` holds.
-    pub fn sweep(&mut self, now: Time, is_leaving: impl Fn(&Place) -> bool) {
+    pub fn sweep(&mut self, now: Time, is_leaving: impl Fn(&Endpoint) -> bool) {
         let (bounds, closing) = (self.bounds, &mut self.closing);
         self.idle.retain(|place, list| {
             let place_is_leaving = is_leaving(place);
--- a/crates/core/src/addresses/race.rs
+++ b/crates/core/src/addresses/race.rs
@@ -8,7 +8,7 @@
 //! A *lane* is one address of the race, with its dial and its proof.
 
 use elderstage::{ServerId, Time};
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 use super::book::Candidate;
 
@@ -109,11 +109,11 @@
 /// The winner of a race and the addresses that lost against it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RaceSummary {
-    pub winner: Place,
+    pub winner: Endpoint,
     /// All addresses that failed or were late, including the overtaken ones.
-    pub lost: Vec<Place>,
+    pub lost: Vec<Endpoint>,
     /// Late dials that are still in progress, with their start times.
-    pub overtaken: Vec<(Place, Time)>,
+    pub overtaken: Vec<(Endpoint, Time)>,
 }
 
 /// How a race ended.
@@ -126,13 +126,13 @@
 /// What a race needs from the pool and the dial limiter.
 pub trait ConnectionSource<C> {
     /// Takes an idle connection to this address.
-    fn take_idle(&mut self, now: Time, place: &Place) -> Option<C>;
+    fn take_idle(&mut self, now: Time, place: &Endpoint) -> Option<C>;
     /// Reserves a dial and returns when it may start; `None` if that is not possible until `by`.
-    fn reserve_dial(&mut self, now: Time, by: Time, place: &Place) -> Option<Time>;
+    fn reserve_dial(&mut self, now: Time, by: Time, place: &Endpoint) -> Option<Time>;
     /// Returns a reserved dial that is not made, because the race is over first.
-    fn cancel_dial(&mut self, place: &Place);
+    fn cancel_dial(&mut self, place: &Endpoint);
     /// Reports a proof that was late and is given up; it started at `since`.
-    fn proof_late(&mut self, now: Time, since: Time, place: &Place);
+    fn proof_late(&mut self, now: Time, since: Time, place: &Endpoint);
 }
 
 /// The state of one connection attempt.
@@ -183,7 +183,7 @@
     }
 
     /// The address of a lane.
-    pub fn place(&self, lane: usize) -> &Place {
+    pub fn place(&self, lane: usize) -> &Endpoint {
         &self.lanes[lane].candidate.place
     }
 
@@ -465,7 +465,7 @@
             }
             _ => None,
         });
-        let overtaken: Vec<(Place, Time)> = overtaken.collect();
+        let overtaken: Vec<(Endpoint, Time)> = overtaken.collect();
         let lost = lost.chain(overtaken.iter().map(|(place, _)| place.clone())).collect();
         Some(RaceSummary { winner: self.place(winner).clone(), lost, overtaken })
     }
--- a/crates/core/src/addresses/race_tests.rs
+++ b/crates/core/src/addresses/race_tests.rs
@@ -5,34 +5,34 @@
 /// A connection source with scripted idle connections and a dial limit that may be exhausted.
 #[derive(Default)]
 struct ScriptedSource {
-    idle: Vec<Place>,
+    idle: Vec<Endpoint>,
     is_exhausted: bool,
     wait: Time,
-    late: Vec<Place>,
-    cancelled: Vec<Place>,
+    late: Vec<Endpoint>,
+    cancelled: Vec<Endpoint>,
 }
 
 impl ConnectionSource<()> for ScriptedSource {
-    fn take_idle(&mut self, _: Time, place: &Place) -> Option<()> {
+    fn take_idle(&mut self, _: Time, place: &Endpoint) -> Option<()> {
         let at = self.idle.iter().position(|idle| idle == place)?;
         self.idle.remove(at);
         Some(())
     }
 
-    fn reserve_dial(&mut self, now: Time, by: Time, _: &Place) -> Option<Time> {
+    fn reserve_dial(&mut self, now: Time, by: Time, _: &Endpoint) -> Option<Time> {
         Some(now + self.wait).filter(|at| !self.is_exhausted && *at <= by)
     }
 
-    fn cancel_dial(&mut self, place: &Place) {
+    fn cancel_dial(&mut self, place: &Endpoint) {
         self.cancelled.push(place.clone());
     }
 
-    fn proof_late(&mut self, _: Time, _: Time, place: &Place) {
+    fn proof_late(&mut self, _: Time, _: Time, place: &Endpoint) {
         self.late.push(place.clone());
     }
 }
 
-fn place(n: usize) -> Place {
+fn place(n: usize) -> Endpoint {
     ["unix:/run/x", "[::1]:80", "127.0.0.1:80"][n].parse().unwrap()
 }
 
--- a/crates/core/src/addresses/tests.rs
+++ b/crates/core/src/addresses/tests.rs
@@ -7,7 +7,7 @@
     ServerId(name.into())
 }
 
-fn places() -> Vec<Place> {
+fn places() -> Vec<Endpoint> {
     ["[::1]:80", "127.0.0.1:80"].iter().map(|text| text.parse().unwrap()).collect()
 }
 
@@ -111,7 +111,7 @@
 #[test]
 fn a_family_that_goes_down_or_comes_back_is_reported_once() {
     let mut addresses = Addresses::<u32>::new(ConnectionLimits::default(), 0.0);
-    let place = |family: &str, n: usize| format!("{family}:{}", 80 + n).parse::<Place>().unwrap();
+    let place = |family: &str, n: usize| format!("{family}:{}", 80 + n).parse::<Endpoint>().unwrap();
     let pair = |n| vec![place("[::1]", n), place("127.0.0.1", n)];
     addresses.apply_list(0, (0..5).map(|n| (server(&format!("s{n}")), pair(n), false)));
     for n in 0..3 {
@@ -121,16 +121,16 @@
         race.record_failure(0);
         assert!(matches!(connect(&mut addresses, &mut race, S), RaceStep::Send(1, _)));
     }
-    assert_eq!(addresses.run_maintenance(S, 250 * MS).families, [(Family::V6, true)]);
+    assert_eq!(addresses.run_maintenance(S, 250 * MS).families, [(AddressFamily::V6, true)]);
     assert_eq!(addresses.run_maintenance(S, 250 * MS).families, []);
     // The other servers are dialed by IPv4 at once.
     let mut race = addresses.start_race(S, &server("s4"), ask(false));
     assert!(matches!(addresses.poll(S, &mut race), RaceStep::Dial(0, _)));
-    assert_eq!(race.place(0).family(), Family::V4);
+    assert_eq!(race.place(0).family(), AddressFamily::V4);
     let trials = addresses.run_maintenance(3 * S, 250 * MS).trials;
     assert_eq!((trials.len(), trials[0].is_family_trial), (1, true));
     addresses.record_trial(3 * S, &trials[0], 3 * S, true);
-    assert_eq!(addresses.run_maintenance(3 * S, 250 * MS).families, [(Family::V6, false)]);
+    assert_eq!(addresses.run_maintenance(3 * S, 250 * MS).families, [(AddressFamily::V6, false)]);
 }
 
 /// A path fails under requests: a request that may be repeated is given up once another address is known to
@@ -200,7 +200,8 @@
 #[test]
 fn a_connection_lost_under_a_request_invalidates_the_proofs_of_its_family() {
     let mut addresses = addresses();
-    let other: Vec<Place> = ["[::1]:81", "127.0.0.1:81"].iter().map(|text| text.parse().unwrap()).collect();
+    let other: Vec<Endpoint> =
+        ["[::1]:81", "127.0.0.1:81"].iter().map(|text| text.parse().unwrap()).collect();
     addresses.apply_list(0, [(server("s"), places(), false), (server("t"), other.clone(), false)]);
     for place in [&places()[0], &other[0], &other[1]] {
         addresses.record_other_answer(S, place);
--- a/crates/core/src/addresses/waits.rs
+++ b/crates/core/src/addresses/waits.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use elderstage::{ServerId, Time};
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 /// A wait is late after this multiple of the server's mean wait.
 const LATE_FACTOR: f64 = 4.0;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Wait {
     pub server: ServerId,
-    pub place: Place,
+    pub place: Endpoint,
     pub since: Time,
     /// The request may be repeated.
     pub is_repeatable: bool,
@@ -41,7 +41,7 @@
 
 impl Waits {
     /// Adds a request and returns its number.
-    pub fn start(&mut self, server: &ServerId, place: &Place, since: Time, is_repeatable: bool) -> u64 {
+    pub fn start(&mut self, server: &ServerId, place: &Endpoint, since: Time, is_repeatable: bool) -> u64 {
         self.last_number += 1;
         let wait = Wait {
             server: server.clone(),
--- a/crates/core/src/addresses/waits/tests.rs
+++ b/crates/core/src/addresses/waits/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_wait_is_reported_late_once_by_the_mean_of_its_server() {
     let mut waits = Waits::default();
-    let (server, place) = (ServerId("s".into()), Place::Unix("/s".into()));
+    let (server, place) = (ServerId("s".into()), Endpoint::Unix("/s".into()));
     let repeatable = waits.start(&server, &place, 0, true);
     assert!(waits.take_late(MIN_LATE_WAIT - 1).is_empty());
     assert_eq!(waits.take_late(MIN_LATE_WAIT).len(), 1);
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -11,7 +11,7 @@
     Candidate, ConnectionSource, Proof, Race, RaceFailure, RaceStep, RemainingRequest,
 };
 use elderstage_core::evidence::{Evidence, classify};
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
 const MS: Time = 1_000;
 const END: Time = 500 * MS;
@@ -67,27 +67,27 @@
 }
 
 impl ConnectionSource<bool> for ScriptedSource {
-    fn take_idle(&mut self, _: Time, place: &Place) -> Option<bool> {
+    fn take_idle(&mut self, _: Time, place: &Endpoint) -> Option<bool> {
         self.idle[lane(place)].pop()
     }
 
-    fn reserve_dial(&mut self, now: Time, by: Time, _: &Place) -> Option<Time> {
+    fn reserve_dial(&mut self, now: Time, by: Time, _: &Endpoint) -> Option<Time> {
         self.budget.map(|delay| now + delay).filter(|at| *at <= by)
     }
 
-    fn cancel_dial(&mut self, _: &Place) {}
+    fn cancel_dial(&mut self, _: &Endpoint) {}
 
-    fn proof_late(&mut self, _: Time, _: Time, _: &Place) {}
+    fn proof_late(&mut self, _: Time, _: Time, _: &Endpoint) {}
 }
 
-fn place(lane: usize) -> Place {
-    Place::Tcp(([127, 0, 0, 1], 1000 + lane as u16).into())
+fn place(lane: usize) -> Endpoint {
+    Endpoint::Tcp(([127, 0, 0, 1], 1000 + lane as u16).into())
 }
 
-fn lane(place: &Place) -> usize {
+fn lane(place: &Endpoint) -> usize {
     match place {
-        Place::Tcp(addr) => addr.port() as usize - 1000,
-        Place::Unix(_) => unreachable!(),
+        Endpoint::Tcp(addr) => addr.port() as usize - 1000,
+        Endpoint::Unix(_) => unreachable!(),
     }
 }
 
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -32,7 +32,7 @@
 
 /// Serves a new connection in a coroutine of its own.
 pub(crate) fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
-    conn.limits = http::Limits { head: shared.config.front.head, body: shared.config.front.body };
+    conn.limits = http::Limits { head_bytes: shared.config.front.head, body_bytes: shared.config.front.body };
     let shared = shared.clone();
     spawn(move || {
         shared.connections.fetch_add(1, Ordering::Relaxed);
@@ -452,14 +452,14 @@
             Stage::Write => engine::Stage::Write(self.kv_params.clone().unwrap_or(Value::Null)),
             Stage::Whole => engine::Stage::Whole,
         };
-        let engine_request = engine::Ask {
+        let engine_request = engine::CompletionRequest {
             model: route.model.clone(),
             messages: std::mem::take(&mut self.messages),
             tools: route.tools.clone(),
             max_tokens: u64::from(route.max_tokens),
             stage,
         };
-        let body = engine::body(&engine_request);
+        let body = engine::write_request_body(&engine_request);
         self.messages = engine_request.messages;
         let attempt = Attempt {
             server: &send.server,
@@ -565,7 +565,7 @@
     fn buffer_event(&mut self, message: &str) {
         self.buffer_head();
         let mut event = Vec::with_capacity(message.len() + 32);
-        sse::write(Some("message"), message, &mut event);
+        sse::write_event(Some("message"), message, &mut event);
         http::write_chunk(&event, &mut self.out_buffer);
     }
 
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -11,7 +11,7 @@
 use elderstage_core::addresses::{ConnectionNeeds, RaceFailure, RemainingRequest};
 use elderstage_core::evidence::Evidence;
 use elderstage_net::{Conn, NetError, send};
-use elderstage_protocol::engine::{self, Finish, ToolCall, Usage};
+use elderstage_protocol::engine::{self, FinishReason, ToolCall, Usage};
 use elderstage_protocol::{http, orca, sse};
 use serde_json::Value;
 
@@ -99,7 +99,7 @@
     let connect_request = ConnectRequest {
         server: attempt.server,
         ask,
-        path: engine::COMPLETIONS,
+        path: engine::COMPLETIONS_PATH,
         headers: &headers,
         body_bytes: attempt.body.len(),
         slot: Some((attempt.slot, attempt.operation)),
@@ -126,7 +126,7 @@
     }
     pooled.conn.set_deadline(Some(deadline));
     pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
-    let endpoint = pooled.endpoint(engine::COMPLETIONS);
+    let endpoint = pooled.endpoint(engine::COMPLETIONS_PATH);
     let wait_id = shared.pool.record_sent(attempt.server, &pooled, !attempt.is_at_most_once);
     let send_result = match rest {
         RemainingRequest::Body => pooled.conn.write(&attempt.body),
@@ -145,7 +145,7 @@
     };
     shared.pool.record_answered(wait_id);
     let conn = &mut pooled.conn;
-    let report = head.headers.get(orca::HEADER).and_then(orca::parse);
+    let report = head.headers.get(orca::REPORT_HEADER).and_then(orca::parse);
     let is_stream =
         head.headers.get("content-type").is_some_and(|kind| kind.starts_with("text/event-stream"));
     let mut outcome = if head.status == 200 && is_stream && attempt.stage != Stage::Read {
@@ -184,7 +184,7 @@
             code: engine::parse_error_code(&body),
         });
     }
-    match engine::read_answer(&body) {
+    match engine::parse_reader_response(&body) {
         Some((usage, state)) if stage == Stage::Read => AttemptOutcome {
             usage: Some(usage),
             state: Some(state),
@@ -202,7 +202,7 @@
     has_output: bool,
     is_done: bool,
     is_garbled: bool,
-    finish: Option<Finish>,
+    finish: Option<FinishReason>,
     usage: Option<Usage>,
 }
 
@@ -212,7 +212,7 @@
         if self.is_done || self.is_garbled || self.text_parser.parse(data, text) {
             return;
         }
-        if data == engine::DONE {
+        if data == engine::STREAM_END_DATA {
             self.is_done = true;
             return;
         }
@@ -238,7 +238,7 @@
     head: &http::Response,
     sink: &mut dyn StreamSink,
 ) -> AttemptOutcome {
-    let (mut body, mut parser) = (http::Body::new(head.framing), sse::Parser::default());
+    let (mut body, mut parser) = (http::BodyDecoder::new(head.framing), sse::EventParser::default());
     let (mut bytes, mut text) = (Vec::new(), String::new());
     let mut stream_state = StreamState::default();
     let max_call_bytes = shared.config.front.body;
@@ -274,7 +274,7 @@
             let calls = stream_state.calls.into_tool_calls();
             let is_consistent = match stream_state.finish {
                 None => false,
-                Some(Finish::ToolCalls) => !calls.is_empty(),
+                Some(FinishReason::ToolCalls) => !calls.is_empty(),
                 Some(_) => calls.is_empty(),
             };
             if !stream_state.has_output || !is_consistent || !matches!(body_end, Ok(false)) {
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -24,7 +24,7 @@
 use elderstage_net::channel::{Receiver, Sender, channel};
 use elderstage_net::owner::Clock;
 use elderstage_net::{
-    Conn, EndpointPath, NetError, Place, ReceivedResponse, ShutdownHandle, call_at, connect,
+    Conn, Endpoint, EndpointPath, NetError, ReceivedResponse, ShutdownHandle, call_at, connect,
     expect_continue_head, receive, send, spawn,
 };
 use elderstage_protocol::{engine, http};
@@ -39,7 +39,7 @@
 /// Keeps a connection or a dial counted as open, until dropped.
 struct OpenCountGuard {
     pool: Weak<ConnPool>,
-    place: Place,
+    place: Endpoint,
 }
 
 impl Drop for OpenCountGuard {
@@ -54,7 +54,7 @@
 pub(crate) struct PooledConn {
     // Declared before the guard: the socket closes before the connection is counted as closed.
     pub conn: Conn,
-    pub place: Place,
+    pub place: Endpoint,
     life: ConnectionAge,
     /// Whether it was idle in the pool before this request.
     pub reused: bool,
@@ -156,7 +156,7 @@
     }
 
     /// Replaces the list of servers: their addresses, and whether each is leaving.
-    pub fn set_servers(&self, servers: Vec<(ServerId, Vec<Place>, bool)>) {
+    pub fn set_servers(&self, servers: Vec<(ServerId, Vec<Endpoint>, bool)>) {
         self.with_addresses(|addresses, now| addresses.apply_list(now, servers));
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// A guard that keeps a connection to this address counted as open.
-    fn count_open(self: &Arc<Self>, place: &Place) -> OpenCountGuard {
+    fn count_open(self: &Arc<Self>, place: &Endpoint) -> OpenCountGuard {
         OpenCountGuard { pool: Arc::downgrade(self), place: place.clone() }
     }
 
@@ -352,7 +352,7 @@
     ) -> Result<ReceivedResponse, NetError> {
         pooled.conn.set_write_timeout(Some(timeout));
         pooled.conn.set_deadline(Some(Instant::now() + timeout));
-        let endpoint = pooled.endpoint(engine::HEALTH);
+        let endpoint = pooled.endpoint(engine::HEALTH_PATH);
         let mut headers = vec![("via", self.via.as_str())];
         headers.extend_from_slice(extra_headers);
         send(&mut pooled.conn, "GET", &endpoint, &headers, b"")?;
--- a/crates/front/src/mcp.rs
+++ b/crates/front/src/mcp.rs
@@ -127,7 +127,7 @@
 /// Reads the parameters of a `tools/call`.
 fn parse_tool_call(shared: &Shared, id: &Id, params: serde_json::Map<String, Value>) -> PostAction {
     let invalid_params = |what: String| respond_error(Some(id), RpcError::new(jsonrpc::INVALID_PARAMS, what));
-    let mut call = match mcp::call(params) {
+    let mut call = match mcp::parse_tool_call(params) {
         Ok(call) => call,
         Err(invalid) => return respond_error(Some(id), invalid),
     };
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -182,7 +182,7 @@
             }
             Input::Core(event) => self.handle_core_event(now, event),
             Input::LoadReport { server, report } => {
-                if let Some(started) = report.named(orca::STARTED).filter(|started| *started > 0.0) {
+                if let Some(started) = report.named(orca::STARTED_METRIC).filter(|started| *started > 0.0) {
                     let at = ClockMapping::read(self.shared.clock).front_time(started);
                     let long_ago = now.saturating_sub(self.shared.config.rules.cold_for);
                     self.handle_core_event(now, Event::Started { server, at, long_ago });
@@ -223,7 +223,7 @@
         let headers = [("content-type", "application/json"), ("via", shared.catalog.via.as_str())];
         for _ in 0..MAX_RELEASE_TRIES {
             let result =
-                shared.pool.exchange(&server, "POST", engine::ABORT, &headers, body.as_bytes(), timeout);
+                shared.pool.exchange(&server, "POST", engine::ABORT_PATH, &headers, body.as_bytes(), timeout);
             match result {
                 Ok(_) => return,
                 Err(error) => {
@@ -241,11 +241,11 @@
         let started_at = shared.clock.now();
         let headers = [orca::REPORT_REQUEST_HEADER, ("via", shared.catalog.via.as_str())];
         let timeout = Duration::from_micros(shared.config.rules.connect);
-        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH, &headers, b"", timeout);
+        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH_PATH, &headers, b"", timeout);
         let took = shared.clock.now() - started_at;
         let (evidence, report) = match answer {
             Ok(answer) if answer.head.status == 200 => {
-                (None, answer.head.headers.get(orca::HEADER).and_then(orca::parse))
+                (None, answer.head.headers.get(orca::REPORT_HEADER).and_then(orca::parse))
             }
             Ok(answer) => (Some(Evidence::Status { status: answer.head.status, code: None }), None),
             Err(ExchangeError::Net(NetError::TimedOut)) => (Some(Evidence::TimedOut), None),
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -29,9 +29,9 @@
     let metric_or_zero = |name| report.named(name).unwrap_or(0.0);
     vec![
         report.application_utilization,
-        metric_or_zero(orca::WAITING),
-        metric_or_zero(orca::KV_USAGE),
-        metric_or_zero(orca::PENDING_TOKENS) / 1000.0,
+        metric_or_zero(orca::WAITING_METRIC),
+        metric_or_zero(orca::KV_USAGE_METRIC),
+        metric_or_zero(orca::PENDING_TOKENS_METRIC) / 1000.0,
     ]
 }
 
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -11,7 +11,7 @@
 use elderstage_config::{Config, ToolConfig};
 use elderstage_core::addresses::{ConnectionNeeds, Proof};
 use elderstage_core::evidence::{ToolEnd, tool_end_from_rpc_error, tool_end_from_status};
-use elderstage_net::{Conn, EndpointPath, NetError, Place, receive, send};
+use elderstage_net::{Conn, Endpoint, EndpointPath, NetError, receive, send};
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{http, mcp, sse};
 use serde_json::Value;
@@ -57,7 +57,7 @@
 
 impl ToolClient {
     /// The address of the tool server.
-    pub fn address(&self) -> Place {
+    pub fn address(&self) -> Endpoint {
         self.endpoint.place.clone()
     }
 
@@ -200,7 +200,7 @@
     if !head.headers.get("content-type")?.starts_with("text/event-stream") {
         return Some(body.to_vec());
     }
-    let (mut parser, mut events) = (sse::Parser::default(), Vec::new());
+    let (mut parser, mut events) = (sse::EventParser::default(), Vec::new());
     parser.push(body, &mut events).ok()?;
     // Notifications may precede the response, which is the last message.
     events.pop().map(|event| event.data.into_bytes())
@@ -221,7 +221,7 @@
     let outcome = match extract_message(&answer.head, &answer.body).map(|bytes| jsonrpc::parse(&bytes)) {
         Some(Ok(Message::Response { id: answered_id, result })) if answered_id == *id => match result {
             Ok(result) => {
-                mcp::tool_text(&result).map_or(CallOutcome::End(ToolEnd::Unknown), CallOutcome::Text)
+                mcp::parse_tool_result(&result).map_or(CallOutcome::End(ToolEnd::Unknown), CallOutcome::Text)
             }
             Err(error) => CallOutcome::End(tool_end_from_rpc_error(error.code)),
         },
--- a/crates/front/tests/addresses.rs
+++ b/crates/front/tests/addresses.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 
 use common::{CallEnd, TestCluster};
-use elderstage_protocol::place::Family;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_rehearsal::fleet::Site;
 use elderstage_standin::host::DoorFault;
 use elderstage_standin::traffic::{Record, Seen};
 
-const ALL_FAMILIES: [Family; 3] = [Family::Unix, Family::V6, Family::V4];
+const ALL_FAMILIES: [AddressFamily; 3] = [AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
 
-fn set_families(families: &'static [Family]) -> impl Fn(&mut Site) {
+fn set_families(families: &'static [AddressFamily]) -> impl Fn(&mut Site) {
     move |site| site.engines.iter_mut().for_each(|engine| engine.ways = families.to_vec())
 }
 
@@ -42,7 +42,7 @@
 
 /// While one address works, every call is served whatever the fault of the others, and no turn reaches a writer
 /// twice.
-fn assert_served_despite(preferred: Family, fault: DoorFault) {
+fn assert_served_despite(preferred: AddressFamily, fault: DoorFault) {
     let cluster = TestCluster::start(set_families(&ALL_FAMILIES), "", "");
     cluster.set_fault(None, preferred, fault);
     serve_orders(&cluster, 4);
@@ -59,40 +59,40 @@
 
 #[test]
 fn calls_survive_addresses_that_refuse_or_are_missing() {
-    assert_served_despite(Family::Unix, DoorFault::Missing);
-    assert_served_despite(Family::Unix, DoorFault::Refuses);
-    assert_served_despite(Family::V6, DoorFault::Refuses);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Missing);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Refuses);
+    assert_served_despite(AddressFamily::V6, DoorFault::Refuses);
 }
 
 #[test]
 fn calls_survive_addresses_that_drop_connects_silently() {
-    assert_served_despite(Family::Unix, DoorFault::Silent);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Silent);
 }
 
 #[test]
 fn calls_survive_addresses_that_accept_and_never_answer() {
-    assert_served_despite(Family::Unix, DoorFault::Stalls);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Stalls);
 }
 
 #[test]
 fn calls_survive_addresses_that_close_connections_at_once_or_on_a_request() {
-    assert_served_despite(Family::Unix, DoorFault::Closes);
-    assert_served_despite(Family::Unix, DoorFault::ClosesOnRequest);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Closes);
+    assert_served_despite(AddressFamily::Unix, DoorFault::ClosesOnRequest);
 }
 
 #[test]
 fn calls_survive_addresses_that_are_slow_or_do_not_support_100_continue() {
-    assert_served_despite(Family::Unix, DoorFault::Slow);
-    assert_served_despite(Family::Unix, DoorFault::Unexpected);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Slow);
+    assert_served_despite(AddressFamily::Unix, DoorFault::Unexpected);
 }
 
 /// IPv6 is preferred, and its addresses accept connections but never answer: orders go over IPv4, arrive once and
 /// succeed.
 #[test]
 fn orders_avoid_an_ipv6_address_that_accepts_and_stalls() {
-    let cluster = TestCluster::start(set_families(&[Family::V6, Family::V4]), "", "");
+    let cluster = TestCluster::start(set_families(&[AddressFamily::V6, AddressFamily::V4]), "", "");
     serve_orders(&cluster, 1);
-    cluster.set_fault(None, Family::V6, DoorFault::Stalls);
+    cluster.set_fault(None, AddressFamily::V6, DoorFault::Stalls);
     serve_orders(&cluster, 5);
     assert!(cluster.metric("elderstage_proofs_failed_total") > 0);
     let received = count_receipts(&cluster.finish_and_check());
@@ -104,12 +104,12 @@
 fn an_order_whose_body_was_sent_fails_and_is_not_repeated() {
     for fault in [DoorFault::StallsAfterContinue, DoorFault::StallsAfterHead, DoorFault::StallsInBody] {
         let short_give_up = |site: &mut Site| {
-            set_families(&[Family::V6, Family::V4])(site);
+            set_families(&[AddressFamily::V6, AddressFamily::V4])(site);
             site.rest = site.rest.replace("give-up 12s", "give-up 3s");
         };
         let cluster = TestCluster::start(short_give_up, "stall 1s", "");
         for writer in ["w1", "w2", "m1"] {
-            cluster.set_fault(Some(writer), Family::V6, fault);
+            cluster.set_fault(Some(writer), AddressFamily::V6, fault);
         }
         let end = cluster.call("order", ORDER).wait_for_end();
         assert!(matches!(end, CallEnd::Failed(_)), "{fault:?}: {end:?}");
@@ -127,7 +127,7 @@
         let end = cluster.call(route, "anyone there").wait_for_end();
         assert!(matches!(end, CallEnd::Refused { retry_after_ms: Some(_), .. }), "{end:?}");
     }
-    cluster.set_fault(None, Family::V4, DoorFault::None);
+    cluster.set_fault(None, AddressFamily::V4, DoorFault::None);
     cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing <= 10);
     let records = cluster.finish_and_check();
     assert_eq!(count_receipts(&records).len(), 0);
@@ -136,8 +136,8 @@
 /// An address family that fails on all servers is reported as down, and as up again when it recovers.
 #[test]
 fn a_dead_address_family_is_reported_and_recovers() {
-    let cluster = TestCluster::start(set_families(&[Family::V6, Family::V4]), "", "");
-    cluster.set_fault(None, Family::V6, DoorFault::Refuses);
+    let cluster = TestCluster::start(set_families(&[AddressFamily::V6, AddressFamily::V4]), "", "");
+    cluster.set_fault(None, AddressFamily::V6, DoorFault::Refuses);
     let down = "elderstage_address_family_down{family=\"ipv6\"}";
     for _ in 0..40 {
         if cluster.metric(down) == 1 {
@@ -153,7 +153,7 @@
         failed_dials,
         "requests must not dial a family that is down"
     );
-    cluster.set_fault(None, Family::V6, DoorFault::None);
+    cluster.set_fault(None, AddressFamily::V6, DoorFault::None);
     cluster.wait_until_metric(down, |down| down == 0);
     cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing == 0);
     assert!(cluster.metric("elderstage_address_trials_total") > 0);
@@ -190,7 +190,7 @@
 /// The order of addresses changes during attempts, and one engine is listed under two names.
 #[test]
 fn addresses_may_change_during_attempts_and_one_engine_may_have_two_names() {
-    let cluster = TestCluster::start(set_families(&[Family::V6, Family::V4]), "", "");
+    let cluster = TestCluster::start(set_families(&[AddressFamily::V6, AddressFamily::V4]), "", "");
     let original = cluster.fleet.servers(&cluster.fleet.listed);
     let reversed: String = original
         .lines()
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -8,9 +8,9 @@
 
 use elderstage_front::{Front, Status};
 use elderstage_net::{Conn, EndpointPath, NetError, connect, send};
-use elderstage_protocol::http::Body;
+use elderstage_protocol::http::BodyDecoder;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
-use elderstage_protocol::place::Family;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_protocol::{mcp, sse};
 use elderstage_rehearsal::fleet::{Fleet, Site, demo};
 use elderstage_rehearsal::play::figures;
@@ -139,7 +139,7 @@
     }
 
     /// Sets the fault of one engine's addresses of a family, or of all engines'.
-    pub fn set_fault(&self, engine: Option<&str>, family: Family, fault: DoorFault) {
+    pub fn set_fault(&self, engine: Option<&str>, family: AddressFamily, fault: DoorFault) {
         self.fleet.fault(engine, family, fault).unwrap();
     }
 
@@ -176,8 +176,8 @@
 /// A running call.
 pub struct Call {
     pub conn: Conn,
-    body: Option<Body>,
-    parser: sse::Parser,
+    body: Option<BodyDecoder>,
+    parser: sse::EventParser,
     events: Vec<sse::Event>,
     pub id: i64,
     /// Text received in progress notifications.
@@ -216,7 +216,7 @@
 
     /// Prepares to read the answer to a call that was already sent on this connection.
     pub fn receive(conn: Conn, id: i64) -> Call {
-        let (parser, events) = (sse::Parser::default(), Vec::new());
+        let (parser, events) = (sse::EventParser::default(), Vec::new());
         Call { conn, body: None, parser, events, id, text: String::new() }
     }
 
@@ -232,7 +232,7 @@
                 None => {
                     let head = self.conn.receive_response()?;
                     assert_eq!(head.status, 200);
-                    self.body = Some(Body::new(head.framing));
+                    self.body = Some(BodyDecoder::new(head.framing));
                 }
                 Some(body) => {
                     if !self.conn.receive_body_piece(body, &mut bytes)? {
@@ -290,7 +290,7 @@
 
 fn classify_result(result: Result<Value, jsonrpc::RpcError>) -> CallEnd {
     match result {
-        Ok(result) => CallEnd::Served(mcp::tool_text(&result).unwrap().text),
+        Ok(result) => CallEnd::Served(mcp::parse_tool_result(&result).unwrap().text),
         Err(error) => {
             let data = error.data.unwrap_or_default();
             match data["outcome"].as_str() {
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use elderstage_protocol::http;
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 use socket2::{Domain, SockAddr, Socket, Type};
 
 use crate::conn::{Conn, NetError};
@@ -17,14 +17,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointPath {
     /// The server's address.
-    pub place: Place,
+    pub place: Endpoint,
     /// The path of the request target.
     pub path: String,
 }
 
 impl EndpointPath {
     /// Creates an endpoint.
-    pub fn new(place: impl Into<Place>, path: impl Into<String>) -> EndpointPath {
+    pub fn new(place: impl Into<Endpoint>, path: impl Into<String>) -> EndpointPath {
         EndpointPath { place: place.into(), path: path.into() }
     }
 }
@@ -38,15 +38,15 @@
 
 /// Opens a connection within `timeout`. Connecting to a Unix socket succeeds or fails at once: one whose
 /// backlog is full counts as unreachable.
-pub fn connect(place: impl Into<Place>, timeout: Duration) -> Result<Conn, NetError> {
+pub fn connect(place: impl Into<Endpoint>, timeout: Duration) -> Result<Conn, NetError> {
     let until = Instant::now() + timeout;
     let conn = match place.into() {
-        Place::Tcp(addr) => {
+        Endpoint::Tcp(addr) => {
             let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
             start_connect(&socket, &addr.into())?;
             Conn::new(std::net::TcpStream::from(socket))?
         }
-        Place::Unix(path) => {
+        Endpoint::Unix(path) => {
             let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
             start_connect(&socket, &SockAddr::unix(path)?)?;
             Conn::new(std::os::unix::net::UnixStream::from(std::os::fd::OwnedFd::from(socket)))?
@@ -86,7 +86,7 @@
     body: usize,
 ) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
-    http::write_waiting_head(method, &to.path, &to.place.host(), headers, body, &mut out);
+    http::write_expect_continue_head(method, &to.path, &to.place.host(), headers, body, &mut out);
     out
 }
 
--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use elderstage_protocol::http::{self, Body, Framing, HttpError, Limits};
+use elderstage_protocol::http::{self, BodyDecoder, Framing, HttpError, Limits};
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use thiserror::Error;
 
@@ -410,9 +410,13 @@
     }
 
     /// Receives the next piece of a body and appends it to `out`; `false` when the body has ended.
-    pub fn receive_body_piece(&mut self, body: &mut Body, out: &mut Vec<u8>) -> Result<bool, NetError> {
+    pub fn receive_body_piece(
+        &mut self,
+        body: &mut BodyDecoder,
+        out: &mut Vec<u8>,
+    ) -> Result<bool, NetError> {
         loop {
-            if body.done() {
+            if body.is_done() {
                 return Ok(false);
             }
             if self.has_pending() {
@@ -422,7 +426,7 @@
                 if out.len() > before {
                     return Ok(true);
                 }
-                if body.done() {
+                if body.is_done() {
                     return Ok(false);
                 }
             }
@@ -436,20 +440,20 @@
     /// Receives a whole body within the size limit.
     pub fn receive_body(&mut self, framing: Framing) -> Result<Vec<u8>, NetError> {
         if let Framing::Length(n) = framing
-            && n > self.limits.body as u64
+            && n > self.limits.body_bytes as u64
         {
-            return Err(HttpError::BodyTooLarge(self.limits.body).into());
+            return Err(HttpError::BodyTooLarge(self.limits.body_bytes).into());
         }
-        let (mut body, mut out) = (Body::new(framing), Vec::new());
+        let (mut body, mut out) = (BodyDecoder::new(framing), Vec::new());
         while self.receive_body_piece(&mut body, &mut out)? {
-            if out.len() > self.limits.body {
-                return Err(HttpError::BodyTooLarge(self.limits.body).into());
+            if out.len() > self.limits.body_bytes {
+                return Err(HttpError::BodyTooLarge(self.limits.body_bytes).into());
             }
         }
         Ok(out)
     }
 }
 
-fn ends_with_connection(body: &Body) -> bool {
+fn ends_with_connection(body: &BodyDecoder) -> bool {
     body.framing() == Framing::UntilClose
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use client::{EndpointPath, ReceivedResponse, connect, exchange, expect_continue_head, receive, send};
 pub use conn::{Conn, NetError, ShutdownHandle, Waker};
-pub use elderstage_protocol::place::Place;
+pub use elderstage_protocol::place::Endpoint;
 pub use listener::{Listener, ListenerHandle};
 pub use may::coroutine::sleep;
 pub use spawn::{STACK_WORDS, init, init_single_worker, spawn};
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
 
@@ -61,7 +61,7 @@
 /// A listening socket that is served in a coroutine.
 pub struct Listener {
     io: CoIo<Arc<ListeningSocket>>,
-    place: Place,
+    place: Endpoint,
     /// Stop at once.
     is_stopped: Arc<AtomicBool>,
     /// Stop when no connection waits in the backlog any more.
@@ -129,15 +129,15 @@
         socket.listen(BACKLOG)?;
         let listener: TcpListener = socket.into();
         let addr = listener.local_addr()?;
-        Listener::register(ListeningSocket::Tcp(listener), Place::Tcp(addr))
+        Listener::register(ListeningSocket::Tcp(listener), Endpoint::Tcp(addr))
     }
 
     /// Listens at a TCP address or a Unix socket path. A socket file that an earlier process left behind is
     /// replaced. A socket file at which a process still listens is not, nor is any other file.
-    pub fn bind_endpoint(place: &Place) -> io::Result<Listener> {
+    pub fn bind_endpoint(place: &Endpoint) -> io::Result<Listener> {
         let path = match place {
-            Place::Tcp(addr) => return Listener::bind(addr),
-            Place::Unix(path) => path,
+            Endpoint::Tcp(addr) => return Listener::bind(addr),
+            Endpoint::Unix(path) => path,
         };
         let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
         let addr = SockAddr::unix(path)?;
@@ -154,7 +154,7 @@
     }
 
     /// Registers a listening socket for readiness events.
-    fn register(socket: ListeningSocket, place: Place) -> io::Result<Listener> {
+    fn register(socket: ListeningSocket, place: Endpoint) -> io::Result<Listener> {
         let socket = Arc::new(socket);
         let io = CoIo::new(socket.clone()).map_err(io::Error::from)?;
         Ok(Listener {
@@ -167,15 +167,15 @@
     }
 
     /// The address at which it listens, with the port that the system assigned.
-    pub fn place(&self) -> &Place {
+    pub fn place(&self) -> &Endpoint {
         &self.place
     }
 
     /// The TCP address and port; the unspecified address for a Unix socket.
     pub fn addr(&self) -> SocketAddr {
         match &self.place {
-            Place::Tcp(addr) => *addr,
-            Place::Unix(_) => (IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0).into(),
+            Endpoint::Tcp(addr) => *addr,
+            Endpoint::Unix(_) => (IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0).into(),
         }
     }
 
--- a/crates/net/tests/places.rs
+++ b/crates/net/tests/places.rs
@@ -5,7 +5,7 @@
 use std::os::unix::net::UnixListener;
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, NetError, Place, connect, init, spawn};
+use elderstage_net::{Conn, Endpoint, NetError, connect, init, spawn};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -24,7 +24,7 @@
 }
 
 /// Sends a request over a new connection, answers it at `peer` and checks the received body.
-fn exchange(place: Place, mut peer: impl Read + Write + Send + 'static, open_conn: impl FnOnce() -> Conn) {
+fn exchange(place: Endpoint, mut peer: impl Read + Write + Send + 'static, open_conn: impl FnOnce() -> Conn) {
     let mut conn = open_conn();
     assert!(conn.is_idle(), "{place}");
     conn.write(b"GET / HTTP/1.1\r\n\r\n").unwrap();
@@ -42,7 +42,7 @@
 #[test]
 fn tcp_and_unix_sockets_carry_a_request() {
     let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
-    let place = Place::Tcp(tcp.local_addr().unwrap());
+    let place = Endpoint::Tcp(tcp.local_addr().unwrap());
     let conn = in_coroutine({
         let place = place.clone();
         move || connect(place, LONG).unwrap()
@@ -50,7 +50,7 @@
     exchange(place, tcp.accept().unwrap().0, || conn);
     let path = socket_path("carry");
     let unix = UnixListener::bind(&path).unwrap();
-    let place = Place::Unix(path.clone());
+    let place = Endpoint::Unix(path.clone());
     let conn = in_coroutine({
         let place = place.clone();
         move || connect(place, LONG).unwrap()
@@ -65,10 +65,10 @@
     drop(UnixListener::bind(&stale).unwrap());
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for place in [
-        Place::Tcp(dead),
-        Place::Unix(socket_path("missing")),
-        Place::Unix(stale.clone()),
-        Place::Unix(format!("/{}", "long".repeat(60)).into()),
+        Endpoint::Tcp(dead),
+        Endpoint::Unix(socket_path("missing")),
+        Endpoint::Unix(stale.clone()),
+        Endpoint::Unix(format!("/{}", "long".repeat(60)).into()),
     ] {
         let text = place.to_string();
         let result = in_coroutine(move || connect(place, LONG).map(|_| ()));
@@ -95,9 +95,9 @@
 #[test]
 fn places_parse_and_print_the_same_and_invalid_ones_are_rejected() {
     for text in ["127.0.0.1:80", "[::1]:9", "unix:/run/x.sock"] {
-        assert_eq!(text.parse::<Place>().unwrap().to_string(), text);
+        assert_eq!(text.parse::<Endpoint>().unwrap().to_string(), text);
     }
     for text in ["localhost", "unix:x", "unix:", ""] {
-        assert!(text.parse::<Place>().is_err(), "{text}");
+        assert!(text.parse::<Endpoint>().is_err(), "{text}");
     }
 }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -48,7 +48,7 @@
 /// Pause between two attempts to reserve memory for a body.
 const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// Maximum sizes of a request's head and body, in bytes.
-const REQUEST_LIMITS: Limits = Limits { head: 16 << 10, body: ask::MAX_BODY_BYTES };
+const REQUEST_LIMITS: Limits = Limits { head_bytes: 16 << 10, body_bytes: ask::MAX_BODY_BYTES };
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -242,10 +242,10 @@
     let started = Instant::now();
     let max_bytes = match head.framing {
         Framing::Length(n) => usize::try_from(n).unwrap_or(usize::MAX),
-        _ => REQUEST_LIMITS.body,
+        _ => REQUEST_LIMITS.body_bytes,
     };
     let memory_permit = loop {
-        if let Some(permit) = shared.body_memory.reserve(max_bytes.min(REQUEST_LIMITS.body)) {
+        if let Some(permit) = shared.body_memory.reserve(max_bytes.min(REQUEST_LIMITS.body_bytes)) {
             break permit;
         }
         if Instant::now() + MEMORY_RETRY_INTERVAL >= deadline || conn.is_closed() {
@@ -332,10 +332,10 @@
         loop {
             let pending = conn.pending().len();
             if pending > MAX_UNRESERVED_BYTES && self.memory_permit.is_none() && !self.has_discarded {
-                self.memory_permit = shared.body_memory.reserve(REQUEST_LIMITS.body);
+                self.memory_permit = shared.body_memory.reserve(REQUEST_LIMITS.body_bytes);
                 self.has_discarded = self.memory_permit.is_none();
             }
-            if pending > REQUEST_LIMITS.head + REQUEST_LIMITS.body || self.has_discarded {
+            if pending > REQUEST_LIMITS.head_bytes + REQUEST_LIMITS.body_bytes || self.has_discarded {
                 self.has_discarded = true;
                 discarded += pending;
                 conn.consume(usize::MAX);
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use elderstage_net::owner::Clock;
-use elderstage_net::{NetError, Place, connect, sleep};
+use elderstage_net::{Endpoint, NetError, connect, sleep};
 use elderstage_platform::hub::Input;
 use elderstage_platform::values::MAX_OBJECT_BYTES;
 use elderstage_platform::watch::Watch;
-use elderstage_protocol::http::{Body, Framing, Limits};
+use elderstage_protocol::http::{BodyDecoder, Framing, Limits};
 
 use crate::Shared;
 use crate::event_loop::Event;
@@ -24,7 +24,7 @@
 /// Poll interval for a change of discovery's address.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum sizes of the head of discovery's response and of a server list, in bytes.
-const LIMITS: Limits = Limits { head: 16 << 10, body: MAX_OBJECT_BYTES };
+const LIMITS: Limits = Limits { head_bytes: 16 << 10, body_bytes: MAX_OBJECT_BYTES };
 
 /// Watches discovery until the process ends.
 pub fn run_watch(shared: &Arc<Shared>, clock: Clock, seq: u64) {
@@ -61,7 +61,7 @@
     watch: &mut Watch,
 ) -> Result<(), NetError> {
     let index = watch.start(clock.now());
-    let mut conn = connect(Place::Tcp(at), CONNECT_TIMEOUT)?;
+    let mut conn = connect(Endpoint::Tcp(at), CONNECT_TIMEOUT)?;
     conn.limits = LIMITS;
     conn.set_write_timeout(Some(CONNECT_TIMEOUT));
     let request = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: {at}\r\n\r\n");
@@ -81,7 +81,7 @@
                         )));
                     }
                     watch.record_head(clock.now());
-                    body = Some(Body::new(head.framing));
+                    body = Some(BodyDecoder::new(head.framing));
                     continue;
                 }
             }
@@ -97,7 +97,7 @@
                     hold_at!("listed-{seq}");
                 }
                 received.clear();
-                if body.done() && body.framing() != Framing::UntilClose {
+                if body.is_done() && body.framing() != Framing::UntilClose {
                     return Err(NetError::Closed);
                 }
             }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -16,7 +16,7 @@
 use elderstage_platform::reply::{self, AbortReason, AnswerKind, WriteProgress};
 use elderstage_platform::report;
 use elderstage_platform::stream::EventStream;
-use elderstage_protocol::http::{Body, Framing, Limits, Response};
+use elderstage_protocol::http::{BodyDecoder, Framing, Limits, Response};
 
 use crate::Shared;
 use crate::event_loop::Event;
@@ -42,7 +42,7 @@
 /// connection that is slow to open.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(240);
 /// Limits on a response. The head may take 16 KiB, as common proxies allow.
-const RESPONSE_LIMITS: Limits = Limits { head: 16 << 10, body: MAX_BODY_BYTES };
+const RESPONSE_LIMITS: Limits = Limits { head_bytes: 16 << 10, body_bytes: MAX_BODY_BYTES };
 
 /// One attempt to have a request served by one engine.
 pub struct Attempt {
@@ -256,13 +256,14 @@
 
 /// Receives a body that is not a stream, and tells whether its connection can be reused.
 fn receive_body(connection: &mut PooledConnection, head: &Response, deadline: Instant) -> (Vec<u8>, bool) {
-    let (mut body, mut out) = (Body::new(head.framing).with_most_chunk(MAX_BODY_BYTES as u64), Vec::new());
+    let (mut body, mut out) =
+        (BodyDecoder::new(head.framing).with_max_chunk_bytes(MAX_BODY_BYTES as u64), Vec::new());
     if matches!(head.framing, Framing::Length(n) if n > MAX_BODY_BYTES as u64)
         || head.framing == Framing::UntilClose
     {
         return (out, false);
     }
-    while !body.done() {
+    while !body.is_done() {
         if connection.conn().has_pending() {
             let Ok(n) = body.push(connection.conn().pending(), &mut out) else { return (out, false) };
             connection.conn().consume(n);
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, NetError, Place, connect};
+use elderstage_net::{Conn, Endpoint, NetError, connect};
 use elderstage_platform::kept::ReuseMonitor;
 
 /// A connection is not reused after the engines' idle limit divided by this.
@@ -173,7 +173,7 @@
             return Err(NetError::TimedOut);
         }
         self.opened.fetch_add(1, Ordering::Relaxed);
-        match connect(Place::Tcp(address), timeout) {
+        match connect(Endpoint::Tcp(address), timeout) {
             Ok(conn) => {
                 Ok(PooledConnection { pool: self.clone(), address, conn: Some(conn), idle_time: None })
             }
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -3,7 +3,7 @@
 //! Only verified content is forwarded: the content of chunks that ended where their size said, and of that only complete
 //! events. The buffer is bounded. The caller owns the sockets and the deadlines.
 
-use elderstage_protocol::http::{Body, Framing, HttpError};
+use elderstage_protocol::http::{BodyDecoder, Framing, HttpError};
 use memchr::memmem;
 use thiserror::Error;
 
@@ -31,7 +31,7 @@
 /// The state of a stream.
 #[derive(Debug)]
 pub struct EventStream {
-    body: Body,
+    body: BodyDecoder,
     /// Content of chunks; the last bytes may belong to an incomplete chunk.
     buffer: Vec<u8>,
     /// The end mark of the engine, `[DONE]`, has come.
@@ -62,7 +62,7 @@
 impl EventStream {
     /// Creates the state before the first byte of a stream.
     pub fn new() -> EventStream {
-        let body = Body::new(Framing::Chunked).with_most_chunk(MAX_CHUNK_BYTES);
+        let body = BodyDecoder::new(Framing::Chunked).with_max_chunk_bytes(MAX_CHUNK_BYTES);
         EventStream {
             body,
             buffer: Vec::new(),
@@ -75,7 +75,7 @@
 
     /// Returns whether the last chunk has come.
     pub fn is_ended(&self) -> bool {
-        self.body.done()
+        self.body.is_done()
     }
 
     /// Returns whether the stream ended completely: with the end mark, and without a partial event after it.
@@ -92,7 +92,7 @@
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, StreamError> {
         let taken = self.body.push(bytes, &mut self.buffer);
         // Content that came before an invalid chunk is valid.
-        let verified = self.buffer.len() - self.body.unsure().min(self.buffer.len());
+        let verified = self.buffer.len() - self.body.unconfirmed_bytes().min(self.buffer.len());
         let mut at = 0;
         while let Some(end) = memmem::find(&self.buffer[at..verified], b"\n\n") {
             let block = at..at + end + 2;
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -10,15 +10,15 @@
 use std::borrow::Cow;
 
 /// Path of chat completions.
-pub const COMPLETIONS: &str = "/v1/chat/completions";
+pub const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 /// Path where a reader is told to release a KV state: `{"rid": "..."}`.
-pub const ABORT: &str = "/abort_request";
+pub const ABORT_PATH: &str = "/abort_request";
 /// Path of health probes. The response carries a load report.
-pub const HEALTH: &str = "/health";
+pub const HEALTH_PATH: &str = "/health";
 /// Error code of a writer that found no KV state to fetch (status 424). It proves that the request did not run.
-pub const NO_STATE: &str = "kv_state_missing";
+pub const KV_STATE_MISSING_CODE: &str = "kv_state_missing";
 /// Data of the event that ends a stream.
-pub const DONE: &str = "[DONE]";
+pub const STREAM_END_DATA: &str = "[DONE]";
 
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
     pub id: String,
     #[serde(default = "function_type", rename = "type")]
     pub kind: String,
-    pub function: Function,
+    pub function: FunctionCall,
 }
 
 fn function_type() -> String {
@@ -64,7 +64,7 @@
 
 /// The function that a tool call names, with its arguments.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Function {
+pub struct FunctionCall {
     pub name: String,
     /// JSON text as the model wrote it, which may be invalid.
     pub arguments: String,
@@ -83,7 +83,7 @@
 
 /// A request to an engine, as the front writes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct CompletionRequest {
     pub model: String,
     pub messages: Vec<Message>,
     pub tools: Vec<String>,
@@ -92,7 +92,7 @@
 }
 
 /// Writes the body of a request to an engine.
-pub fn body(ask: &Ask) -> Vec<u8> {
+pub fn write_request_body(ask: &CompletionRequest) -> Vec<u8> {
     let tools = ask.tools.iter();
     let tools: Vec<Value> =
         tools.map(|name| json!({"type": "function", "function": {"name": name}})).collect();
@@ -124,7 +124,7 @@
 
 /// A request to an engine, as the engine parses it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Asked {
+pub struct ParsedCompletionRequest {
     pub model: String,
     pub messages: Vec<Message>,
     #[serde(default)]
@@ -202,7 +202,7 @@
 
 /// Why a turn ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finish {
+pub enum FinishReason {
     Stop,
     Length,
     ToolCalls,
@@ -216,7 +216,7 @@
     pub text: String,
     /// Pieces of tool calls.
     pub tool_calls: Vec<ToolCallPiece>,
-    pub finish: Option<Finish>,
+    pub finish: Option<FinishReason>,
     pub usage: Option<Usage>,
     /// An error reported inside the stream.
     pub error: Option<String>,
@@ -370,17 +370,17 @@
         }
         chunk.finish = match choice.finish_reason.as_deref() {
             None => chunk.finish,
-            Some("stop") => Some(Finish::Stop),
-            Some("length") => Some(Finish::Length),
-            Some("tool_calls") => Some(Finish::ToolCalls),
-            Some(_) => Some(Finish::Other),
+            Some("stop") => Some(FinishReason::Stop),
+            Some("length") => Some(FinishReason::Length),
+            Some("tool_calls") => Some(FinishReason::ToolCalls),
+            Some(_) => Some(FinishReason::Other),
         };
     }
     Ok(chunk)
 }
 
 /// Parses the response of a reader: its token counts, and the transfer parameters for the writer.
-pub fn read_answer(body: &[u8]) -> Option<(Usage, Value)> {
+pub fn parse_reader_response(body: &[u8]) -> Option<(Usage, Value)> {
     #[derive(Deserialize)]
     struct RawReaderResponse {
         usage: RawUsage,
@@ -397,7 +397,7 @@
 }
 
 /// Writes an error body.
-pub fn error_body(code: &str, message: &str) -> Vec<u8> {
+pub fn write_error_body(code: &str, message: &str) -> Vec<u8> {
     json!({"error": {"code": code, "message": message, "type": "server_error"}}).to_string().into_bytes()
 }
 
@@ -416,7 +416,7 @@
         }
         if piece.index == self.0.len() {
             let (Some(id), Some(name)) = (piece.id, piece.name) else { return false };
-            let function = Function { name, arguments: piece.arguments };
+            let function = FunctionCall { name, arguments: piece.arguments };
             self.0.push(ToolCall { id, kind: function_type(), function });
         } else {
             self.0[piece.index].function.arguments.push_str(&piece.arguments);
@@ -441,7 +441,7 @@
 }
 
 /// Writes the data of a stream event that has text, as an engine does.
-pub fn text_chunk(model: &str, text: &str) -> String {
+pub fn write_text_event(model: &str, text: &str) -> String {
     #[derive(Serialize)]
     struct Out<'a> {
         object: &'a str,
@@ -462,19 +462,19 @@
 }
 
 /// Writes the data of a stream event that has a whole tool call.
-pub fn call_chunk(model: &str, call: &ToolCall) -> String {
+pub fn write_tool_call_event(model: &str, call: &ToolCall) -> String {
     let call = json!({"index": 0, "id": call.id, "type": "function", "function": call.function});
     let choice = json!({"index": 0, "delta": {"tool_calls": [call]}});
     json!({"object": "chat.completion.chunk", "model": model, "choices": [choice]}).to_string()
 }
 
 /// Writes the data of the stream event that ends a turn, with the reason and the token counts.
-pub fn end_chunk(model: &str, finish: Finish, usage: Usage) -> String {
+pub fn write_end_event(model: &str, finish: FinishReason, usage: Usage) -> String {
     let reason = match finish {
-        Finish::Stop => "stop",
-        Finish::Length => "length",
-        Finish::ToolCalls => "tool_calls",
-        Finish::Other => "content_filter",
+        FinishReason::Stop => "stop",
+        FinishReason::Length => "length",
+        FinishReason::ToolCalls => "tool_calls",
+        FinishReason::Other => "content_filter",
     };
     json!({
         "object": "chat.completion.chunk",
@@ -486,7 +486,7 @@
 }
 
 /// Writes the body of a reader's response.
-pub fn read_body(model: &str, usage: Usage, params: &KvParams) -> Vec<u8> {
+pub fn write_reader_response(model: &str, usage: Usage, params: &KvParams) -> Vec<u8> {
     let message = json!({"role": "assistant", "content": ""});
     json!({
         "object": "chat.completion",
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 messages (RFC 9112): heads parsed by `httparse`, bodies framed by length, chunks or connection close.
 //!
-//! This module reads no sockets: its callers pass the bytes in. A peer can make us buffer at most [`Limits::head`]
-//! bytes of a head and [`Limits::body`] bytes of a body that is collected whole. A message whose length is
+//! This module reads no sockets: its callers pass the bytes in. A peer can make us buffer at most [`Limits::head_bytes`]
+//! bytes of a head and [`Limits::body_bytes`] bytes of a body that is collected whole. A message whose length is
 //! ambiguous is refused (RFC 9112, 6.3), since a proxy in front of us may have interpreted it differently.
 
 use thiserror::Error;
@@ -14,14 +14,14 @@
 /// Limits on the parts of one message that are buffered, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    pub head: usize,
-    pub body: usize,
+    pub head_bytes: usize,
+    pub body_bytes: usize,
 }
 
 impl Default for Limits {
     /// 16 KiB of head, as common proxies allow; 1 MiB of body, about 250,000 tokens of text.
     fn default() -> Limits {
-        Limits { head: 16 << 10, body: 1 << 20 }
+        Limits { head_bytes: 16 << 10, body_bytes: 1 << 20 }
     }
 }
 
@@ -163,9 +163,13 @@
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut fields);
     match parsed.parse(bytes).map_err(convert_parse_error)? {
-        httparse::Status::Partial if bytes.len() >= limits.head => Err(HttpError::HeadTooLarge(limits.head)),
+        httparse::Status::Partial if bytes.len() >= limits.head_bytes => {
+            Err(HttpError::HeadTooLarge(limits.head_bytes))
+        }
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(n) if n > limits.head => Err(HttpError::HeadTooLarge(limits.head)),
+        httparse::Status::Complete(n) if n > limits.head_bytes => {
+            Err(HttpError::HeadTooLarge(limits.head_bytes))
+        }
         httparse::Status::Complete(n) => {
             let headers = convert_headers(parsed.headers)?;
             let framing = parse_framing(&headers)?.unwrap_or(Framing::Length(0));
@@ -182,9 +186,13 @@
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut fields);
     match parsed.parse(bytes).map_err(convert_parse_error)? {
-        httparse::Status::Partial if bytes.len() >= limits.head => Err(HttpError::HeadTooLarge(limits.head)),
+        httparse::Status::Partial if bytes.len() >= limits.head_bytes => {
+            Err(HttpError::HeadTooLarge(limits.head_bytes))
+        }
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(n) if n > limits.head => Err(HttpError::HeadTooLarge(limits.head)),
+        httparse::Status::Complete(n) if n > limits.head_bytes => {
+            Err(HttpError::HeadTooLarge(limits.head_bytes))
+        }
         httparse::Status::Complete(n) => {
             let headers = convert_headers(parsed.headers)?;
             let status = parsed.code.unwrap_or_default();
@@ -212,7 +220,7 @@
 
 /// Incremental decoder of a body: takes its bytes in any split and returns the content.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     framing: Framing,
     remaining: u64,
     chunk_state: ChunkState,
@@ -223,11 +231,11 @@
     unconfirmed: usize,
 }
 
-impl Body {
+impl BodyDecoder {
     /// A decoder for a body with this framing.
-    pub fn new(framing: Framing) -> Body {
+    pub fn new(framing: Framing) -> BodyDecoder {
         let remaining = if let Framing::Length(n) = framing { n } else { 0 };
-        Body {
+        BodyDecoder {
             framing,
             remaining,
             chunk_state: ChunkState::Size,
@@ -238,13 +246,13 @@
     }
 
     /// Treats a chunk that announces more bytes than this as malformed.
-    pub fn with_most_chunk(self, max_chunk_bytes: u64) -> Body {
-        Body { max_chunk_bytes, ..self }
+    pub fn with_max_chunk_bytes(self, max_chunk_bytes: u64) -> BodyDecoder {
+        BodyDecoder { max_chunk_bytes, ..self }
     }
 
     /// How many of the last decoded bytes belong to a chunk whose end has not been seen. If the chunk does not end
     /// where its size says, these bytes were not valid chunk data.
-    pub fn unsure(&self) -> usize {
+    pub fn unconfirmed_bytes(&self) -> usize {
         self.unconfirmed
     }
 
@@ -254,7 +262,7 @@
     }
 
     /// Whether the body has ended. Always `false` for a body that ends with the connection.
-    pub fn done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         match self.framing {
             Framing::Length(_) => self.remaining == 0,
             Framing::Chunked => self.chunk_state == ChunkState::Done,
@@ -433,7 +441,7 @@
 
 /// Writes the head of a request with `Expect: 100-continue`. The body follows after the peer's 100 response (RFC
 /// 9110, 10.1.1).
-pub fn write_waiting_head(
+pub fn write_expect_continue_head(
     method: &str,
     target: &str,
     host: &str,
--- a/crates/protocol/src/mcp.rs
+++ b/crates/protocol/src/mcp.rs
@@ -41,7 +41,7 @@
 }
 
 /// Parses the parameters of `tools/call`.
-pub fn call(mut params: Map<String, Value>) -> Result<ToolCallParams, RpcError> {
+pub fn parse_tool_call(mut params: Map<String, Value>) -> Result<ToolCallParams, RpcError> {
     let invalid_params = |what: &str| RpcError::new(jsonrpc::INVALID_PARAMS, what);
     let Some(Value::String(name)) = params.remove("name") else {
         return Err(invalid_params("params.name must be a string"));
@@ -137,7 +137,7 @@
 
 /// Parses the result of a tool call. A block other than text is replaced by its type in brackets, so that the model
 /// sees that it was there.
-pub fn tool_text(result: &Value) -> Option<ToolOutput> {
+pub fn parse_tool_result(result: &Value) -> Option<ToolOutput> {
     let blocks = result.get("content")?.as_array()?;
     let mut text = String::new();
     for block in blocks {
--- a/crates/protocol/src/orca.rs
+++ b/crates/protocol/src/orca.rs
@@ -4,22 +4,22 @@
 use std::collections::BTreeMap;
 
 /// Response header that carries a load report.
-pub const HEADER: &str = "endpoint-load-metrics";
+pub const REPORT_HEADER: &str = "endpoint-load-metrics";
 /// Request header that asks for a load report, with its value.
 pub const REPORT_REQUEST_HEADER: (&str, &str) = ("endpoint-load-metrics-format", "JSON");
 
 /// Requests that run. This and the following names are keys of `named_metrics`, as model servers publish them.
-pub const RUNNING: &str = "num_requests_running";
+pub const RUNNING_METRIC: &str = "num_requests_running";
 /// Requests that wait.
-pub const WAITING: &str = "num_requests_waiting";
+pub const WAITING_METRIC: &str = "num_requests_waiting";
 /// Share of the KV memory in use, 0 to 1.
-pub const KV_USAGE: &str = "kv_cache_usage_perc";
+pub const KV_USAGE_METRIC: &str = "kv_cache_usage_perc";
 /// Prompt tokens that wait for prefill or for the transfer of their KV state.
-pub const PENDING_TOKENS: &str = "num_pending_prompt_tokens";
+pub const PENDING_TOKENS_METRIC: &str = "num_pending_prompt_tokens";
 /// Unix time of the process start, in seconds.
-pub const STARTED: &str = "process_start_time_seconds";
+pub const STARTED_METRIC: &str = "process_start_time_seconds";
 /// Recent time to the end of a prefill or to the first token, in milliseconds.
-pub const LATENCY_MS: &str = "time_to_first_token_ms";
+pub const LATENCY_MS_METRIC: &str = "time_to_first_token_ms";
 
 /// A load report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/protocol/src/place.rs
+++ b/crates/protocol/src/place.rs
@@ -16,38 +16,38 @@
 
 /// The address family by which a server is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Family {
+pub enum AddressFamily {
     Unix,
     V6,
     V4,
 }
 
-impl fmt::Display for Family {
+impl fmt::Display for AddressFamily {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Family::Unix => "unix",
-            Family::V6 => "ipv6",
-            Family::V4 => "ipv4",
+            AddressFamily::Unix => "unix",
+            AddressFamily::V6 => "ipv6",
+            AddressFamily::V4 => "ipv4",
         })
     }
 }
 
 /// The address that a server listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     Tcp(SocketAddr),
     Unix(PathBuf),
 }
 
-impl Place {
+impl Endpoint {
     /// The address family. An IPv4-mapped IPv6 address (`::ffff:0:0/96`, RFC 4291, 2.5.5.2) counts as IPv4, since
     /// that is how its packets are sent.
-    pub fn family(&self) -> Family {
+    pub fn family(&self) -> AddressFamily {
         match self {
-            Place::Unix(_) => Family::Unix,
-            Place::Tcp(SocketAddr::V4(_)) => Family::V4,
-            Place::Tcp(SocketAddr::V6(addr)) if addr.ip().to_ipv4_mapped().is_some() => Family::V4,
-            Place::Tcp(SocketAddr::V6(_)) => Family::V6,
+            Endpoint::Unix(_) => AddressFamily::Unix,
+            Endpoint::Tcp(SocketAddr::V4(_)) => AddressFamily::V4,
+            Endpoint::Tcp(SocketAddr::V6(addr)) if addr.ip().to_ipv4_mapped().is_some() => AddressFamily::V4,
+            Endpoint::Tcp(SocketAddr::V6(_)) => AddressFamily::V6,
         }
     }
 
@@ -55,34 +55,34 @@
     /// has no host.
     pub fn host(&self) -> String {
         match self {
-            Place::Tcp(SocketAddr::V6(addr)) => {
+            Endpoint::Tcp(SocketAddr::V6(addr)) => {
                 // The zone is left out, since it has a meaning only on this machine (RFC 6874, 3).
                 SocketAddr::from((*addr.ip(), addr.port())).to_string()
             }
-            Place::Tcp(addr) => addr.to_string(),
-            Place::Unix(_) => "localhost".into(),
+            Endpoint::Tcp(addr) => addr.to_string(),
+            Endpoint::Unix(_) => "localhost".into(),
         }
     }
 }
 
-impl From<SocketAddr> for Place {
-    fn from(addr: SocketAddr) -> Place {
-        Place::Tcp(addr)
+impl From<SocketAddr> for Endpoint {
+    fn from(addr: SocketAddr) -> Endpoint {
+        Endpoint::Tcp(addr)
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Tcp(addr) => addr.fmt(f),
-            Place::Unix(path) => write!(f, "unix:{}", path.display()),
+            Endpoint::Tcp(addr) => addr.fmt(f),
+            Endpoint::Unix(path) => write!(f, "unix:{}", path.display()),
         }
     }
 }
 
 /// The reason why an address is invalid, by the part that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum PlaceError {
+pub enum EndpointError {
     #[error("expected an address such as 127.0.0.1:8000, [::1]:8000 or unix:/run/engine.sock")]
     Malformed,
     #[error("address: \"{0}\" is not an IPv4 address; host names are not resolved")]
@@ -110,74 +110,74 @@
 }
 
 /// Parses a port number from 1 to 65535.
-fn parse_port(text: &str) -> Result<u16, PlaceError> {
+fn parse_port(text: &str) -> Result<u16, EndpointError> {
     let is_number = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    text.parse().ok().filter(|port| is_number && *port > 0).ok_or(PlaceError::InvalidPort)
+    text.parse().ok().filter(|port| is_number && *port > 0).ok_or(EndpointError::InvalidPort)
 }
 
 /// Rejects addresses that cannot be connected to.
-fn check_connectable(ip: IpAddr) -> Result<IpAddr, PlaceError> {
+fn check_connectable(ip: IpAddr) -> Result<IpAddr, EndpointError> {
     let is_broadcast = ip == IpAddr::V4(Ipv4Addr::BROADCAST);
     if ip.is_unspecified() || ip.is_multicast() || is_broadcast {
-        Err(PlaceError::NotConnectable(ip))
+        Err(EndpointError::NotConnectable(ip))
     } else {
         Ok(ip)
     }
 }
 
 /// Parses the path of a Unix socket.
-fn parse_unix_path(path: &str) -> Result<Place, PlaceError> {
+fn parse_unix_path(path: &str) -> Result<Endpoint, EndpointError> {
     if !path.starts_with('/') || path.ends_with('/') {
-        return Err(PlaceError::RelativePath);
+        return Err(EndpointError::RelativePath);
     }
     if path.contains('\0') {
-        return Err(PlaceError::ZeroByteInPath);
+        return Err(EndpointError::ZeroByteInPath);
     }
     if path.len() > MAX_UNIX_PATH_BYTES {
-        return Err(PlaceError::PathTooLong(path.len()));
+        return Err(EndpointError::PathTooLong(path.len()));
     }
-    Ok(Place::Unix(path.into()))
+    Ok(Endpoint::Unix(path.into()))
 }
 
 /// Parses the part of an IPv6 address after the opening bracket.
-fn parse_ipv6(rest: &str) -> Result<Place, PlaceError> {
-    let (inner, after) = rest.split_once(']').ok_or(PlaceError::MissingBrackets)?;
-    let port = parse_port(after.strip_prefix(':').ok_or(PlaceError::InvalidPort)?)?;
+fn parse_ipv6(rest: &str) -> Result<Endpoint, EndpointError> {
+    let (inner, after) = rest.split_once(']').ok_or(EndpointError::MissingBrackets)?;
+    let port = parse_port(after.strip_prefix(':').ok_or(EndpointError::InvalidPort)?)?;
     let (ip, zone) = match inner.split_once('%') {
         None => (inner, None),
         Some((ip, zone)) => (ip, Some(zone)),
     };
-    let ip: Ipv6Addr = ip.parse().map_err(|_| PlaceError::InvalidIpv6(ip.into()))?;
+    let ip: Ipv6Addr = ip.parse().map_err(|_| EndpointError::InvalidIpv6(ip.into()))?;
     check_connectable(ip.into())?;
     let scope_id = match zone {
-        None if ip.is_unicast_link_local() => return Err(PlaceError::MissingZone),
+        None if ip.is_unicast_link_local() => return Err(EndpointError::MissingZone),
         None => 0,
-        Some(_) if !ip.is_unicast_link_local() => return Err(PlaceError::UnexpectedZone),
+        Some(_) if !ip.is_unicast_link_local() => return Err(EndpointError::UnexpectedZone),
         Some(zone) if zone.bytes().all(|b| b.is_ascii_digit()) => {
-            zone.parse().ok().filter(|number| *number > 0).ok_or(PlaceError::InvalidZone)?
+            zone.parse().ok().filter(|number| *number > 0).ok_or(EndpointError::InvalidZone)?
         }
-        Some(_) => return Err(PlaceError::InvalidZone),
+        Some(_) => return Err(EndpointError::InvalidZone),
     };
-    Ok(Place::Tcp(SocketAddrV6::new(ip, port, 0, scope_id).into()))
+    Ok(Endpoint::Tcp(SocketAddrV6::new(ip, port, 0, scope_id).into()))
 }
 
-impl FromStr for Place {
-    type Err = PlaceError;
+impl FromStr for Endpoint {
+    type Err = EndpointError;
 
-    fn from_str(text: &str) -> Result<Place, PlaceError> {
+    fn from_str(text: &str) -> Result<Endpoint, EndpointError> {
         if let Some(path) = text.strip_prefix("unix:") {
             return parse_unix_path(path);
         }
         if let Some(rest) = text.strip_prefix('[') {
             return parse_ipv6(rest);
         }
-        let (host, after) = text.rsplit_once(':').ok_or(PlaceError::Malformed)?;
+        let (host, after) = text.rsplit_once(':').ok_or(EndpointError::Malformed)?;
         if host.contains(':') {
-            return Err(PlaceError::MissingBrackets);
+            return Err(EndpointError::MissingBrackets);
         }
-        let ip: Ipv4Addr = host.parse().map_err(|_| PlaceError::InvalidIpv4(host.into()))?;
+        let ip: Ipv4Addr = host.parse().map_err(|_| EndpointError::InvalidIpv4(host.into()))?;
         check_connectable(ip.into())?;
-        Ok(Place::Tcp((ip, parse_port(after)?).into()))
+        Ok(Endpoint::Tcp((ip, parse_port(after)?).into()))
     }
 }
 
--- a/crates/protocol/src/place/tests.rs
+++ b/crates/protocol/src/place/tests.rs
@@ -3,21 +3,21 @@
 #[test]
 fn addresses_parse_and_print_with_their_family_and_host() {
     for (text, family, host) in [
-        ("127.0.0.1:80", Family::V4, "127.0.0.1:80"),
-        ("[::1]:9", Family::V6, "[::1]:9"),
-        ("[fe80::1%7]:65535", Family::V6, "[fe80::1]:65535"),
-        ("[::ffff:10.0.0.1]:80", Family::V4, "[::ffff:10.0.0.1]:80"),
-        ("unix:/run/x.sock", Family::Unix, "localhost"),
-        ("unix:/run/with:colon and space", Family::Unix, "localhost"),
+        ("127.0.0.1:80", AddressFamily::V4, "127.0.0.1:80"),
+        ("[::1]:9", AddressFamily::V6, "[::1]:9"),
+        ("[fe80::1%7]:65535", AddressFamily::V6, "[fe80::1]:65535"),
+        ("[::ffff:10.0.0.1]:80", AddressFamily::V4, "[::ffff:10.0.0.1]:80"),
+        ("unix:/run/x.sock", AddressFamily::Unix, "localhost"),
+        ("unix:/run/with:colon and space", AddressFamily::Unix, "localhost"),
     ] {
-        let place: Place = text.parse().unwrap();
+        let place: Endpoint = text.parse().unwrap();
         assert_eq!((place.to_string().as_str(), place.family(), place.host().as_str()), (text, family, host));
     }
 }
 
 #[test]
 fn invalid_addresses_report_the_wrong_part() {
-    use PlaceError::*;
+    use EndpointError::*;
     let long = format!("unix:/{}", "x".repeat(MAX_UNIX_PATH_BYTES));
     for (text, error) in [
         ("", Malformed),
@@ -49,6 +49,6 @@
         ("unix:/a\0b", ZeroByteInPath),
         (long.as_str(), PathTooLong(MAX_UNIX_PATH_BYTES + 1)),
     ] {
-        assert_eq!(text.parse::<Place>(), Err(error), "{text}");
+        assert_eq!(text.parse::<Endpoint>(), Err(error), "{text}");
     }
 }
--- a/crates/protocol/src/sse.rs
+++ b/crates/protocol/src/sse.rs
@@ -35,7 +35,7 @@
 
 /// Incremental parser of an event stream.
 #[derive(Clone, Debug, Default)]
-pub struct Parser {
+pub struct EventParser {
     /// The incomplete line at the end of the bytes so far.
     line: Vec<u8>,
     /// Whether the last byte was a CR, so that an LF that follows belongs to the same line end.
@@ -46,7 +46,7 @@
     has_data: bool,
 }
 
-impl Parser {
+impl EventParser {
     /// Parses bytes and appends the events that they complete to `out`. After an error, `out` has the events
     /// completed before it.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), SseError> {
@@ -154,7 +154,7 @@
 }
 
 /// Writes one event. Each line of the data becomes a `data` line.
-pub fn write(name: Option<&str>, data: &str, out: &mut Vec<u8>) {
+pub fn write_event(name: Option<&str>, data: &str, out: &mut Vec<u8>) {
     if let Some(name) = name {
         out.extend_from_slice(format!("event: {name}\n").as_bytes());
     }
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -1,6 +1,6 @@
 //! Tests of every codec: any split of the bytes gives the same result, and arbitrary bytes never cause a panic.
 
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 use elderstage_protocol::{engine, http, jsonrpc, mcp, orca, sse};
 use proptest::prelude::*;
 
@@ -19,20 +19,20 @@
 }
 
 fn parse_events(parts: &[Vec<u8>]) -> Result<Vec<sse::Event>, sse::SseError> {
-    let (mut parser, mut out) = (sse::Parser::default(), Vec::new());
+    let (mut parser, mut out) = (sse::EventParser::default(), Vec::new());
     parts.iter().try_for_each(|part| parser.push(part, &mut out))?;
     Ok(out)
 }
 
 fn decode_body(framing: http::Framing, parts: &[Vec<u8>]) -> Result<(Vec<u8>, usize, bool), http::HttpError> {
-    let (mut body, mut out, mut taken) = (http::Body::new(framing), Vec::new(), 0);
+    let (mut body, mut out, mut taken) = (http::BodyDecoder::new(framing), Vec::new(), 0);
     for part in parts {
         taken += body.push(part, &mut out)?;
-        if body.done() {
+        if body.is_done() {
             break;
         }
     }
-    Ok((out, taken, body.done()))
+    Ok((out, taken, body.is_done()))
 }
 
 proptest! {
@@ -46,7 +46,7 @@
     ) {
         let mut bytes = Vec::new();
         for (name, data) in &sent {
-            sse::write((!name.is_empty()).then_some(name.as_str()), data, &mut bytes);
+            sse::write_event((!name.is_empty()).then_some(name.as_str()), data, &mut bytes);
         }
         if crlf {
             bytes = String::from_utf8(bytes).unwrap().replace('\n', "\r\n").into_bytes();
@@ -94,14 +94,14 @@
         cuts in prop::collection::vec(any::<usize>(), 0..6),
     ) {
         let parts = split_at(&bytes, &cuts);
-        let limits = http::Limits { head: 128, body: 256 };
+        let limits = http::Limits { head_bytes: 128, body_bytes: 256 };
         let _ = http::parse_request(&bytes, limits);
         let _ = http::parse_response(&bytes, limits);
         let one = vec![bytes.clone()];
         prop_assert_eq!(decode_body(http::Framing::Chunked, &parts).is_ok(), decode_body(http::Framing::Chunked, &one).is_ok());
         prop_assert_eq!(parse_events(&parts).is_ok(), parse_events(&one).is_ok());
         let _ = jsonrpc::parse(&bytes);
-        let _ = engine::read_answer(&bytes);
+        let _ = engine::parse_reader_response(&bytes);
         let _ = engine::parse_error_code(&bytes);
         let text = String::from_utf8_lossy(&bytes);
         let _ = engine::parse_chunk(&text);
@@ -114,7 +114,7 @@
         texts in prop::collection::vec("[ -~\u{e9}\u{1f600}\n\t]{0,12}", 1..12),
         insertions in prop::collection::vec(("[a-z\"\\\\{}:,]{0,14}", any::<usize>()), 0..4),
     ) {
-        let mut events: Vec<String> = texts.iter().map(|text| engine::text_chunk("m", text)).collect();
+        let mut events: Vec<String> = texts.iter().map(|text| engine::write_text_event("m", text)).collect();
         for (piece, at) in insertions {
             // A valid event with text inserted, which may make it malformed or change its meaning.
             let mut event = events[at % events.len()].clone();
@@ -201,12 +201,14 @@
 #[test]
 fn stream_events_and_reader_responses_round_trip() {
     let text = "caf\u{e9} \"quoted\"\n";
-    assert_eq!(engine::parse_chunk(&engine::text_chunk("m", text)).unwrap().text, text);
+    assert_eq!(engine::parse_chunk(&engine::write_text_event("m", text)).unwrap().text, text);
     let usage = engine::Usage { prompt: 9, completion: 3, cached: 4 };
-    let end = engine::parse_chunk(&engine::end_chunk("m", engine::Finish::ToolCalls, usage)).unwrap();
-    assert_eq!((end.finish, end.usage), (Some(engine::Finish::ToolCalls), Some(usage)));
+    let end =
+        engine::parse_chunk(&engine::write_end_event("m", engine::FinishReason::ToolCalls, usage)).unwrap();
+    assert_eq!((end.finish, end.usage), (Some(engine::FinishReason::ToolCalls), Some(usage)));
     let params = engine::KvParams { remote_request_id: Some("r".into()), ..Default::default() };
-    let (parsed_usage, value) = engine::read_answer(&engine::read_body("m", usage, &params)).unwrap();
+    let (parsed_usage, value) =
+        engine::parse_reader_response(&engine::write_reader_response("m", usage, &params)).unwrap();
     assert_eq!(parsed_usage, usage);
     assert_eq!(serde_json::from_value::<engine::KvParams>(value).unwrap(), params);
 }
@@ -214,26 +216,26 @@
 #[test]
 fn load_reports_round_trip() {
     let mut report = orca::Report { application_utilization: 0.5, ..Default::default() };
-    report.named_metrics.insert(orca::KV_USAGE.into(), 0.25);
+    report.named_metrics.insert(orca::KV_USAGE_METRIC.into(), 0.25);
     assert_eq!(orca::parse(&orca::format(&report)), Some(report));
     assert_eq!(orca::parse("TEXT cpu_utilization=0.3"), None);
 }
 
 /// Addresses in each of the three forms.
-fn any_address() -> impl Strategy<Value = Place> {
+fn any_address() -> impl Strategy<Value = Endpoint> {
     let v4 = (1..=223u8, any::<[u8; 3]>(), 1..=u16::MAX)
-        .prop_map(|(a, [b, c, d], port)| Place::Tcp(([a, b, c, d], port).into()));
+        .prop_map(|(a, [b, c, d], port)| Endpoint::Tcp(([a, b, c, d], port).into()));
     let v6 = (any::<[u16; 8]>(), 1..=u16::MAX, 1..=u32::MAX).prop_filter_map("usable", |(ip, port, zone)| {
         let ip = std::net::Ipv6Addr::from(ip);
         let zone = if ip.is_unicast_link_local() { zone } else { 0 };
         let usable = !ip.is_unspecified() && !ip.is_multicast();
-        usable.then(|| Place::Tcp(std::net::SocketAddrV6::new(ip, port, 0, zone).into()))
+        usable.then(|| Endpoint::Tcp(std::net::SocketAddrV6::new(ip, port, 0, zone).into()))
     });
     let link_local = (any::<u16>(), 1..=u16::MAX, 1..=u32::MAX).prop_map(|(last, port, zone)| {
         let ip = std::net::Ipv6Addr::new(0xfe80, 0, 0, 0, 0, 0, 0, last);
-        Place::Tcp(std::net::SocketAddrV6::new(ip, port, 0, zone).into())
+        Endpoint::Tcp(std::net::SocketAddrV6::new(ip, port, 0, zone).into())
     });
-    let unix = "/[a-z0-9 :.%\\[\\]-]{0,90}[a-z]".prop_map(|path: String| Place::Unix(path.into()));
+    let unix = "/[a-z0-9 :.%\\[\\]-]{0,90}[a-z]".prop_map(|path: String| Endpoint::Unix(path.into()));
     prop_oneof![v4, v6, link_local, unix]
 }
 
@@ -242,7 +244,7 @@
 
     #[test]
     fn printed_addresses_parse_to_themselves(place in any_address()) {
-        prop_assert_eq!(place.to_string().parse::<Place>(), Ok(place));
+        prop_assert_eq!(place.to_string().parse::<Endpoint>(), Ok(place));
     }
 
     /// Changes one character of an address: parsing never panics, and an accepted address prints and parses to
@@ -253,8 +255,8 @@
         let at = at.index(chars.len());
         chars.splice(at..=at, with.chars());
         let text: String = chars.into_iter().collect();
-        if let Ok(read) = text.parse::<Place>() {
-            prop_assert_eq!(read.to_string().parse::<Place>(), Ok(read));
+        if let Ok(read) = text.parse::<Endpoint>() {
+            prop_assert_eq!(read.to_string().parse::<Endpoint>(), Ok(read));
         }
     }
 }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use elderstage_net::{Conn, EndpointPath, NetError, connect, exchange, send, sleep};
-use elderstage_protocol::http::Body;
+use elderstage_protocol::http::BodyDecoder;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{mcp, sse};
 use elderstage_standin::traffic::{Log, Seen};
@@ -397,14 +397,14 @@
             ClientBehavior::Disconnect(after) | ClientBehavior::Cancel(after) => (started + after, false),
             _ => (deadline, false),
         };
-        let (mut parser, mut events, mut bytes) = (sse::Parser::default(), Vec::new(), Vec::new());
+        let (mut parser, mut events, mut bytes) = (sse::EventParser::default(), Vec::new(), Vec::new());
         let (mut body, mut first, mut text) = (None, None, String::new());
         loop {
             conn.set_deadline(Some(read_until));
             bytes.clear();
             let read = match &mut body {
                 None => conn.receive_response().map(|head| {
-                    body = Some(Body::new(head.framing));
+                    body = Some(BodyDecoder::new(head.framing));
                     true
                 }),
                 Some(body) => conn.receive_body_piece(body, &mut bytes),
@@ -465,7 +465,7 @@
         let (outcome, retry_after_ms, end) = match &result {
             Ok(result) => {
                 // The streamed pieces must add up to the text of the result.
-                let full_text = mcp::tool_text(result).map(|result| result.text).unwrap_or_default();
+                let full_text = mcp::parse_tool_result(result).map(|result| result.text).unwrap_or_default();
                 if full_text == text {
                     ("served", None, RequestEnd::Served)
                 } else {
--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use elderstage_config::{At, ConfigError, Directive, Errors, directives, number, time};
-use elderstage_protocol::place::Family;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_standin::host::DoorFault;
 use elderstage_standin::model::{Role, Spec};
 use elderstage_standin::tool::ToolFault;
@@ -52,7 +52,7 @@
         /// Name of the engine, or `None` for all engines.
         engine: Option<String>,
         /// Family of the address.
-        way: Family,
+        way: AddressFamily,
         /// The fault, or [`DoorFault::None`] to end it.
         fault: DoorFault,
     },
@@ -314,7 +314,7 @@
     }
 
     /// The kinds of address of an engine, which follow its cell. IPv4 if none is named.
-    fn address_families(&mut self, directive: &Directive) -> Vec<Family> {
+    fn address_families(&mut self, directive: &Directive) -> Vec<AddressFamily> {
         let mut families = Vec::new();
         for word in directive.values.iter().skip(4) {
             match parse_family(word) {
@@ -325,7 +325,7 @@
                 ),
             }
         }
-        if families.is_empty() { vec![Family::V4] } else { families }
+        if families.is_empty() { vec![AddressFamily::V4] } else { families }
     }
 
     /// Parses `at 2s address w1 ipv6 flaps 500ms silent for 5s`: the fault is on for the first half of each period.
@@ -386,8 +386,10 @@
     }
 }
 
-fn parse_family(word: &str) -> Option<Family> {
-    [Family::Unix, Family::V6, Family::V4].into_iter().find(|family| family.to_string() == word)
+fn parse_family(word: &str) -> Option<AddressFamily> {
+    [AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4]
+        .into_iter()
+        .find(|family| family.to_string() == word)
 }
 
 fn parse_address_fault(word: &str) -> Option<DoorFault> {
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -9,8 +9,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use elderstage_net::Place;
-use elderstage_protocol::place::Family;
+use elderstage_net::Endpoint;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_standin::host::{Control, DoorFault, Host, Options};
 use elderstage_standin::model::{Role, Spec};
 use elderstage_standin::tool::ToolServer;
@@ -37,7 +37,7 @@
     /// Its cell within the zone.
     pub cell: u32,
     /// Kinds of its addresses, in the order of preference.
-    pub ways: Vec<Family>,
+    pub ways: Vec<AddressFamily>,
 }
 
 /// The description of a fleet, from which it is started and its fronts are configured.
@@ -83,13 +83,13 @@
 
 /// The places of an engine besides its IPv4 address. Every engine has that one, because other engines fetch states
 /// through it.
-fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Place>> {
+fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Endpoint>> {
     let mut places = Vec::new();
     for family in &engine.ways {
         match family {
-            Family::V4 => {}
-            Family::V6 => places.push(Place::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
-            Family::Unix => places.push(Place::Unix(dir.join(format!("{}.sock", engine.name)))),
+            AddressFamily::V4 => {}
+            AddressFamily::V6 => places.push(Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
+            AddressFamily::Unix => places.push(Endpoint::Unix(dir.join(format!("{}.sock", engine.name)))),
         }
     }
     Ok(places)
@@ -118,12 +118,17 @@
     }
 
     /// Index of the engine's first place of this family, as [`Control::Door`] takes it.
-    pub fn place_index(&self, engine: &str, family: Family) -> Option<usize> {
+    pub fn place_index(&self, engine: &str, family: AddressFamily) -> Option<usize> {
         self.hosts.get(engine)?.places().iter().position(|place| place.family() == family)
     }
 
     /// Sets the fault of one kind of address, at one engine or at all engines that have it.
-    pub fn fault(&self, engine: Option<&str>, family: Family, fault: DoorFault) -> std::io::Result<()> {
+    pub fn fault(
+        &self,
+        engine: Option<&str>,
+        family: AddressFamily,
+        fault: DoorFault,
+    ) -> std::io::Result<()> {
         for (name, host) in &self.hosts {
             if engine.is_none_or(|engine| engine == name)
                 && let Some(index) = self.place_index(name, family)
@@ -137,8 +142,9 @@
     /// The engine's addresses in the order of preference, as the server list has them.
     fn addresses(&self, engine: &Engine) -> String {
         let places = self.hosts.get(&engine.name).map(Host::places).unwrap_or_default();
-        let address =
-            |family: &Family| places.iter().find(|place| place.family() == *family).map(ToString::to_string);
+        let address = |family: &AddressFamily| {
+            places.iter().find(|place| place.family() == *family).map(ToString::to_string)
+        };
         engine.ways.iter().filter_map(address).collect::<Vec<_>>().join(" ")
     }
 
@@ -240,7 +246,7 @@
         kind,
         zone: "a".into(),
         cell: 0,
-        ways: vec![Family::V4],
+        ways: vec![AddressFamily::V4],
     };
     Site {
         zones: vec!["a".into()],
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -15,10 +15,10 @@
     example_settings,
 };
 use elderstage_net::{Conn, EndpointPath, Listener, NetError, connect, receive, send, spawn};
-use elderstage_protocol::engine::{self, Ask, Message, Stage};
-use elderstage_protocol::http::{self, Body};
+use elderstage_protocol::engine::{self, CompletionRequest, Message, Stage};
+use elderstage_protocol::http::{self, BodyDecoder};
 use elderstage_protocol::jsonrpc::{self, Id};
-use elderstage_protocol::place::Family;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_protocol::{mcp, sse};
 use elderstage_standin::model::{Role, Spec};
 use elderstage_standin::traffic::Log;
@@ -105,7 +105,7 @@
             kind,
             zone: "a".into(),
             cell: 0,
-            ways: vec![Family::V4],
+            ways: vec![AddressFamily::V4],
         };
         site.engines.extend((0..count).map(engine));
     }
@@ -130,7 +130,7 @@
 /// Reads a stream to its end and passes the events of each read to `on_events`.
 fn read_events(conn: &mut Conn, mut on_events: impl FnMut(&[sse::Event])) -> Result<(), NetError> {
     let head = conn.receive_response()?;
-    let (mut body, mut parser) = (Body::new(head.framing), sse::Parser::default());
+    let (mut body, mut parser) = (BodyDecoder::new(head.framing), sse::EventParser::default());
     let (mut bytes, mut events) = (Vec::new(), Vec::new());
     while conn.receive_body_piece(&mut body, &mut bytes)? {
         if parser.push(&bytes, &mut events).is_err() {
@@ -153,21 +153,21 @@
     conns: &mut (Conn, Conn),
 ) -> Result<Duration, NetError> {
     let started = Instant::now();
-    let ask = |stage| Ask {
+    let ask = |stage| CompletionRequest {
         model: "ask".into(),
         messages: vec![Message::text("user", prompt)],
         tools: Vec::new(),
         max_tokens: 512,
         stage,
     };
-    let path = engine::COMPLETIONS.to_owned();
+    let path = engine::COMPLETIONS_PATH.to_owned();
     let json = [("content-type", "application/json"), ("x-request-id", "direct/1/0")];
     let to = EndpointPath::new(reader, path.clone());
-    send(&mut conns.0, "POST", &to, &json, &engine::body(&ask(Stage::Read)))?;
+    send(&mut conns.0, "POST", &to, &json, &engine::write_request_body(&ask(Stage::Read)))?;
     let answer = receive(&mut conns.0)?;
-    let Some((_, state)) = engine::read_answer(&answer.body) else { return Err(NetError::Closed) };
+    let Some((_, state)) = engine::parse_reader_response(&answer.body) else { return Err(NetError::Closed) };
     let to = EndpointPath::new(writer, path);
-    send(&mut conns.1, "POST", &to, &json, &engine::body(&ask(Stage::Write(state))))?;
+    send(&mut conns.1, "POST", &to, &json, &engine::write_request_body(&ask(Stage::Write(state))))?;
     let mut first = None;
     read_events(&mut conns.1, |_| {
         first.get_or_insert_with(|| started.elapsed());
@@ -293,17 +293,17 @@
     let mut chunk = Vec::new();
     for index in 0..64 {
         chunk.clear();
-        sse::write(
+        sse::write_event(
             None,
-            &engine::text_chunk("ask", if index % 2 == 0 { "clay " } else { "glaze " }),
+            &engine::write_text_event("ask", if index % 2 == 0 { "clay " } else { "glaze " }),
             &mut chunk,
         );
         http::write_chunk(&chunk, &mut events);
     }
     let mut last = Vec::new();
     let usage = engine::Usage { prompt: 9, completion: tokens, cached: 0 };
-    sse::write(None, &engine::end_chunk("ask", engine::Finish::Stop, usage), &mut last);
-    sse::write(None, engine::DONE, &mut last);
+    sse::write_event(None, &engine::write_end_event("ask", engine::FinishReason::Stop, usage), &mut last);
+    sse::write_event(None, engine::STREAM_END_DATA, &mut last);
     let mut end = Vec::new();
     http::write_chunk(&last, &mut end);
     end.extend_from_slice(http::LAST_CHUNK);
@@ -398,25 +398,26 @@
                     let to = EndpointPath::new(addr, "/mcp");
                     send(&mut conn, "POST", &to, &HEADERS, &call_body("all of it"))?;
                 } else {
-                    let ask = Ask {
+                    let ask = CompletionRequest {
                         model: "ask".into(),
                         messages: vec![Message::text("user", "all of it")],
                         tools: Vec::new(),
                         max_tokens: 1 << 20,
                         stage: Stage::Whole,
                     };
-                    let to = EndpointPath::new(addr, engine::COMPLETIONS);
-                    send(&mut conn, "POST", &to, &HEADERS[..1], &engine::body(&ask))?;
+                    let to = EndpointPath::new(addr, engine::COMPLETIONS_PATH);
+                    send(&mut conn, "POST", &to, &HEADERS[..1], &engine::write_request_body(&ask))?;
                 }
                 // In both cases the bytes are read and discarded; the last chunk marks the end.
                 let head = conn.receive_response()?;
-                let (mut body, mut bytes) = (Body::new(head.framing), Vec::new());
+                let (mut body, mut bytes) = (BodyDecoder::new(head.framing), Vec::new());
                 // Enough of the end is kept to tell whether the stream was served.
                 while conn.receive_body_piece(&mut body, &mut bytes)? {
                     bytes.drain(..bytes.len().saturating_sub(TAIL_BYTES));
                 }
                 let tail = String::from_utf8_lossy(&bytes);
-                let is_served = tail.contains(if through_front { "\"isError\":false" } else { engine::DONE });
+                let is_served =
+                    tail.contains(if through_front { "\"isError\":false" } else { engine::STREAM_END_DATA });
                 if is_served { Ok(()) } else { Err(NetError::Closed) }
             });
             if done.is_ok() {
@@ -525,7 +526,7 @@
                     for event in events {
                         let message = jsonrpc::parse(event.data.as_bytes());
                         if let Ok(jsonrpc::Message::Response { result: Ok(result), .. }) = message {
-                            is_served = mcp::tool_text(&result).is_some();
+                            is_served = mcp::parse_tool_result(&result).is_some();
                         }
                     }
                 })?;
@@ -650,7 +651,7 @@
 pub fn connects(rounds: u32) -> std::io::Result<Value> {
     elderstage_net::init(2);
     let mut site = build_site(vec![(Role::Mixed, 1, Spec::default())], CLASSES.into());
-    site.engines[0].ways = vec![Family::Unix, Family::V6, Family::V4];
+    site.engines[0].ways = vec![AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
     let fleet = Fleet::start(site, &Log::none())?;
     let places = fleet.hosts.values().next().map(elderstage_standin::host::Host::places).unwrap_or_default();
     let mut kinds = serde_json::Map::new();
@@ -673,9 +674,9 @@
 }
 
 /// Median time in microseconds of an exchange on a pooled connection, and on a new one.
-fn time_exchanges(place: &elderstage_net::Place, rounds: u32) -> Result<(f64, f64), String> {
+fn time_exchanges(place: &elderstage_net::Endpoint, rounds: u32) -> Result<(f64, f64), String> {
     let message = |error: NetError| error.to_string();
-    let to = EndpointPath::new(place.clone(), engine::HEALTH);
+    let to = EndpointPath::new(place.clone(), engine::HEALTH_PATH);
     let mut pooled = connect(place.clone(), TIMEOUT).map_err(message)?;
     let (mut pooled_us, mut new_us) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
@@ -703,7 +704,7 @@
     let places = |n: usize| {
         ["unix:/run/s", "[::1]:", "127.0.0.1:"]
             .iter()
-            .filter_map(|start| format!("{start}{}", 1000 + n).parse::<elderstage_net::Place>().ok())
+            .filter_map(|start| format!("{start}{}", 1000 + n).parse::<elderstage_net::Endpoint>().ok())
             .collect::<Vec<_>>()
     };
     addresses.apply_list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), places(n), false)));
--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -11,7 +11,7 @@
 use elderstage_core::addresses::{
     Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, Race, RaceStep, Trial,
 };
-use elderstage_protocol::place::{Family, Place};
+use elderstage_protocol::place::{AddressFamily, Endpoint};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -88,13 +88,13 @@
     /// Number of servers.
     pub servers: usize,
     /// Families of each server's addresses, in the order of preference.
-    pub families: Vec<Family>,
+    pub families: Vec<AddressFamily>,
     /// Requests a second of each front; arrivals are Poisson.
     pub requests_per_s: f64,
     /// How fronts find a working address.
     pub policy: Policy,
     /// The family of the faulty addresses, or all families, and how these addresses behave during the fault.
-    pub fault: (Option<Family>, AddressBehavior),
+    pub fault: (Option<AddressFamily>, AddressBehavior),
     /// Number of servers that have the fault: the first ones.
     pub faulty_servers: usize,
     /// How long the fault is on, and then off, in turn. 0 for a fault that is always on.
@@ -175,7 +175,7 @@
     /// Names of the servers.
     names: Vec<ServerId>,
     /// Places of each server.
-    places: Vec<Vec<Place>>,
+    places: Vec<Vec<Endpoint>>,
     /// Number of dials in each second.
     dials: BTreeMap<Time, u64>,
     summary: SimulationSummary,
@@ -187,12 +187,12 @@
         .unwrap_or_else(|_| Histogram::new(3).expect("three significant digits are valid"))
 }
 
-fn make_place(server: usize, index: usize, family: Family) -> Place {
+fn make_place(server: usize, index: usize, family: AddressFamily) -> Endpoint {
     let port = 1000 + (server * 8 + index) as u16;
     match family {
-        Family::Unix => Place::Unix(format!("/{server}-{index}").into()),
-        Family::V6 => Place::Tcp((std::net::Ipv6Addr::LOCALHOST, port).into()),
-        Family::V4 => Place::Tcp((std::net::Ipv4Addr::LOCALHOST, port).into()),
+        AddressFamily::Unix => Endpoint::Unix(format!("/{server}-{index}").into()),
+        AddressFamily::V6 => Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, port).into()),
+        AddressFamily::V4 => Endpoint::Tcp((std::net::Ipv4Addr::LOCALHOST, port).into()),
     }
 }
 
@@ -201,7 +201,7 @@
     let names: Vec<ServerId> = (0..scenario.servers).map(|n| ServerId(format!("s{n}").into())).collect();
     let server_places =
         |server| scenario.families.iter().enumerate().map(move |(i, family)| make_place(server, i, *family));
-    let places: Vec<Vec<Place>> =
+    let places: Vec<Vec<Endpoint>> =
         (0..scenario.servers).map(|server| server_places(server).collect()).collect();
     let mut seed_rng = ChaCha8Rng::seed_from_u64(scenario.seed);
     let list = || names.iter().cloned().zip(places.iter().cloned()).map(|(n, p)| (n, p, false));
@@ -250,7 +250,7 @@
     }
 
     /// How an address behaves now.
-    fn behavior(&self, place: &Place) -> AddressBehavior {
+    fn behavior(&self, place: &Endpoint) -> AddressBehavior {
         let (family, behavior) = self.scenario.fault;
         let has_fault = family.is_none_or(|family| place.family() == family)
             && self.places[..self.scenario.faulty_servers].iter().any(|places| places.contains(place));
@@ -479,7 +479,7 @@
                     request.is_finished = true;
                     let place = request.race.place(lane).clone();
                     let address = self.places[server].iter().position(|p| *p == place).unwrap_or(0);
-                    let unused: Vec<Place> =
+                    let unused: Vec<Endpoint> =
                         request.race.unused_lanes().map(|lane| request.race.place(lane).clone()).collect();
                     for place in unused {
                         state.addresses.return_connection(now, &place, (), ConnectionAge::new(now));
@@ -558,10 +558,10 @@
     Scenario {
         fronts,
         servers,
-        families: vec![Family::V6, Family::V4, Family::Unix],
+        families: vec![AddressFamily::V6, AddressFamily::V4, AddressFamily::Unix],
         requests_per_s: 200.0,
         policy: Policy::Learned,
-        fault: (Some(Family::V6), AddressBehavior::Silent),
+        fault: (Some(AddressFamily::V6), AddressBehavior::Silent),
         faulty_servers: servers,
         flap_interval: 0,
         fault_start: 10 * SECOND,
@@ -661,10 +661,10 @@
     simulate(Scenario {
         fronts: 1,
         servers: 1,
-        families: vec![Family::V6, Family::V4],
+        families: vec![AddressFamily::V6, AddressFamily::V4],
         requests_per_s: 50.0,
         policy,
-        fault: (Some(Family::V6), behavior),
+        fault: (Some(AddressFamily::V6), behavior),
         faulty_servers: 1,
         flap_interval,
         fault_start: 10 * SECOND,
--- a/crates/standin/src/host/door.rs
+++ b/crates/standin/src/host/door.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use elderstage_net::{Listener, ListenerHandle, Place, spawn};
+use elderstage_net::{Endpoint, Listener, ListenerHandle, spawn};
 
 use super::{OpenConnection, Shared, lock, serve};
 
@@ -54,7 +54,7 @@
 
 /// A listen address, its fault and its listener.
 pub(super) struct ListenAddress {
-    place: Place,
+    place: Endpoint,
     fault: DoorFault,
     /// A listener bound before the engine starts, so that its port is known.
     prebound: Option<Listener>,
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn place(&self) -> &Place {
+    pub fn place(&self) -> &Endpoint {
         &self.place
     }
 
@@ -96,13 +96,13 @@
         self.stop_listening();
         match self.fault {
             DoorFault::Refuses => {
-                if let Place::Unix(path) = &self.place {
+                if let Endpoint::Unix(path) = &self.place {
                     leave_stale_socket_file(path)?;
                 }
                 Ok(())
             }
             DoorFault::Missing => {
-                if let Place::Unix(path) = &self.place {
+                if let Endpoint::Unix(path) = &self.place {
                     remove_socket_file(path)?;
                 }
                 Ok(())
@@ -113,7 +113,7 @@
                     Some(listener) => listener,
                     None => bind_listener(&self.place)?,
                 };
-                if let (DoorFault::Denied, Place::Unix(path)) = (self.fault, &self.place) {
+                if let (DoorFault::Denied, Endpoint::Unix(path)) = (self.fault, &self.place) {
                     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o000))?;
                 }
                 self.listener_stop = Some(listener.handle());
@@ -152,8 +152,8 @@
     fn fill_backlog(&mut self) -> std::io::Result<()> {
         use socket2::{Domain, SockAddr, Socket, Type};
         let (domain, addr) = match &self.place {
-            Place::Tcp(addr) => (Domain::for_address(*addr), SockAddr::from(*addr)),
-            Place::Unix(path) => {
+            Endpoint::Tcp(addr) => (Domain::for_address(*addr), SockAddr::from(*addr)),
+            Endpoint::Unix(path) => {
                 remove_socket_file(path)?;
                 (Domain::UNIX, SockAddr::unix(path)?)
             }
@@ -192,8 +192,8 @@
 }
 
 /// Binds a listener, over the socket file of an earlier process if there is one.
-fn bind_listener(place: &Place) -> std::io::Result<Listener> {
-    if let Place::Unix(path) = place {
+fn bind_listener(place: &Endpoint) -> std::io::Result<Listener> {
+    if let Endpoint::Unix(path) = place {
         // A starting process removes the socket file that an earlier one left.
         remove_socket_file(path)?;
     }
--- a/crates/standin/src/host/mod.rs
+++ b/crates/standin/src/host/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use elderstage_net::owner::{self, Clock, EventSender};
-use elderstage_net::{Listener, Place, ShutdownHandle};
+use elderstage_net::{Endpoint, Listener, ShutdownHandle};
 use elderstage_protocol::orca;
 
 use crate::model::{Ail, Engine, Spec};
@@ -34,7 +34,7 @@
     /// Port 0 lets the operating system choose a port; the port stays the same across restarts.
     pub listen: SocketAddr,
     /// Additional addresses to listen on.
-    pub also: Vec<Place>,
+    pub also: Vec<Endpoint>,
     pub zone: String,
     pub cell: u32,
     /// Transfer rate of KV states in tokens per second: within the cell, between cells, between zones.
@@ -117,12 +117,12 @@
     /// Starts an engine and listens on all its addresses.
     pub fn start(options: Options, cold: bool, log: Log) -> std::io::Result<Host> {
         let mut addresses = Vec::new();
-        for place in [Place::Tcp(options.listen)].iter().chain(&options.also) {
+        for place in [Endpoint::Tcp(options.listen)].iter().chain(&options.also) {
             addresses.push(Mutex::new(ListenAddress::new(Listener::bind_endpoint(place)?)));
         }
         let addr = match lock(&addresses[0]).place() {
-            Place::Tcp(addr) => *addr,
-            Place::Unix(_) => options.listen,
+            Endpoint::Tcp(addr) => *addr,
+            Endpoint::Unix(_) => options.listen,
         };
         let (inbox, commands) = owner::queue(MAX_QUEUED_COMMANDS);
         let clock = Clock::new(1);
@@ -153,7 +153,7 @@
     }
 
     /// The listen addresses; the TCP address of `Options::listen` comes first.
-    pub fn places(&self) -> Vec<Place> {
+    pub fn places(&self) -> Vec<Endpoint> {
         self.shared.addresses.iter().map(|address| lock(address).place().clone()).collect()
     }
 
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -83,7 +83,7 @@
                     &mut conn,
                     error.status(),
                     &[],
-                    &engine::error_body("bad_request", &error.to_string()),
+                    &engine::write_error_body("bad_request", &error.to_string()),
                 );
                 return;
             }
@@ -100,7 +100,7 @@
             }
             DoorFault::Stalls | DoorFault::Silent => {
                 // A request whose body was sent is logged as received, because the rules check what was sent.
-                let is_body_sent = head.target == engine::COMPLETIONS && !expects_continue;
+                let is_body_sent = head.target == engine::COMPLETIONS_PATH && !expects_continue;
                 let body = if is_body_sent { conn.receive_body(head.framing).ok() } else { None };
                 let rid = body.map(|body| shared.log_request(&head, &body));
                 hold_until_fault_ends(shared, &conn, address_index, fault);
@@ -116,7 +116,7 @@
             return;
         }
         let Ok(body) = conn.receive_body(head.framing) else { return };
-        let is_completion = head.target == engine::COMPLETIONS;
+        let is_completion = head.target == engine::COMPLETIONS_PATH;
         if fault == DoorFault::StallsAfterContinue && is_completion {
             // Logged as received: the body was sent, and the rules check what was sent.
             let rid = shared.log_request(&head, &body);
@@ -195,41 +195,41 @@
         // nevertheless, because the rules check what was sent.
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
         match head.target.as_str() {
-            engine::COMPLETIONS => drop(shared.log_request(head, body)),
-            engine::ABORT => shared.log_release(body),
+            engine::COMPLETIONS_PATH => drop(shared.log_request(head, body)),
+            engine::ABORT_PATH => shared.log_release(body),
             _ => {}
         }
         while conn.is_idle() {
             sleep(PEER_CHECK_INTERVAL);
         }
-        if head.target == engine::COMPLETIONS {
+        if head.target == engine::COMPLETIONS_PATH {
             shared.log.see(&shared.options.name, Seen::Answered { rid, how: "cut".into() });
         }
         return Ok(AfterRequest::Close);
     }
     let json_headers = [("content-type", "application/json")];
     match (head.method.as_str(), head.target.as_str()) {
-        ("GET", engine::HEALTH) => {
+        ("GET", engine::HEALTH_PATH) => {
             let report = current_report(shared, &faults);
-            let headers = [(orca::HEADER, report.as_str())];
+            let headers = [(orca::REPORT_HEADER, report.as_str())];
             send_response(conn, 200, &headers, b"")?;
         }
-        ("POST", engine::COMPLETIONS) => {
+        ("POST", engine::COMPLETIONS_PATH) => {
             return serve_completion(shared, conn, request, &front, &faults);
         }
-        ("POST", engine::ABORT | CLAIM_PATH | TAKEN_PATH) => {
+        ("POST", engine::ABORT_PATH | CLAIM_PATH | TAKEN_PATH) => {
             let json_body: Value = serde_json::from_slice(body).unwrap_or_default();
             let Some(rid) = json_body.get("rid").and_then(Value::as_str).map(str::to_owned) else {
                 send_response(
                     conn,
                     400,
                     &json_headers,
-                    &engine::error_body("bad_request", "expected a rid"),
+                    &engine::write_error_body("bad_request", "expected a rid"),
                 )?;
                 return Ok(AfterRequest::KeepOpen);
             };
             let (status, reply_body) = match head.target.as_str() {
-                engine::ABORT => {
+                engine::ABORT_PATH => {
                     shared.log_release(body);
                     let (reply, replies) = channel();
                     shared.inbox.send(Command::ReleaseState { rid, reply });
@@ -251,22 +251,22 @@
             };
             send_response(conn, status, &json_headers, reply_body.to_string().as_bytes())?;
         }
-        (_, engine::HEALTH | engine::COMPLETIONS | engine::ABORT) => {
+        (_, engine::HEALTH_PATH | engine::COMPLETIONS_PATH | engine::ABORT_PATH) => {
             send_response(
                 conn,
                 405,
                 &json_headers,
-                &engine::error_body("method_not_allowed", "wrong method"),
+                &engine::write_error_body("method_not_allowed", "wrong method"),
             )?;
         }
-        _ => send_response(conn, 404, &json_headers, &engine::error_body("not_found", "no such path"))?,
+        _ => send_response(conn, 404, &json_headers, &engine::write_error_body("not_found", "no such path"))?,
     }
     Ok(AfterRequest::KeepOpen)
 }
 
 /// Returns the task name for the log of a completion request that is not served.
 fn task_name(body: &[u8]) -> &'static str {
-    let completion_request: Option<engine::Asked> = serde_json::from_slice(body).ok();
+    let completion_request: Option<engine::ParsedCompletionRequest> = serde_json::from_slice(body).ok();
     let is_read = completion_request
         .and_then(|completion_request| completion_request.kv_transfer_params)
         .is_some_and(|params| params.do_remote_decode);
@@ -287,12 +287,12 @@
 
 fn build_report(load: &Load, started_at: f64) -> orca::Report {
     let metrics = [
-        (orca::RUNNING, load.running as f64),
-        (orca::WAITING, load.waiting as f64),
-        (orca::KV_USAGE, load.kv_usage),
-        (orca::PENDING_TOKENS, load.pending_tokens as f64),
-        (orca::LATENCY_MS, load.recent_latency as f64 / 1e3),
-        (orca::STARTED, started_at),
+        (orca::RUNNING_METRIC, load.running as f64),
+        (orca::WAITING_METRIC, load.waiting as f64),
+        (orca::KV_USAGE_METRIC, load.kv_usage),
+        (orca::PENDING_TOKENS_METRIC, load.pending_tokens as f64),
+        (orca::LATENCY_MS_METRIC, load.recent_latency as f64 / 1e3),
+        (orca::STARTED_METRIC, started_at),
     ];
     orca::Report {
         application_utilization: load.slot_usage,
@@ -311,10 +311,15 @@
     let EngineRequest { head, body, stall_address } = *request;
     let json_headers = [("content-type", "application/json")];
     let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
-    let completion_request: engine::Asked = match serde_json::from_slice(body) {
+    let completion_request: engine::ParsedCompletionRequest = match serde_json::from_slice(body) {
         Ok(completion_request) => completion_request,
         Err(error) => {
-            send_response(conn, 400, &json_headers, &engine::error_body("bad_request", &error.to_string()))?;
+            send_response(
+                conn,
+                400,
+                &json_headers,
+                &engine::write_error_body("bad_request", &error.to_string()),
+            )?;
             return Ok(AfterRequest::KeepOpen);
         }
     };
@@ -350,7 +355,12 @@
         |outcome: &str| shared.log.see(name, Seen::Answered { rid: rid.clone(), how: outcome.into() });
     if faults.full {
         log_outcome("full");
-        send_response(conn, 429, &json_headers, &engine::error_body("rate_limit", "too many requests"))?;
+        send_response(
+            conn,
+            429,
+            &json_headers,
+            &engine::write_error_body("rate_limit", "too many requests"),
+        )?;
         return Ok(AfterRequest::KeepOpen);
     }
     let id = JobId(shared.next_id.fetch_add(1, Ordering::Relaxed));
@@ -391,7 +401,7 @@
     updates: Receiver<JobUpdate>,
     id: JobId,
     rid: &'a str,
-    completion_request: &'a engine::Asked,
+    completion_request: &'a engine::ParsedCompletionRequest,
     turn: &'a script::Turn,
     prompt_tokens: u64,
     /// Index of the listen address whose fault stalls the stream.
@@ -416,11 +426,11 @@
         let (outcome, status, code) = match reason {
             RejectReason::Full => ("full", 429, "rate_limit"),
             RejectReason::WrongRole => ("wrong-role", 400, "wrong_role"),
-            RejectReason::NoState => ("no-state", 424, engine::NO_STATE),
+            RejectReason::NoState => ("no-state", 424, engine::KV_STATE_MISSING_CODE),
             RejectReason::Down => ("down", 500, "engine_dead"),
         };
         let json_headers = [("content-type", "application/json")];
-        let sent = send_response(self.conn, status, &json_headers, &engine::error_body(code, outcome));
+        let sent = send_response(self.conn, status, &json_headers, &engine::write_error_body(code, outcome));
         (outcome, sent.map(|()| AfterRequest::KeepOpen))
     }
 
@@ -465,11 +475,12 @@
             remote_request_id: Some(self.rid.to_owned()),
             ..engine::KvParams::default()
         };
-        let body = engine::read_body(&self.completion_request.model, self.usage(1, cached_tokens), &kv);
+        let body =
+            engine::write_reader_response(&self.completion_request.model, self.usage(1, cached_tokens), &kv);
         // The faults are copied first: no lock is held while this waits for the report.
         let faults = lock(&self.shared.faults).clone();
         let report = current_report(self.shared, &faults);
-        let headers = [("content-type", "application/json"), (orca::HEADER, report.as_str())];
+        let headers = [("content-type", "application/json"), (orca::REPORT_HEADER, report.as_str())];
         send_response(self.conn, 200, &headers, &body)?;
         Ok(AfterRequest::KeepOpen)
     }
@@ -490,7 +501,7 @@
         let (mut out, mut event) = (Vec::with_capacity(1024), Vec::with_capacity(256));
         let headers = [
             ("content-type", "text/event-stream"),
-            (orca::HEADER, report.as_str()),
+            (orca::REPORT_HEADER, report.as_str()),
             ("cache-control", "no-store"),
         ];
         http::write_stream_head(200, &headers, &mut out);
@@ -508,9 +519,11 @@
                         return ("broken", Ok(AfterRequest::Close));
                     }
                     event.clear();
-                    let data =
-                        engine::text_chunk(&self.completion_request.model, &self.turn.token_text(index));
-                    sse::write(None, &data, &mut event);
+                    let data = engine::write_text_event(
+                        &self.completion_request.model,
+                        &self.turn.token_text(index),
+                    );
+                    sse::write_event(None, &data, &mut event);
                     http::write_chunk(&event, &mut out);
                 }
                 Some(JobUpdate::AnswerDone { cached_tokens }) => {
@@ -544,18 +557,26 @@
     fn write_last_events(&self, cached_tokens: u64, out: &mut Vec<u8>) {
         let mut event = Vec::new();
         let finish = match &self.turn.call {
-            None => engine::Finish::Stop,
+            None => engine::FinishReason::Stop,
             Some((name, arguments)) => {
-                let function = engine::Function { name: name.clone(), arguments: arguments.clone() };
+                let function = engine::FunctionCall { name: name.clone(), arguments: arguments.clone() };
                 let call =
                     engine::ToolCall { id: format!("call-{}", self.id.0), kind: "function".into(), function };
-                sse::write(None, &engine::call_chunk(&self.completion_request.model, &call), &mut event);
-                engine::Finish::ToolCalls
+                sse::write_event(
+                    None,
+                    &engine::write_tool_call_event(&self.completion_request.model, &call),
+                    &mut event,
+                );
+                engine::FinishReason::ToolCalls
             }
         };
         let usage = self.usage(self.turn.token_count, cached_tokens);
-        sse::write(None, &engine::end_chunk(&self.completion_request.model, finish, usage), &mut event);
-        sse::write(None, engine::DONE, &mut event);
+        sse::write_event(
+            None,
+            &engine::write_end_event(&self.completion_request.model, finish, usage),
+            &mut event,
+        );
+        sse::write_event(None, engine::STREAM_END_DATA, &mut event);
         http::write_chunk(&event, out);
         out.extend_from_slice(http::LAST_CHUNK);
     }
--- a/crates/standin/src/platform/engine.rs
+++ b/crates/standin/src/platform/engine.rs
@@ -313,7 +313,7 @@
 
 /// Receives the next complete request. `received` holds bytes received but not parsed yet.
 fn receive_request(stream: &mut TcpStream, received: &mut Vec<u8>) -> Option<(Request, Vec<u8>)> {
-    let limits = Limits { head: 64 << 10, body: 1 << 20 };
+    let limits = Limits { head_bytes: 64 << 10, body_bytes: 1 << 20 };
     let mut receive_more = |received: &mut Vec<u8>| {
         let mut buffer = [0; 8 << 10];
         let n = stream.read(&mut buffer).ok().filter(|n| *n > 0)?;
@@ -328,8 +328,8 @@
         }
     };
     received.drain(..head_len);
-    let (mut body, mut out) = (http::Body::new(head.framing), Vec::new());
-    while !body.done() {
+    let (mut body, mut out) = (http::BodyDecoder::new(head.framing), Vec::new());
+    while !body.is_done() {
         if received.is_empty() {
             receive_more(received)?;
         }
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -6,7 +6,7 @@
 //!
 //! The words depend only on the conversation, so every engine gives the same answer.
 
-use elderstage_protocol::engine::Asked;
+use elderstage_protocol::engine::ParsedCompletionRequest;
 
 const WORDS: [&str; 16] = [
     "clay",
@@ -51,7 +51,7 @@
 }
 
 /// Returns the prompt: the concatenated text of the conversation.
-pub fn prompt_text(request: &Asked) -> String {
+pub fn prompt_text(request: &ParsedCompletionRequest) -> String {
     let mut text = String::new();
     for message in &request.messages {
         text.push_str(&message.role);
@@ -72,7 +72,7 @@
 }
 
 /// Plans the answer to a conversation: either a tool call or text.
-pub fn plan_turn(request: &Asked) -> Turn {
+pub fn plan_turn(request: &ParsedCompletionRequest) -> Turn {
     let user_message = request.messages.iter().rev().find(|m| m.role == "user");
     let user_text = user_message.and_then(|m| m.content.as_deref()).unwrap_or_default();
     let word_count = marker_value(user_text, "words").and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_WORDS);
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -221,7 +221,7 @@
 ) -> Result<bool, NetError> {
     let json_headers = [("content-type", "application/json")];
     let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
-    let call = match mcp::call(params) {
+    let call = match mcp::parse_tool_call(params) {
         Ok(call) => call,
         Err(error) => {
             send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
@@ -275,7 +275,7 @@
     let reply = jsonrpc::response(Some(id), Ok(mcp::text_result(&result_text, false)));
     let sent = if shared.answers_by_stream {
         let mut event = Vec::new();
-        sse::write(Some("message"), &reply, &mut event);
+        sse::write_event(Some("message"), &reply, &mut event);
         let mut out = Vec::new();
         http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
         http::write_chunk(&event, &mut out);
--- a/fuzz/fuzz_targets/address.rs
+++ b/fuzz/fuzz_targets/address.rs
@@ -3,7 +3,7 @@
 #![no_main]
 
 use elderstage_config::{directives, parse};
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 use libfuzzer_sys::fuzz_target;
 
 /// The part of a valid configuration before its servers.
@@ -11,9 +11,9 @@
                     route r {\n class c\n}\nkind k {\n role mixed\n kv-tokens 1000\n}\n";
 
 fuzz_target!(|text: &str| {
-    let place = text.parse::<Place>();
+    let place = text.parse::<Endpoint>();
     if let Ok(place) = &place {
-        assert_eq!(place.to_string().parse::<Place>().as_ref(), Ok(place));
+        assert_eq!(place.to_string().parse::<Endpoint>().as_ref(), Ok(place));
         let _ = (place.family(), place.host());
     }
     // The text as one quoted word in a list.
--- a/fuzz/fuzz_targets/node.rs
+++ b/fuzz/fuzz_targets/node.rs
@@ -11,7 +11,7 @@
 use elderstage_protocol::http::{self, Limits};
 use libfuzzer_sys::fuzz_target;
 
-const LIMITS: Limits = Limits { head: 16 << 10, body: ask::MAX_BODY_BYTES };
+const LIMITS: Limits = Limits { head_bytes: 16 << 10, body_bytes: ask::MAX_BODY_BYTES };
 /// The longest time that a client waits, in microseconds: the only deadline of the names below.
 const LONGEST_WAIT: Time = 1_000_000;
 
