--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -130,7 +130,7 @@
     pub at: At,
     pub name: String,
     /// Addresses, in the order of preference.
-    pub places: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     pub kind: String,
     pub zone: String,
     pub cell: u32,
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -237,11 +237,11 @@
             let what = format!("{name}: expected from 1 to {MAX_SERVER_ADDRESSES} addresses");
             self.report_error(directive.at, what);
         }
-        let mut places: Vec<Endpoint> = Vec::new();
+        let mut endpoints: Vec<Endpoint> = Vec::new();
         for (index, value) in directive.values.iter().enumerate() {
             let number = index + 1;
             match value.parse::<Endpoint>() {
-                Ok(place) => match places.iter().position(|other| *other == place) {
+                Ok(endpoint) => match endpoints.iter().position(|other| *other == endpoint) {
                     Some(first) => {
                         let what = format!(
                             "{name}: value {number}: \"{value}\" is already given as value {}",
@@ -249,7 +249,7 @@
                         );
                         self.report_error(directive.value_position(index), what);
                     }
-                    None => places.push(place),
+                    None => endpoints.push(endpoint),
                 },
                 Err(error) => {
                     self.report_error(
@@ -260,7 +260,7 @@
             }
         }
         self.record_effective_value(section, name, directive.values.join(" "), Some(directive.at));
-        places
+        endpoints
     }
 
     fn parse_bool(&mut self, section: &mut Section<'_>, name: &'static str, default: bool) -> bool {
@@ -461,7 +461,7 @@
     let server = ServerConfig {
         at: directive.at,
         name: s.name.clone(),
-        places: parser.parse_server_addresses(s, "address"),
+        endpoints: parser.parse_server_addresses(s, "address"),
         kind: parser.parse_text(s, "kind", None),
         zone: parser.parse_text(s, "zone", None),
         cell: parser.parse_number(s, "cell", Some(0.0), (0.0, 1e6)) as u32,
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -67,8 +67,8 @@
 fn server_addresses_keep_the_order_of_preference() {
     let text = VALID.replace("127.0.0.1:8001", "unix:/run/r1.sock [::1]:8001 127.0.0.1:8001");
     let config = parse("f.conf", &text).unwrap();
-    let places: Vec<String> = config.servers[0].places.iter().map(ToString::to_string).collect();
-    assert_eq!(places, ["unix:/run/r1.sock", "[::1]:8001", "127.0.0.1:8001"]);
+    let endpoints: Vec<String> = config.servers[0].endpoints.iter().map(ToString::to_string).collect();
+    assert_eq!(endpoints, ["unix:/run/r1.sock", "[::1]:8001", "127.0.0.1:8001"]);
     assert_eq!((config.connections.per_server, config.connections.idle), (512, 20_000_000));
     let with_limits =
         parse("f.conf", &format!("{VALID}connections {{\n per-server 7\n idle 1s\n}}\n")).unwrap();
--- a/crates/core/src/addresses/book.rs
+++ b/crates/core/src/addresses/book.rs
@@ -89,7 +89,7 @@
 /// An address that an attempt may try.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    pub place: Endpoint,
+    pub endpoint: Endpoint,
     pub mean_connect: f64,
     pub mean_proof: f64,
     /// A request that may be repeated needs no proof first.
@@ -113,7 +113,7 @@
 /// One server's addresses, as listed.
 #[derive(Clone, Debug)]
 struct ListedServer {
-    places: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     leaving_since: Option<Time>,
 }
 
@@ -166,7 +166,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
     pub server: ServerId,
-    pub place: Endpoint,
+    pub endpoint: Endpoint,
     /// The trial is for the whole family.
     pub is_family_trial: bool,
     /// Requests got no answer although connections were made. The trial must be as long as a request, since a
@@ -196,10 +196,10 @@
         servers: impl IntoIterator<Item = (ServerId, Vec<Endpoint>, bool)>,
     ) {
         let mut previous = std::mem::take(&mut self.servers);
-        for (server, places, is_leaving) in servers {
+        for (server, endpoints, is_leaving) in servers {
             let before = previous.remove(&server).and_then(|listed| listed.leaving_since);
             let leaving_since = is_leaving.then(|| before.unwrap_or(now));
-            self.servers.insert(server, ListedServer { places, leaving_since });
+            self.servers.insert(server, ListedServer { endpoints, leaving_since });
         }
         for (server, mut listed) in previous {
             let left = *listed.leaving_since.get_or_insert(now);
@@ -209,17 +209,17 @@
         }
         let mut leaving_by_place: BTreeMap<&Endpoint, Option<Time>> = BTreeMap::new();
         for listed in self.servers.values() {
-            for place in &listed.places {
-                let left = leaving_by_place.entry(place).or_insert(listed.leaving_since);
+            for endpoint in &listed.endpoints {
+                let left = leaving_by_place.entry(endpoint).or_insert(listed.leaving_since);
                 *left = (*left).zip(listed.leaving_since).map(|(a, b)| a.max(b));
             }
         }
-        self.addresses.retain(|place, _| leaving_by_place.contains_key(place));
-        for (place, left) in leaving_by_place {
-            self.addresses.entry(place.clone()).or_default().leaving_since = left;
+        self.addresses.retain(|endpoint, _| leaving_by_place.contains_key(endpoint));
+        for (endpoint, left) in leaving_by_place {
+            self.addresses.entry(endpoint.clone()).or_default().leaving_since = left;
         }
-        self.failing.retain(|place| self.addresses.contains_key(place));
-        self.suspects.retain(|place| self.addresses.contains_key(place));
+        self.failing.retain(|endpoint| self.addresses.contains_key(endpoint));
+        self.suspects.retain(|endpoint| self.addresses.contains_key(endpoint));
         for family in self.families.values_mut() {
             family
                 .failed_servers
@@ -236,14 +236,14 @@
     }
 
     /// The state of one address.
-    pub fn address(&self, place: &Endpoint) -> Option<&AddressState> {
-        self.addresses.get(place)
+    pub fn address(&self, endpoint: &Endpoint) -> Option<&AddressState> {
+        self.addresses.get(endpoint)
     }
 
     /// Whether connections to an address are to be closed: no server has it any more, and the grace period is
     /// over.
-    pub fn should_close(&self, place: &Endpoint, now: Time, grace: Time) -> bool {
-        match self.addresses.get(place) {
+    pub fn should_close(&self, endpoint: &Endpoint, now: Time, grace: Time) -> bool {
+        match self.addresses.get(endpoint) {
             None => true,
             Some(address) => address.leaving_since.is_some_and(|left| now >= left + grace),
         }
@@ -265,15 +265,15 @@
     pub fn candidates(&self, server: &ServerId, now: Time) -> Vec<Candidate> {
         let Some(listed) = self.servers.get(server) else { return Vec::new() };
         let usable: Vec<(usize, &AddressState)> = listed
-            .places
+            .endpoints
             .iter()
             .enumerate()
-            .filter_map(|(index, place)| Some((index, self.addresses.get(place)?)))
+            .filter_map(|(index, endpoint)| Some((index, self.addresses.get(endpoint)?)))
             .filter(|(_, address)| address.failures == 0 || address.dials_in_progress < HALF_OPEN_DIALS)
             .collect();
         let best = best_time(usable.iter().map(|(_, address)| *address));
         let key = |&(index, address): &(usize, &AddressState)| {
-            let down = !self.families.is_empty() && self.family_down(listed.places[index].family());
+            let down = !self.families.is_empty() && self.family_down(listed.endpoints[index].family());
             (
                 address.is_failing(),
                 down,
@@ -285,12 +285,12 @@
         let mut order = usable;
         order.sort_by_cached_key(key);
         let candidate = |(index, address): (usize, &AddressState)| {
-            let place = &listed.places[index];
+            let endpoint = &listed.endpoints[index];
             let is_invalidated =
-                self.proofs_invalid_until.get(&place.family()).is_some_and(|until| now < *until);
+                self.proofs_invalid_until.get(&endpoint.family()).is_some_and(|until| now < *until);
             let is_fresh = !is_invalidated && address.last_proven.is_some_and(|at| now < at + PROOF_LIFETIME);
             Candidate {
-                place: place.clone(),
+                endpoint: endpoint.clone(),
                 mean_connect: address.mean_connect,
                 mean_proof: address.mean_proof,
                 is_proven: is_fresh && address.unanswered == 0 && address.failures == 0,
@@ -307,15 +307,19 @@
         }
         self.next_slow_check = now + SLOW_RECHECK_INTERVAL / 5;
         let mut slow = Vec::new();
-        for listed in self.servers.values().filter(|listed| listed.places.len() > 1) {
-            let best = best_time(listed.places.iter().filter_map(|place| self.addresses.get(place)));
+        for listed in self.servers.values().filter(|listed| listed.endpoints.len() > 1) {
+            let best = best_time(listed.endpoints.iter().filter_map(|endpoint| self.addresses.get(endpoint)));
             let due = |address: &AddressState| {
                 address.is_slow(best)
                     && !address.is_failing()
                     && now >= address.last_trial_at + SLOW_RECHECK_INTERVAL
             };
             slow.extend(
-                listed.places.iter().filter(|place| self.addresses.get(place).is_some_and(due)).cloned(),
+                listed
+                    .endpoints
+                    .iter()
+                    .filter(|endpoint| self.addresses.get(endpoint).is_some_and(due))
+                    .cloned(),
             );
         }
         self.suspects.extend(slow.iter().cloned());
@@ -323,37 +327,37 @@
     }
 
     /// The addresses of a server in the listed order.
-    pub fn places(&self, server: &ServerId) -> &[Endpoint] {
-        self.servers.get(server).map_or(&[], |listed| &listed.places)
+    pub fn endpoints(&self, server: &ServerId) -> &[Endpoint] {
+        self.servers.get(server).map_or(&[], |listed| &listed.endpoints)
     }
 
     // ---- Observations ----
 
     /// Counts a dial that starts.
-    pub fn dial_started(&mut self, place: &Endpoint) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn dial_started(&mut self, endpoint: &Endpoint) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             address.dials_in_progress += 1;
         }
     }
 
     /// Counts a dial that ended, with or without a connection.
-    pub fn dial_ended(&mut self, place: &Endpoint) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn dial_ended(&mut self, endpoint: &Endpoint) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             address.dials_in_progress = address.dials_in_progress.saturating_sub(1);
         }
     }
 
     /// Records the time of a successful connect.
-    pub fn record_connect(&mut self, place: &Endpoint, took: Time) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn record_connect(&mut self, endpoint: &Endpoint, took: Time) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             update_mean(&mut address.mean_connect, took);
         }
     }
 
     /// Records that the address answered: it works, and so does its family. `took` is the duration of a
     /// proof; `None` stands for the answer to a request.
-    pub fn record_answer(&mut self, place: &Endpoint, now: Time, took: Option<Time>) {
-        let Some(address) = self.addresses.get_mut(place) else { return };
+    pub fn record_answer(&mut self, endpoint: &Endpoint, now: Time, took: Option<Time>) {
+        let Some(address) = self.addresses.get_mut(endpoint) else { return };
         if let Some(took) = took {
             update_mean(&mut address.mean_proof, took);
         }
@@ -370,28 +374,28 @@
         }
         if !address.is_failing() {
             address.next_trial_at = 0;
-            self.failing.remove(place);
+            self.failing.remove(endpoint);
         }
         if is_back {
             // The server is back: its other addresses are tried soon, whatever their pauses.
             let jitter = self.jitter;
-            for listed in self.servers.values().filter(|listed| listed.places.contains(place)) {
-                for place in &listed.places {
-                    if let Some(address) = self.addresses.get_mut(place) {
+            for listed in self.servers.values().filter(|listed| listed.endpoints.contains(endpoint)) {
+                for endpoint in &listed.endpoints {
+                    if let Some(address) = self.addresses.get_mut(endpoint) {
                         address.next_trial_at =
                             address.next_trial_at.min(now + (FIRST_PAUSE as f64 * jitter) as Time);
                     }
                 }
             }
         }
-        let Some(family) = self.families.remove(&place.family()) else { return };
+        let Some(family) = self.families.remove(&endpoint.family()) else { return };
         if family.next_trial_at.is_some() {
             // The family is back: its failed addresses are tried again soon, spread over the first pause.
             let of_family: Vec<Endpoint> =
-                self.failing.iter().filter(|p| p.family() == place.family()).cloned().collect();
+                self.failing.iter().filter(|p| p.family() == endpoint.family()).cloned().collect();
             let count = of_family.len().max(1) as Time;
-            for (number, place) in of_family.iter().enumerate() {
-                if let Some(address) = self.addresses.get_mut(place) {
+            for (number, endpoint) in of_family.iter().enumerate() {
+                if let Some(address) = self.addresses.get_mut(endpoint) {
                     address.next_trial_at =
                         address.next_trial_at.min(now + FIRST_PAUSE * number as Time / count);
                 }
@@ -401,9 +405,9 @@
 
     /// Records a failed connect, or a connection that was closed or stalled during its proof. `since` is when
     /// that dial or proof started.
-    pub fn record_failure(&mut self, place: &Endpoint, now: Time, since: Time) {
+    pub fn record_failure(&mut self, endpoint: &Endpoint, now: Time, since: Time) {
         let jitter = self.jitter;
-        let Some(address) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(endpoint) else { return };
         // A dial that started before the last failure was recorded says nothing new. Otherwise 100 concurrent
         // requests would each double the pause.
         if address.failures > 0 && since <= address.failed_at {
@@ -416,18 +420,18 @@
         address.postpone_trial(now, jitter);
         address.failures += 1;
         address.failed_at = now;
-        self.failing.insert(place.clone());
+        self.failing.insert(endpoint.clone());
     }
 
     /// A dial failed or a connection broke: proofs of the family's addresses do not count for a while.
-    pub fn invalidate_proofs(&mut self, place: &Endpoint, now: Time) {
-        self.proofs_invalid_until.insert(place.family(), now + PROOFS_INVALID_FOR);
+    pub fn invalidate_proofs(&mut self, endpoint: &Endpoint, now: Time) {
+        self.proofs_invalid_until.insert(endpoint.family(), now + PROOFS_INVALID_FOR);
     }
 
     /// Records a request that got no byte of answer over an open connection.
-    pub fn record_no_answer(&mut self, place: &Endpoint, now: Time, since: Time) {
+    pub fn record_no_answer(&mut self, endpoint: &Endpoint, now: Time, since: Time) {
         let jitter = self.jitter;
-        let Some(address) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(endpoint) else { return };
         // Answers to proofs do not count here: a path may pass those and lose the requests that follow.
         if address.last_request_answered.is_some_and(|at| at > since) {
             return;
@@ -435,43 +439,45 @@
         address.unanswered += 1;
         if address.unanswered == DOUBTFUL_AFTER_UNANSWERED {
             address.postpone_trial(now, jitter);
-            self.failing.insert(place.clone());
+            self.failing.insert(endpoint.clone());
         }
     }
 
     /// A request over this address has waited long: asks for trials of it and of the server's other
     /// addresses. Without the latter, a front whose requests all wait on a dead path would never learn that
     /// another path works.
-    pub fn suspect_addresses(&mut self, server: &ServerId, place: &Endpoint, now: Time) {
+    pub fn suspect_addresses(&mut self, server: &ServerId, endpoint: &Endpoint, now: Time) {
         let Some(listed) = self.servers.get(server) else { return };
-        for place in listed.places.iter().chain([place].into_iter().filter(|p| !listed.places.contains(p))) {
-            if let Some(address) = self.addresses.get(place)
+        for endpoint in
+            listed.endpoints.iter().chain([endpoint].into_iter().filter(|p| !listed.endpoints.contains(p)))
+        {
+            if let Some(address) = self.addresses.get(endpoint)
                 && !address.is_failing()
                 && address.last_proven.is_none_or(|at| now >= at + RECENT_ANSWER)
             {
-                self.suspects.insert(place.clone());
+                self.suspects.insert(endpoint.clone());
             }
         }
     }
 
     /// Whether requests that wait on this address should be given up: it has failed or is doubtful, while
     /// another address of the server has answered after `since`.
-    pub fn should_give_up(&self, server: &ServerId, place: &Endpoint, since: Time) -> bool {
-        if !self.addresses.get(place).is_some_and(AddressState::is_failing) {
+    pub fn should_give_up(&self, server: &ServerId, endpoint: &Endpoint, since: Time) -> bool {
+        if !self.addresses.get(endpoint).is_some_and(AddressState::is_failing) {
             return false;
         }
         let works = |other: &Endpoint| {
-            other != place
+            other != endpoint
                 && self.addresses.get(other).is_some_and(|address| {
                     !address.is_failing() && address.last_proven.is_some_and(|at| at > since)
                 })
         };
-        self.places(server).iter().any(works)
+        self.endpoints(server).iter().any(works)
     }
 
     /// Records that the address rejects `Expect: 100-continue`.
-    pub fn record_rejected_continue(&mut self, place: &Endpoint) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn record_rejected_continue(&mut self, endpoint: &Endpoint) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             address.rejects_continue = true;
         }
     }
@@ -485,8 +491,8 @@
         lost: &[Endpoint],
         now: Time,
     ) {
-        for place in lost {
-            let family = place.family();
+        for endpoint in lost {
+            let family = endpoint.family();
             // The server must be reached by another family: a dead server says nothing of the network.
             if family == won.family() {
                 continue;
@@ -513,30 +519,37 @@
         let down: Vec<AddressFamily> =
             self.families.iter().filter(|(_, s)| s.next_trial_at.is_some()).map(|(f, _)| *f).collect();
         for family in down {
-            let Some(place) = self.next_family_trial(family, now) else { continue };
-            let Some(server) = self.listed_server_of(&place) else { continue };
+            let Some(endpoint) = self.next_family_trial(family, now) else { continue };
+            let Some(server) = self.listed_server_of(&endpoint) else { continue };
             if !may() {
                 return out;
             }
             if let Some(state) = self.families.get_mut(&family) {
-                (state.has_trial, state.last_trial_place) = (true, Some(place.clone()));
+                (state.has_trial, state.last_trial_place) = (true, Some(endpoint.clone()));
             }
-            out.push(Trial { server, place, is_family_trial: true, is_padded: false, time_limit: connect });
+            out.push(Trial {
+                server,
+                endpoint,
+                is_family_trial: true,
+                is_padded: false,
+                time_limit: connect,
+            });
         }
         let slow = self.mark_slow_addresses(now);
         let wanted = self.failing.union(&self.suspects);
-        let due: Vec<Endpoint> = wanted.filter(|place| self.is_trial_due(place, now)).cloned().collect();
-        for place in due {
-            let Some(server) = self.listed_server_of(&place) else { continue };
+        let due: Vec<Endpoint> =
+            wanted.filter(|endpoint| self.is_trial_due(endpoint, now)).cloned().collect();
+        for endpoint in due {
+            let Some(server) = self.listed_server_of(&endpoint) else { continue };
             if !may() {
                 return out;
             }
-            let Some(address) = self.addresses.get_mut(&place) else { continue };
+            let Some(address) = self.addresses.get_mut(&endpoint) else { continue };
             address.has_trial = true;
             address.last_trial_at = now;
-            self.suspects.remove(&place);
+            self.suspects.remove(&endpoint);
             // A request waits for the outcome of a suspicion, so that trial is short.
-            let time = if address.is_failing() || slow.contains(&place) {
+            let time = if address.is_failing() || slow.contains(&endpoint) {
                 connect
             } else {
                 connect.min(SUSPICION_TRIAL_TIME)
@@ -544,7 +557,7 @@
             out.push(Trial {
                 server,
                 is_padded: address.is_doubtful(),
-                place,
+                endpoint,
                 is_family_trial: false,
                 time_limit: time,
             });
@@ -552,12 +565,12 @@
         out
     }
 
-    fn is_trial_due(&self, place: &Endpoint, now: Time) -> bool {
-        let address = self.addresses.get(place);
+    fn is_trial_due(&self, endpoint: &Endpoint, now: Time) -> bool {
+        let address = self.addresses.get(endpoint);
         let due = address.is_some_and(|k| {
             now >= k.next_trial_at && !k.has_trial && k.dials_in_progress == 0 && k.leaving_since.is_none()
         });
-        due && !self.family_down(place.family())
+        due && !self.family_down(endpoint.family())
     }
 
     /// The next address by which to try a family that is down, if a trial is due.
@@ -566,25 +579,27 @@
         if state.has_trial || state.next_trial_at.is_none_or(|until| now < until) {
             return None;
         }
-        let of_family = |(place, address): &(&Endpoint, &AddressState)| {
-            place.family() == family && address.leaving_since.is_none()
+        let of_family = |(endpoint, address): &(&Endpoint, &AddressState)| {
+            endpoint.family() == family && address.leaving_since.is_none()
         };
-        let after = self.addresses.iter().filter(of_family).map(|(place, _)| place);
-        let next =
-            after.clone().find(|place| state.last_trial_place.as_ref().is_none_or(|tried| *place > tried));
+        let after = self.addresses.iter().filter(of_family).map(|(endpoint, _)| endpoint);
+        let next = after
+            .clone()
+            .find(|endpoint| state.last_trial_place.as_ref().is_none_or(|tried| *endpoint > tried));
         next.or_else(|| after.clone().next()).cloned()
     }
 
     /// A listed server that has this address and is not leaving.
-    fn listed_server_of(&self, place: &Endpoint) -> Option<ServerId> {
-        let has = |listed: &ListedServer| listed.leaving_since.is_none() && listed.places.contains(place);
+    fn listed_server_of(&self, endpoint: &Endpoint) -> Option<ServerId> {
+        let has =
+            |listed: &ListedServer| listed.leaving_since.is_none() && listed.endpoints.contains(endpoint);
         self.servers.iter().find(|(_, listed)| has(listed)).map(|(server, _)| server.clone())
     }
 
     /// Records the end of a trial.
     pub fn record_trial(&mut self, trial: &Trial, now: Time, since: Time, has_answered: bool) {
         let jitter = self.jitter;
-        if let Some(address) = self.addresses.get_mut(&trial.place) {
+        if let Some(address) = self.addresses.get_mut(&trial.endpoint) {
             address.has_trial = false;
             address.unanswered = if has_answered && trial.is_padded { 0 } else { address.unanswered };
             if has_answered {
@@ -595,10 +610,11 @@
         }
         if has_answered {
             // The duration is already recorded above.
-            return self.record_answer(&trial.place, now, Some(now.saturating_sub(since)));
+            return self.record_answer(&trial.endpoint, now, Some(now.saturating_sub(since)));
         }
-        self.record_failure(&trial.place, now, since);
-        if let Some(state) = self.families.get_mut(&trial.place.family()).filter(|_| trial.is_family_trial) {
+        self.record_failure(&trial.endpoint, now, since);
+        if let Some(state) = self.families.get_mut(&trial.endpoint.family()).filter(|_| trial.is_family_trial)
+        {
             state.has_trial = false;
             state.pause_count += 1;
             state.next_trial_at = state.next_trial_at.map(|_| now + pause_length(state.pause_count, jitter));
--- a/crates/core/src/addresses/gate.rs
+++ b/crates/core/src/addresses/gate.rs
@@ -84,8 +84,9 @@
     }
 
     /// Whether one more connection fits to the server that has these addresses.
-    pub fn has_room<'a>(&self, places: impl Iterator<Item = &'a Endpoint>) -> bool {
-        let open_count: usize = places.map(|place| self.open_by_place.get(place).copied().unwrap_or(0)).sum();
+    pub fn has_room<'a>(&self, endpoints: impl Iterator<Item = &'a Endpoint>) -> bool {
+        let open_count: usize =
+            endpoints.map(|endpoint| self.open_by_place.get(endpoint).copied().unwrap_or(0)).sum();
         open_count < self.bounds.max_per_server && self.total < self.bounds.max_total
     }
 
@@ -109,18 +110,18 @@
     }
 
     /// Counts a connection that is open or being dialed.
-    pub fn count_opened(&mut self, place: &Endpoint) {
-        *self.open_by_place.entry(place.clone()).or_default() += 1;
+    pub fn count_opened(&mut self, endpoint: &Endpoint) {
+        *self.open_by_place.entry(endpoint.clone()).or_default() += 1;
         self.total += 1;
     }
 
     /// Counts a connection as closed.
-    pub fn count_closed(&mut self, place: &Endpoint) {
-        if let Some(count) = self.open_by_place.get_mut(place) {
+    pub fn count_closed(&mut self, endpoint: &Endpoint) {
+        if let Some(count) = self.open_by_place.get_mut(endpoint) {
             *count -= 1;
             self.total -= 1;
             if *count == 0 {
-                self.open_by_place.remove(place);
+                self.open_by_place.remove(endpoint);
             }
         }
     }
@@ -136,8 +137,8 @@
     }
 
     /// Connections to one address that are open or being dialed.
-    pub fn open_to(&self, place: &Endpoint) -> usize {
-        self.open_by_place.get(place).copied().unwrap_or(0)
+    pub fn open_to(&self, endpoint: &Endpoint) -> usize {
+        self.open_by_place.get(endpoint).copied().unwrap_or(0)
     }
 }
 
--- a/crates/core/src/addresses/gate/tests.rs
+++ b/crates/core/src/addresses/gate/tests.rs
@@ -2,7 +2,7 @@
 
 const S: Time = 1_000_000;
 
-fn place(n: u16) -> Endpoint {
+fn endpoint(n: u16) -> Endpoint {
     Endpoint::Tcp(([127, 0, 0, 1], n).into())
 }
 
@@ -40,17 +40,17 @@
 fn open_connections_are_limited_per_server_and_in_total() {
     let bounds = ConnectionLimits { max_per_server: 3, max_total: 5, ..ConnectionLimits::default() };
     let mut limiter = ConnectionLimiter::new(bounds);
-    let (a, b) = ([place(1), place(2)], [place(3)]);
+    let (a, b) = ([endpoint(1), endpoint(2)], [endpoint(3)]);
     for at in [1, 2, 2] {
         assert!(limiter.has_room(a.iter()));
-        limiter.count_opened(&place(at));
+        limiter.count_opened(&endpoint(at));
     }
     assert!(!limiter.has_room(a.iter()) && limiter.has_room(b.iter()));
-    limiter.count_opened(&place(3));
-    limiter.count_opened(&place(3));
+    limiter.count_opened(&endpoint(3));
+    limiter.count_opened(&endpoint(3));
     assert!(!limiter.has_room(b.iter()), "five in total");
-    limiter.count_closed(&place(2));
+    limiter.count_closed(&endpoint(2));
     assert!(limiter.has_room(a.iter()) && limiter.has_room(b.iter()));
-    limiter.count_closed(&place(9));
-    assert_eq!((limiter.total(), limiter.open_to(&place(2))), (4, 1));
+    limiter.count_closed(&endpoint(9));
+    assert_eq!((limiter.total(), limiter.open_to(&endpoint(2))), (4, 1));
 }
--- a/crates/core/src/addresses/mod.rs
+++ b/crates/core/src/addresses/mod.rs
@@ -108,26 +108,27 @@
 }
 
 impl<C> ConnectionSource<(C, ConnectionAge)> for RaceSupply<'_, C> {
-    fn take_idle(&mut self, now: Time, place: &Endpoint) -> Option<(C, ConnectionAge)> {
-        let taken = self.pool.take(now, place);
+    fn take_idle(&mut self, now: Time, endpoint: &Endpoint) -> Option<(C, ConnectionAge)> {
+        let taken = self.pool.take(now, endpoint);
         self.counts.reused += u64::from(taken.is_some());
         taken
     }
 
-    fn reserve_dial(&mut self, now: Time, by: Time, place: &Endpoint) -> Option<Time> {
-        let places = || {
-            self.book.places(&self.server).iter().chain([place].into_iter().filter(|p| {
+    fn reserve_dial(&mut self, now: Time, by: Time, endpoint: &Endpoint) -> Option<Time> {
+        let endpoints = || {
+            self.book.endpoints(&self.server).iter().chain([endpoint].into_iter().filter(|p| {
                 // The server's addresses may have changed since the attempt started.
-                !self.book.places(&self.server).contains(p)
+                !self.book.endpoints(&self.server).contains(p)
             }))
         };
         // An idle connection to any address is closed to make room. The dial is granted before that is done.
-        let has_room = self.limiter.has_room(places()) || (self.limiter.is_full() && self.pool.make_room());
+        let has_room =
+            self.limiter.has_room(endpoints()) || (self.limiter.is_full() && self.pool.make_room());
         let at = has_room.then(|| self.limiter.reserve_dial(now, by).ok()).flatten();
         match at {
             Some(_) => {
-                self.limiter.count_opened(place);
-                self.book.dial_started(place);
+                self.limiter.count_opened(endpoint);
+                self.book.dial_started(endpoint);
                 self.counts.dials += 1;
             }
             None => self.counts.no_room += 1,
@@ -135,15 +136,15 @@
         at
     }
 
-    fn cancel_dial(&mut self, place: &Endpoint) {
-        self.limiter.count_closed(place);
-        self.book.dial_ended(place);
+    fn cancel_dial(&mut self, endpoint: &Endpoint) {
+        self.limiter.count_closed(endpoint);
+        self.book.dial_ended(endpoint);
         self.counts.dials -= 1;
     }
 
-    fn proof_late(&mut self, now: Time, since: Time, place: &Endpoint) {
+    fn proof_late(&mut self, now: Time, since: Time, endpoint: &Endpoint) {
         self.counts.proofs_failed += 1;
-        self.book.record_failure(place, now, since);
+        self.book.record_failure(endpoint, now, since);
     }
 }
 
@@ -172,8 +173,8 @@
     }
 
     /// Connections to one address that are open or being dialed.
-    pub fn open_to(&self, place: &Endpoint) -> usize {
-        self.limiter.open_to(place)
+    pub fn open_to(&self, endpoint: &Endpoint) -> usize {
+        self.limiter.open_to(endpoint)
     }
 
     /// Families that count as down.
@@ -231,9 +232,9 @@
     /// Records what a race that ended in a send showed of the other addresses.
     fn record_race_outcome(&mut self, now: Time, race: &Race) {
         let Some(summary) = race.summary(now) else { return };
-        for (place, since) in &summary.overtaken {
+        for (endpoint, since) in &summary.overtaken {
             self.counts.overtaken += 1;
-            self.book.record_failure(place, now, *since);
+            self.book.record_failure(endpoint, now, *since);
         }
         if !summary.lost.is_empty() {
             self.book.record_family_failures(&race.server, &summary.winner, &summary.lost, now);
@@ -241,14 +242,14 @@
     }
 
     /// Records the end of a dial, with or without a connection. The caller also notifies the race.
-    pub fn record_dial(&mut self, now: Time, place: &Endpoint, since: Time, is_connected: bool) {
-        self.book.dial_ended(place);
+    pub fn record_dial(&mut self, now: Time, endpoint: &Endpoint, since: Time, is_connected: bool) {
+        self.book.dial_ended(endpoint);
         if is_connected {
-            self.book.record_connect(place, now.saturating_sub(since));
+            self.book.record_connect(endpoint, now.saturating_sub(since));
         } else {
             self.counts.dials_failed += 1;
-            self.book.invalidate_proofs(place, now);
-            self.book.record_failure(place, now, since);
+            self.book.invalidate_proofs(endpoint, now);
+            self.book.record_failure(endpoint, now, since);
         }
     }
 
@@ -256,9 +257,9 @@
     pub fn record_proof_failure(&mut self, now: Time, race: &mut Race, lane: usize) {
         let since = race.proving_since(lane);
         self.counts.proofs_failed += 1;
-        self.book.invalidate_proofs(&race.place(lane).clone(), now);
+        self.book.invalidate_proofs(&race.endpoint(lane).clone(), now);
         if race.record_failure(lane) {
-            self.book.record_failure(&race.place(lane).clone(), now, since.unwrap_or(now));
+            self.book.record_failure(&race.endpoint(lane).clone(), now, since.unwrap_or(now));
         } else {
             self.counts.stale_connections += 1;
         }
@@ -273,16 +274,16 @@
     /// Records that the proof succeeded. Returns `false` if it comes too late.
     pub fn record_proof(&mut self, now: Time, race: &mut Race, lane: usize) -> bool {
         let took = race.proving_since(lane).map(|since| now.saturating_sub(since));
-        self.book.record_answer(&race.place(lane).clone(), now, took);
+        self.book.record_answer(&race.endpoint(lane).clone(), now, took);
         race.record_proof(lane)
     }
 
     /// Records that the peer answered the head with 417, which rejects the expectation. `stays_open`: the
     /// connection stays open.
     pub fn record_expectation_failed(&mut self, now: Time, race: &mut Race, lane: usize, stays_open: bool) {
-        let place = race.place(lane).clone();
-        self.book.record_answer(&place, now, None);
-        self.book.record_rejected_continue(&place);
+        let endpoint = race.endpoint(lane).clone();
+        self.book.record_answer(&endpoint, now, None);
+        self.book.record_rejected_continue(&endpoint);
         race.record_expectation_failed(lane, stays_open);
     }
 
@@ -293,16 +294,16 @@
         &mut self,
         now: Time,
         server: &ServerId,
-        place: &Endpoint,
+        endpoint: &Endpoint,
         is_repeatable: bool,
     ) -> u64 {
-        self.waits.start(server, place, now, is_repeatable)
+        self.waits.start(server, endpoint, now, is_repeatable)
     }
 
     /// Records the first byte of the answer.
     pub fn record_first_byte(&mut self, now: Time, number: u64) {
         if let Some(wait) = self.waits.record_answer(number, now) {
-            self.book.record_answer(&wait.place, now, None);
+            self.book.record_answer(&wait.endpoint, now, None);
         }
     }
 
@@ -310,26 +311,26 @@
     /// which the peer may have closed; that says nothing about the address.
     pub fn record_no_answer(&mut self, now: Time, number: u64, is_reused: bool) {
         let Some(wait) = self.waits.remove(number) else { return };
-        self.book.invalidate_proofs(&wait.place, now);
+        self.book.invalidate_proofs(&wait.endpoint, now);
         if !wait.is_late && !is_reused {
-            self.book.record_no_answer(&wait.place, now, wait.since);
+            self.book.record_no_answer(&wait.endpoint, now, wait.since);
         }
     }
 
     /// Records an answer over an address that is not the answer to a request, for instance to a health check.
-    pub fn record_other_answer(&mut self, now: Time, place: &Endpoint) {
-        self.book.record_answer(place, now, Some(1));
+    pub fn record_other_answer(&mut self, now: Time, endpoint: &Endpoint) {
+        self.book.record_answer(endpoint, now, Some(1));
     }
 
     /// Takes back a connection after a complete answer.
-    pub fn return_connection(&mut self, now: Time, place: &Endpoint, conn: C, life: ConnectionAge) {
-        let should_close = self.book.should_close(place, now, self.bounds.grace);
-        self.pool.put(now, place, conn, life, should_close);
+    pub fn return_connection(&mut self, now: Time, endpoint: &Endpoint, conn: C, life: ConnectionAge) {
+        let should_close = self.book.should_close(endpoint, now, self.bounds.grace);
+        self.pool.put(now, endpoint, conn, life, should_close);
     }
 
     /// Records that a connection was closed, or that a dial ended without one.
-    pub fn record_closed(&mut self, place: &Endpoint) {
-        self.limiter.count_closed(place);
+    pub fn record_closed(&mut self, endpoint: &Endpoint) {
+        self.limiter.count_closed(endpoint);
     }
 
     // ---- Periodic work ----
@@ -341,7 +342,7 @@
         servers: impl IntoIterator<Item = (ServerId, Vec<Endpoint>, bool)>,
     ) {
         self.book.apply_list(now, servers);
-        self.waits.retain_servers(|server| !self.book.places(server).is_empty());
+        self.waits.retain_servers(|server| !self.book.endpoints(server).is_empty());
     }
 
     /// Closes expired connections, handles requests that wait long, and starts the trials that are due. No
@@ -349,19 +350,19 @@
     pub fn run_maintenance(&mut self, now: Time, connect: Time) -> MaintenanceResult {
         for wait in self.waits.take_late(now) {
             self.counts.late_waits += 1;
-            self.book.record_no_answer(&wait.place, now, wait.since);
-            self.book.suspect_addresses(&wait.server, &wait.place, now);
+            self.book.record_no_answer(&wait.endpoint, now, wait.since);
+            self.book.suspect_addresses(&wait.server, &wait.endpoint, now);
         }
         let book = &self.book;
         let give_up =
-            self.waits.take_given_up(|wait| book.should_give_up(&wait.server, &wait.place, wait.since));
+            self.waits.take_given_up(|wait| book.should_give_up(&wait.server, &wait.endpoint, wait.since));
         self.counts.given_up_waits += give_up.len() as u64;
         let (book, grace) = (&self.book, self.bounds.grace);
-        self.pool.sweep(now, |place| book.should_close(place, now, grace));
+        self.pool.sweep(now, |endpoint| book.should_close(endpoint, now, grace));
         let limiter = &mut self.limiter;
         let trials = self.book.start_trials(now, connect, || limiter.try_reserve_spare(now));
         for trial in &trials {
-            self.limiter.count_opened(&trial.place);
+            self.limiter.count_opened(&trial.endpoint);
             self.counts.trials += 1;
         }
         MaintenanceResult { trials, families: self.take_family_changes(), give_up }
--- a/crates/core/src/addresses/pool.rs
+++ b/crates/core/src/addresses/pool.rs
@@ -49,8 +49,8 @@
     }
 
     /// Takes the most recently used idle connection, so that surplus ones expire.
-    pub fn take(&mut self, now: Time, place: &Endpoint) -> Option<(C, ConnectionAge)> {
-        let list = self.idle.get_mut(place)?;
+    pub fn take(&mut self, now: Time, endpoint: &Endpoint) -> Option<(C, ConnectionAge)> {
+        let list = self.idle.get_mut(endpoint)?;
         while let Some(Idle { conn, life, since }) = list.pop() {
             if now < since + self.bounds.idle_timeout && now < life.opened_at + self.bounds.max_age {
                 return Some((conn, life));
@@ -62,9 +62,9 @@
 
     /// Keeps a connection for the next request, or marks it for closing. `is_leaving`: its address is no
     /// longer in use.
-    pub fn put(&mut self, now: Time, place: &Endpoint, conn: C, life: ConnectionAge, is_leaving: bool) {
+    pub fn put(&mut self, now: Time, endpoint: &Endpoint, conn: C, life: ConnectionAge, is_leaving: bool) {
         let is_worn_out = is_leaving || self.is_worn_out(life, now);
-        let list = self.idle.entry(place.clone()).or_default();
+        let list = self.idle.entry(endpoint.clone()).or_default();
         if is_worn_out || list.len() >= self.bounds.max_idle_per_address {
             self.closing.push(conn);
         } else {
@@ -76,8 +76,8 @@
     /// `is_leaving` holds.
     pub fn sweep(&mut self, now: Time, is_leaving: impl Fn(&Endpoint) -> bool) {
         let (bounds, closing) = (self.bounds, &mut self.closing);
-        self.idle.retain(|place, list| {
-            let place_is_leaving = is_leaving(place);
+        self.idle.retain(|endpoint, list| {
+            let place_is_leaving = is_leaving(endpoint);
             let is_expired = |idle: &mut Idle<C>| {
                 place_is_leaving
                     || now >= idle.since + bounds.idle_timeout
@@ -92,16 +92,16 @@
     /// is idle.
     pub fn make_room(&mut self) -> bool {
         let oldest = |list: &Vec<Idle<C>>| list.first().map(|idle| idle.since);
-        let Some(place) = self
+        let Some(endpoint) = self
             .idle
             .iter()
-            .filter_map(|(place, list)| Some((oldest(list)?, place)))
+            .filter_map(|(endpoint, list)| Some((oldest(list)?, endpoint)))
             .min()
-            .map(|(_, place)| place.clone())
+            .map(|(_, endpoint)| endpoint.clone())
         else {
             return false;
         };
-        if let Some(list) = self.idle.get_mut(&place) {
+        if let Some(list) = self.idle.get_mut(&endpoint) {
             self.closing.push(list.remove(0).conn);
         }
         true
--- a/crates/core/src/addresses/pool/tests.rs
+++ b/crates/core/src/addresses/pool/tests.rs
@@ -2,7 +2,7 @@
 
 const S: Time = 1_000_000;
 
-fn place(n: u16) -> Endpoint {
+fn endpoint(n: u16) -> Endpoint {
     Endpoint::Tcp(([127, 0, 0, 1], n).into())
 }
 
@@ -20,26 +20,26 @@
 fn the_most_recently_used_is_taken_first_and_surplus_ones_are_closed() {
     let mut pool = pool();
     for conn in 0..3 {
-        pool.put(S, &place(1), conn, ConnectionAge::new(0), false);
+        pool.put(S, &endpoint(1), conn, ConnectionAge::new(0), false);
     }
     assert_eq!(pool.take_closing(), [2]);
-    assert_eq!(pool.take(S, &place(1)).map(|(conn, _)| conn), Some(1));
-    assert_eq!(pool.take(S, &place(2)), None);
+    assert_eq!(pool.take(S, &endpoint(1)).map(|(conn, _)| conn), Some(1));
+    assert_eq!(pool.take(S, &endpoint(2)), None);
 }
 
 #[test]
 fn idle_old_and_worn_out_connections_are_closed() {
     let mut pool = pool();
-    pool.put(S, &place(1), 1, ConnectionAge::new(0), false);
-    assert_eq!(pool.take(21 * S, &place(1)), None, "idle for too long");
-    pool.put(59 * S, &place(1), 2, ConnectionAge::new(0), false);
-    assert_eq!(pool.take(60 * S, &place(1)), None, "too old");
-    pool.put(S, &place(1), 3, ConnectionAge { opened_at: 0, uses: 3 }, false);
-    pool.put(S, &place(1), 4, ConnectionAge::new(0), true);
+    pool.put(S, &endpoint(1), 1, ConnectionAge::new(0), false);
+    assert_eq!(pool.take(21 * S, &endpoint(1)), None, "idle for too long");
+    pool.put(59 * S, &endpoint(1), 2, ConnectionAge::new(0), false);
+    assert_eq!(pool.take(60 * S, &endpoint(1)), None, "too old");
+    pool.put(S, &endpoint(1), 3, ConnectionAge { opened_at: 0, uses: 3 }, false);
+    pool.put(S, &endpoint(1), 4, ConnectionAge::new(0), true);
     assert_eq!(pool.take_closing(), [1, 2, 3, 4]);
-    pool.put(S, &place(1), 5, ConnectionAge::new(0), false);
-    pool.put(5 * S, &place(2), 6, ConnectionAge::new(0), false);
-    pool.sweep(6 * S, |at| *at == place(2));
+    pool.put(S, &endpoint(1), 5, ConnectionAge::new(0), false);
+    pool.put(5 * S, &endpoint(2), 6, ConnectionAge::new(0), false);
+    pool.sweep(6 * S, |at| *at == endpoint(2));
     assert_eq!((pool.take_closing(), pool.idle_count()), (vec![6], 1));
     pool.sweep(21 * S, |_| false);
     assert_eq!((pool.take_closing(), pool.idle_count()), (vec![5], 0));
@@ -49,8 +49,8 @@
 fn the_longest_idle_connection_makes_room() {
     let mut pool = pool();
     assert!(!pool.make_room());
-    pool.put(2 * S, &place(1), 1, ConnectionAge::new(0), false);
-    pool.put(S, &place(2), 2, ConnectionAge::new(0), false);
+    pool.put(2 * S, &endpoint(1), 1, ConnectionAge::new(0), false);
+    pool.put(S, &endpoint(2), 2, ConnectionAge::new(0), false);
     assert!(pool.make_room());
     assert_eq!(pool.take_closing(), [2]);
 }
--- a/crates/core/src/addresses/race.rs
+++ b/crates/core/src/addresses/race.rs
@@ -34,7 +34,7 @@
     Health,
 }
 
-/// What the caller does next. The `usize` is the number of a lane, as for [`Race::place`].
+/// What the caller does next. The `usize` is the number of a lane, as for [`Race::endpoint`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RaceStep<C> {
     /// Use this idle connection; if it turns out to be closed, call [`stale`](Race::record_stale).
@@ -126,13 +126,13 @@
 /// What a race needs from the pool and the dial limiter.
 pub trait ConnectionSource<C> {
     /// Takes an idle connection to this address.
-    fn take_idle(&mut self, now: Time, place: &Endpoint) -> Option<C>;
+    fn take_idle(&mut self, now: Time, endpoint: &Endpoint) -> Option<C>;
     /// Reserves a dial and returns when it may start; `None` if that is not possible until `by`.
-    fn reserve_dial(&mut self, now: Time, by: Time, place: &Endpoint) -> Option<Time>;
+    fn reserve_dial(&mut self, now: Time, by: Time, endpoint: &Endpoint) -> Option<Time>;
     /// Returns a reserved dial that is not made, because the race is over first.
-    fn cancel_dial(&mut self, place: &Endpoint);
+    fn cancel_dial(&mut self, endpoint: &Endpoint);
     /// Reports a proof that was late and is given up; it started at `since`.
-    fn proof_late(&mut self, now: Time, since: Time, place: &Endpoint);
+    fn proof_late(&mut self, now: Time, since: Time, endpoint: &Endpoint);
 }
 
 /// The state of one connection attempt.
@@ -183,8 +183,8 @@
     }
 
     /// The address of a lane.
-    pub fn place(&self, lane: usize) -> &Endpoint {
-        &self.lanes[lane].candidate.place
+    pub fn endpoint(&self, lane: usize) -> &Endpoint {
+        &self.lanes[lane].candidate.endpoint
     }
 
     /// Whether the lane's connection was taken from the pool.
@@ -215,7 +215,7 @@
         for lane in &mut self.lanes {
             if matches!(lane.state, LaneState::Scheduled(_)) {
                 lane.state = LaneState::Ended;
-                source.cancel_dial(&lane.candidate.place);
+                source.cancel_dial(&lane.candidate.endpoint);
             }
         }
     }
@@ -249,7 +249,7 @@
             if let Some(proving_lane) = self.proving_lane
                 && let LaneState::Proving(since, _) = self.lanes[proving_lane].state
             {
-                source.proof_late(now, since, &self.lanes[proving_lane].candidate.place);
+                source.proof_late(now, since, &self.lanes[proving_lane].candidate.endpoint);
             }
             self.finish(self.lost_end(), source);
             return None;
@@ -265,7 +265,7 @@
                     (self.lanes[proving_lane].state, self.lanes[proving_lane].has_lost) =
                         (LaneState::Ended, true);
                     self.proving_lane = None;
-                    source.proof_late(now, since, &self.lanes[proving_lane].candidate.place);
+                    source.proof_late(now, since, &self.lanes[proving_lane].candidate.endpoint);
                     return Some(RaceStep::Drop(proving_lane));
                 }
                 _ => {}
@@ -313,16 +313,16 @@
         lane: usize,
         source: &mut impl ConnectionSource<C>,
     ) -> Option<RaceStep<C>> {
-        let place = self.lanes[lane].candidate.place.clone();
+        let endpoint = self.lanes[lane].candidate.endpoint.clone();
         if self.lanes[lane].stale_count < MAX_STALE_CONNECTIONS
-            && let Some(conn) = source.take_idle(now, &place)
+            && let Some(conn) = source.take_idle(now, &endpoint)
         {
             (self.lanes[lane].state, self.lanes[lane].is_reused) = (LaneState::Ready, true);
             return Some(RaceStep::Reuse(lane, conn));
         }
         self.lanes[lane].is_reused = false;
         let delay = self.dial_delay(now, self.lanes[lane].candidate.mean_connect);
-        match source.reserve_dial(now, self.end, &place) {
+        match source.reserve_dial(now, self.end, &endpoint) {
             None => {
                 self.lanes[lane].state = LaneState::Ended;
                 self.is_dial_denied = true;
@@ -457,17 +457,17 @@
     /// The winner and the addresses that failed or were late; `None` unless the race ended in a send.
     pub fn summary(&self, now: Time) -> Option<RaceSummary> {
         let Some(RaceEnd::Send(winner, _)) = self.outcome else { return None };
-        let lost = self.lanes.iter().filter(|lane| lane.has_lost).map(|lane| lane.candidate.place.clone());
+        let lost = self.lanes.iter().filter(|lane| lane.has_lost).map(|lane| lane.candidate.endpoint.clone());
         // Overtaken: the dial is late, and another one won.
         let overtaken = self.lanes.iter().enumerate().filter_map(|(index, lane)| match lane.state {
             LaneState::Dialing(since) if index != winner && now >= lane.late_at => {
-                Some((lane.candidate.place.clone(), since))
+                Some((lane.candidate.endpoint.clone(), since))
             }
             _ => None,
         });
         let overtaken: Vec<(Endpoint, Time)> = overtaken.collect();
-        let lost = lost.chain(overtaken.iter().map(|(place, _)| place.clone())).collect();
-        Some(RaceSummary { winner: self.place(winner).clone(), lost, overtaken })
+        let lost = lost.chain(overtaken.iter().map(|(endpoint, _)| endpoint.clone())).collect();
+        Some(RaceSummary { winner: self.endpoint(winner).clone(), lost, overtaken })
     }
 
     /// Lanes with a connection on which nothing was written.
--- a/crates/core/src/addresses/race_tests.rs
+++ b/crates/core/src/addresses/race_tests.rs
@@ -13,8 +13,8 @@
 }
 
 impl ConnectionSource<()> for ScriptedSource {
-    fn take_idle(&mut self, _: Time, place: &Endpoint) -> Option<()> {
-        let at = self.idle.iter().position(|idle| idle == place)?;
+    fn take_idle(&mut self, _: Time, endpoint: &Endpoint) -> Option<()> {
+        let at = self.idle.iter().position(|idle| idle == endpoint)?;
         self.idle.remove(at);
         Some(())
     }
@@ -23,22 +23,22 @@
         Some(now + self.wait).filter(|at| !self.is_exhausted && *at <= by)
     }
 
-    fn cancel_dial(&mut self, place: &Endpoint) {
-        self.cancelled.push(place.clone());
+    fn cancel_dial(&mut self, endpoint: &Endpoint) {
+        self.cancelled.push(endpoint.clone());
     }
 
-    fn proof_late(&mut self, _: Time, _: Time, place: &Endpoint) {
-        self.late.push(place.clone());
+    fn proof_late(&mut self, _: Time, _: Time, endpoint: &Endpoint) {
+        self.late.push(endpoint.clone());
     }
 }
 
-fn place(n: usize) -> Endpoint {
+fn endpoint(n: usize) -> Endpoint {
     ["unix:/run/x", "[::1]:80", "127.0.0.1:80"][n].parse().unwrap()
 }
 
 fn race(lanes: usize, mean: f64, proof: Proof, time: Time) -> Race {
     let candidate = |n| Candidate {
-        place: place(n),
+        endpoint: endpoint(n),
         mean_connect: mean,
         mean_proof: mean,
         is_proven: false,
@@ -63,10 +63,10 @@
     let summary = race.summary(260 * MS).unwrap();
     assert_eq!(
         (summary.winner, summary.lost),
-        (place(2), vec![place(0), place(1)]),
+        (endpoint(2), vec![endpoint(0), endpoint(1)]),
         "one was refused, one overtaken"
     );
-    assert_eq!(summary.overtaken, [(place(1), 3 * MS)]);
+    assert_eq!(summary.overtaken, [(endpoint(1), 3 * MS)]);
     assert_eq!(race.summary(200 * MS).unwrap().overtaken, [], "it is not late before its delay has passed");
 }
 
@@ -114,8 +114,8 @@
     assert_eq!(race.poll(252 * MS, &mut source), RaceStep::Prove(1, Proof::Continue));
     assert!(race.record_proof(1));
     assert_eq!(race.poll(253 * MS, &mut source), RaceStep::Send(1, RemainingRequest::Body));
-    assert_eq!(source.late, [place(0)]);
-    assert_eq!(race.summary(253 * MS).unwrap().lost, [place(0)]);
+    assert_eq!(source.late, [endpoint(0)]);
+    assert_eq!(race.summary(253 * MS).unwrap().lost, [endpoint(0)]);
 }
 
 #[test]
@@ -148,14 +148,14 @@
             assert_eq!(race.poll(TIME, &mut source), RaceStep::Lost(RaceFailure::NotProven));
             assert!(!race.record_proof(0));
             assert_eq!(race.poll(TIME, &mut source), RaceStep::Lost(RaceFailure::NotProven));
-            assert_eq!(source.late, [place(0)]);
+            assert_eq!(source.late, [endpoint(0)]);
         }
     }
 }
 
 #[test]
 fn a_closed_pooled_connection_is_replaced_and_does_not_count_as_a_failure() {
-    let mut source = ScriptedSource { idle: vec![place(0); 4], ..ScriptedSource::default() };
+    let mut source = ScriptedSource { idle: vec![endpoint(0); 4], ..ScriptedSource::default() };
     let mut race = race(2, 0.0, Proof::Continue, TIME);
     // One was closed before anything was written, the other closes on the head: no body was sent on either.
     assert_eq!(race.poll(0, &mut source), RaceStep::Reuse(0, ()));
@@ -213,7 +213,7 @@
     assert!(matches!(race.poll(300 * MS, &mut source), RaceStep::Wait(at) if at == 340 * MS));
     race.record_connected(0);
     assert_eq!(race.poll(301 * MS, &mut source), RaceStep::Send(0, RemainingRequest::Whole));
-    assert_eq!(source.cancelled, [place(1)]);
+    assert_eq!(source.cancelled, [endpoint(1)]);
     let mut exhausted = ScriptedSource { is_exhausted: true, ..ScriptedSource::default() };
     let mut denied = self::race(2, 0.0, Proof::None, TIME);
     assert_eq!(denied.poll(0, &mut exhausted), RaceStep::Lost(RaceFailure::NoRoom));
--- a/crates/core/src/addresses/waits.rs
+++ b/crates/core/src/addresses/waits.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Wait {
     pub server: ServerId,
-    pub place: Endpoint,
+    pub endpoint: Endpoint,
     pub since: Time,
     /// The request may be repeated.
     pub is_repeatable: bool,
@@ -41,11 +41,11 @@
 
 impl Waits {
     /// Adds a request and returns its number.
-    pub fn start(&mut self, server: &ServerId, place: &Endpoint, since: Time, is_repeatable: bool) -> u64 {
+    pub fn start(&mut self, server: &ServerId, endpoint: &Endpoint, since: Time, is_repeatable: bool) -> u64 {
         self.last_number += 1;
         let wait = Wait {
             server: server.clone(),
-            place: place.clone(),
+            endpoint: endpoint.clone(),
             since,
             is_repeatable,
             is_late: false,
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -67,8 +67,8 @@
 }
 
 impl ConnectionSource<bool> for ScriptedSource {
-    fn take_idle(&mut self, _: Time, place: &Endpoint) -> Option<bool> {
-        self.idle[lane(place)].pop()
+    fn take_idle(&mut self, _: Time, endpoint: &Endpoint) -> Option<bool> {
+        self.idle[lane(endpoint)].pop()
     }
 
     fn reserve_dial(&mut self, now: Time, by: Time, _: &Endpoint) -> Option<Time> {
@@ -80,12 +80,12 @@
     fn proof_late(&mut self, _: Time, _: Time, _: &Endpoint) {}
 }
 
-fn place(lane: usize) -> Endpoint {
+fn endpoint(lane: usize) -> Endpoint {
     Endpoint::Tcp(([127, 0, 0, 1], 1000 + lane as u16).into())
 }
 
-fn lane(place: &Endpoint) -> usize {
-    match place {
+fn lane(endpoint: &Endpoint) -> usize {
+    match endpoint {
         Endpoint::Tcp(addr) => addr.port() as usize - 1000,
         Endpoint::Unix(_) => unreachable!(),
     }
@@ -106,14 +106,15 @@
 impl World {
     fn new(proofs: &[Proof], source: ScriptedSource) -> World {
         let candidate = |n| Candidate {
-            place: place(n),
+            endpoint: endpoint(n),
             mean_connect: 0.0,
             mean_proof: 0.0,
             is_proven: false,
             rejects_continue: false,
         };
         let order = (0..proofs.len()).map(candidate).collect();
-        let race = Race::new(ServerId("s".into()), 0, END, order, |candidate| proofs[lane(&candidate.place)]);
+        let race =
+            Race::new(ServerId("s".into()), 0, END, order, |candidate| proofs[lane(&candidate.endpoint)]);
         let mut world = World {
             race,
             now: 0,
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -126,7 +126,7 @@
     }
     pooled.conn.set_deadline(Some(deadline));
     pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
-    let endpoint = pooled.endpoint(engine::COMPLETIONS_PATH);
+    let endpoint = pooled.endpoint_path(engine::COMPLETIONS_PATH);
     let wait_id = shared.pool.record_sent(attempt.server, &pooled, !attempt.is_at_most_once);
     let send_result = match rest {
         RemainingRequest::Body => pooled.conn.write(&attempt.body),
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -39,13 +39,13 @@
 /// Keeps a connection or a dial counted as open, until dropped.
 struct OpenCountGuard {
     pool: Weak<ConnPool>,
-    place: Endpoint,
+    endpoint: Endpoint,
 }
 
 impl Drop for OpenCountGuard {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.upgrade() {
-            pool.addresses().record_closed(&self.place);
+            pool.addresses().record_closed(&self.endpoint);
         }
     }
 }
@@ -54,7 +54,7 @@
 pub(crate) struct PooledConn {
     // Declared before the guard: the socket closes before the connection is counted as closed.
     pub conn: Conn,
-    pub place: Endpoint,
+    pub endpoint: Endpoint,
     life: ConnectionAge,
     /// Whether it was idle in the pool before this request.
     pub reused: bool,
@@ -63,8 +63,8 @@
 
 impl PooledConn {
     /// The endpoint of this path at the connected server.
-    pub fn endpoint(&self, path: &str) -> EndpointPath {
-        EndpointPath::new(self.place.clone(), path)
+    pub fn endpoint_path(&self, path: &str) -> EndpointPath {
+        EndpointPath::new(self.endpoint.clone(), path)
     }
 }
 
@@ -172,28 +172,28 @@
     /// Wraps a new connection for the pool.
     fn wrap(self: &Arc<Self>, conn: Conn, guard: OpenCountGuard) -> Box<PooledConn> {
         let now = self.clock.now();
-        let place = guard.place.clone();
-        Box::new(PooledConn { conn, place, life: ConnectionAge::new(now), reused: false, _guard: guard })
+        let endpoint = guard.endpoint.clone();
+        Box::new(PooledConn { conn, endpoint, life: ConnectionAge::new(now), reused: false, _guard: guard })
     }
 
     /// A guard that keeps a connection to this address counted as open.
-    fn count_open(self: &Arc<Self>, place: &Endpoint) -> OpenCountGuard {
-        OpenCountGuard { pool: Arc::downgrade(self), place: place.clone() }
+    fn count_open(self: &Arc<Self>, endpoint: &Endpoint) -> OpenCountGuard {
+        OpenCountGuard { pool: Arc::downgrade(self), endpoint: endpoint.clone() }
     }
 
     /// Returns a connection to the pool for reuse. Its last answer must have been read to its end.
     pub fn put_back(&self, mut pooled: PooledConn) {
         pooled.conn.set_deadline(None);
         pooled.conn.set_read_timeout(None);
-        let (place, life) = (pooled.place.clone(), pooled.life);
-        self.with_addresses(|addresses, now| addresses.return_connection(now, &place, pooled, life));
+        let (endpoint, life) = (pooled.endpoint.clone(), pooled.life);
+        self.with_addresses(|addresses, now| addresses.return_connection(now, &endpoint, pooled, life));
     }
 
     /// Records that a request is written on this connection and waits for the first byte of its answer. Returns the
     /// id of the wait.
     pub fn record_sent(&self, server: &ServerId, pooled: &PooledConn, is_repeatable: bool) -> u64 {
         let wait_id = self.with_addresses(|addresses, now| {
-            addresses.record_sent(now, server, &pooled.place, is_repeatable)
+            addresses.record_sent(now, server, &pooled.endpoint, is_repeatable)
         });
         self.waiting().insert(wait_id, pooled.conn.socket());
         wait_id
@@ -270,10 +270,10 @@
         };
         pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
         pooled.conn.set_deadline(Some(deadline));
-        let endpoint = pooled.endpoint(path);
+        let endpoint_path = pooled.endpoint_path(path);
         let wait_id = self.record_sent(server, &pooled, true);
-        let answer =
-            send(&mut pooled.conn, method, &endpoint, headers, body).and_then(|()| receive(&mut pooled.conn));
+        let answer = send(&mut pooled.conn, method, &endpoint_path, headers, body)
+            .and_then(|()| receive(&mut pooled.conn));
         match answer {
             Ok(answer) => {
                 self.record_answered(wait_id);
@@ -321,9 +321,9 @@
     /// Tries a failing address by a health request, and reports the result to the core.
     fn run_trial(self: &Arc<Self>, trial: &Trial) {
         let started_at = self.clock.now();
-        let guard = self.count_open(&trial.place);
+        let guard = self.count_open(&trial.endpoint);
         let timeout = Duration::from_micros(trial.time_limit);
-        let result = connect(trial.place.clone(), timeout).and_then(|conn| {
+        let result = connect(trial.endpoint.clone(), timeout).and_then(|conn| {
             let mut pooled = self.wrap(conn, guard);
             let padding = if trial.is_padded { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
             let answer = self.request_health(&mut pooled, timeout, &[("x-padding", padding.as_str())])?;
@@ -332,13 +332,13 @@
         self.with_addresses(|addresses, now| addresses.record_trial(now, trial, started_at, result.is_ok()));
         match result {
             Ok((pooled, answer)) => {
-                tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.place, "address answers again");
+                tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.endpoint, "address answers again");
                 if answer.head.keep_alive {
                     self.put_back(*pooled);
                 }
             }
             Err(error) => {
-                tracing::debug!(target: "addresses", server = %trial.server.0, place = %trial.place, %error, "trial of a failing address failed");
+                tracing::debug!(target: "addresses", server = %trial.server.0, place = %trial.endpoint, %error, "trial of a failing address failed");
             }
         }
     }
@@ -352,10 +352,10 @@
     ) -> Result<ReceivedResponse, NetError> {
         pooled.conn.set_write_timeout(Some(timeout));
         pooled.conn.set_deadline(Some(Instant::now() + timeout));
-        let endpoint = pooled.endpoint(engine::HEALTH_PATH);
+        let endpoint_path = pooled.endpoint_path(engine::HEALTH_PATH);
         let mut headers = vec![("via", self.via.as_str())];
         headers.extend_from_slice(extra_headers);
-        send(&mut pooled.conn, "GET", &endpoint, &headers, b"")?;
+        send(&mut pooled.conn, "GET", &endpoint_path, &headers, b"")?;
         receive(&mut pooled.conn)
     }
 }
@@ -447,18 +447,18 @@
     /// Starts a dial in a coroutine of its own.
     fn dial(&mut self, race: &Race, lane: usize, timeout_us: Time) {
         let (pool, sender) = (self.pool.clone(), self.event_sender());
-        let place = race.place(lane).clone();
-        let guard = pool.count_open(&place);
+        let endpoint = race.endpoint(lane).clone();
+        let guard = pool.count_open(&endpoint);
         spawn(move || {
             let started_at = pool.clock.now();
-            let dialed = connect(place.clone(), Duration::from_micros(timeout_us));
+            let dialed = connect(endpoint.clone(), Duration::from_micros(timeout_us));
             pool.with_addresses(|addresses, now| {
-                addresses.record_dial(now, &place, started_at, dialed.is_ok())
+                addresses.record_dial(now, &endpoint, started_at, dialed.is_ok())
             });
             let pooled = match dialed {
                 Ok(conn) => Some(pool.wrap(conn, guard)),
                 Err(error) => {
-                    tracing::debug!(target: "addresses", %place, %error, "dial failed");
+                    tracing::debug!(target: "addresses", place = %endpoint, %error, "dial failed");
                     None
                 }
             };
@@ -480,8 +480,13 @@
         let timeout = Duration::from_micros(race.ends_at().saturating_sub(now));
         let head = match proof {
             Proof::Continue => {
-                let endpoint = pooled.endpoint(self.request.path);
-                Some(expect_continue_head("POST", &endpoint, self.request.headers, self.request.body_bytes))
+                let endpoint_path = pooled.endpoint_path(self.request.path);
+                Some(expect_continue_head(
+                    "POST",
+                    &endpoint_path,
+                    self.request.headers,
+                    self.request.body_bytes,
+                ))
             }
             _ => None,
         };
@@ -569,7 +574,7 @@
             }
             ProofOutcome::Final(status) => {
                 self.pool.with_addresses(|addresses, now| {
-                    addresses.record_other_answer(now, &race.place(lane).clone())
+                    addresses.record_other_answer(now, &race.endpoint(lane).clone())
                 });
                 return Some(ConnectOutcome::Answered(status));
             }
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -25,7 +25,7 @@
     let entries = shared.catalog.update_servers(&shared.config, servers, ClockMapping::read(shared.clock));
     let server_addresses = |server: &ServerConfig| {
         let is_leaving = server.state != StateName::Running;
-        (ServerId(server.name.as_str().into()), server.places.clone(), is_leaving)
+        (ServerId(server.name.as_str().into()), server.endpoints.clone(), is_leaving)
     };
     let tool_addresses = shared.tools.iter().map(|tool| (tool.server.clone(), vec![tool.address()], false));
     // The pool gets the addresses before the routing module gets the servers, so that every server it chooses has
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -25,7 +25,7 @@
     pub name: String,
     /// Id of its server in the connection pool. It contains a space, so that it never equals the name of an engine.
     pub server: ServerId,
-    endpoint: EndpointPath,
+    endpoint_path: EndpointPath,
     connect_timeout_us: u64,
     session: Mutex<Option<Session>>,
     next_id: AtomicI64,
@@ -58,7 +58,7 @@
 impl ToolClient {
     /// The address of the tool server.
     pub fn address(&self) -> Endpoint {
-        self.endpoint.place.clone()
+        self.endpoint_path.endpoint.clone()
     }
 
     /// The client of a configured tool; no session is open yet.
@@ -66,7 +66,7 @@
         ToolClient {
             name: tool.name.clone(),
             server: ServerId(format!("tool {}", tool.name).into()),
-            endpoint: EndpointPath::new(tool.addr, tool.path.clone()),
+            endpoint_path: EndpointPath::new(tool.addr, tool.path.clone()),
             connect_timeout_us: config.rules.connect,
             session: Mutex::default(),
             next_id: AtomicI64::new(1),
@@ -116,7 +116,7 @@
         let connect_request = ConnectRequest {
             server: &self.server,
             ask,
-            path: &self.endpoint.path,
+            path: &self.endpoint_path.path,
             headers: &[],
             body_bytes: 0,
             slot: Some((call.slot, call.operation)),
@@ -147,7 +147,7 @@
         headers.push(("x-request-id", call.rid.as_str()));
         headers.push(("idempotency-key", call.idempotency_key.as_str()));
         headers.push(("via", shared.catalog.via.as_str()));
-        if send(conn, "POST", &self.endpoint, &headers, body.as_bytes()).is_err() {
+        if send(conn, "POST", &self.endpoint_path, &headers, body.as_bytes()).is_err() {
             return CallOutcome::End(ToolEnd::Unknown);
         }
         let (outcome, is_reusable) = read_call_answer(conn, &id);
@@ -165,7 +165,8 @@
     fn initialize(&self, conn: &mut Conn) -> Option<Session> {
         let id = self.allocate_id();
         let body = mcp::initialize_request(&id, "elderstage", env!("CARGO_PKG_VERSION"));
-        send(conn, "POST", &self.endpoint, &session_headers(&Session::default()), body.as_bytes()).ok()?;
+        send(conn, "POST", &self.endpoint_path, &session_headers(&Session::default()), body.as_bytes())
+            .ok()?;
         let answer = receive(conn).ok().filter(|answer| answer.head.status == 200)?;
         let Ok(Message::Response { result: Ok(result), .. }) =
             jsonrpc::parse(&extract_message(&answer.head, &answer.body)?)
@@ -176,7 +177,7 @@
         let session =
             Session { id: answer.head.headers.get(mcp::SESSION_HEADER).map(str::to_owned), version };
         let notification = jsonrpc::notification("notifications/initialized", serde_json::json!({}));
-        send(conn, "POST", &self.endpoint, &session_headers(&session), notification.as_bytes()).ok()?;
+        send(conn, "POST", &self.endpoint_path, &session_headers(&session), notification.as_bytes()).ok()?;
         receive(conn).ok()?;
         Some(session)
     }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointPath {
     /// The server's address.
-    pub place: Endpoint,
+    pub endpoint: Endpoint,
     /// The path of the request target.
     pub path: String,
 }
 
 impl EndpointPath {
     /// Creates an endpoint.
-    pub fn new(place: impl Into<Endpoint>, path: impl Into<String>) -> EndpointPath {
-        EndpointPath { place: place.into(), path: path.into() }
+    pub fn new(endpoint: impl Into<Endpoint>, path: impl Into<String>) -> EndpointPath {
+        EndpointPath { endpoint: endpoint.into(), path: path.into() }
     }
 }
 
@@ -38,9 +38,9 @@
 
 /// Opens a connection within `timeout`. Connecting to a Unix socket succeeds or fails at once: one whose
 /// backlog is full counts as unreachable.
-pub fn connect(place: impl Into<Endpoint>, timeout: Duration) -> Result<Conn, NetError> {
+pub fn connect(endpoint: impl Into<Endpoint>, timeout: Duration) -> Result<Conn, NetError> {
     let until = Instant::now() + timeout;
-    let conn = match place.into() {
+    let conn = match endpoint.into() {
         Endpoint::Tcp(addr) => {
             let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
             start_connect(&socket, &addr.into())?;
@@ -74,7 +74,7 @@
     body: &[u8],
 ) -> Result<(), NetError> {
     let mut out = Vec::with_capacity(256 + body.len());
-    http::write_request(method, &to.path, &to.place.host(), headers, body, &mut out);
+    http::write_request(method, &to.path, &to.endpoint.host(), headers, body, &mut out);
     conn.write(&out)
 }
 
@@ -86,7 +86,7 @@
     body: usize,
 ) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
-    http::write_expect_continue_head(method, &to.path, &to.place.host(), headers, body, &mut out);
+    http::write_expect_continue_head(method, &to.path, &to.endpoint.host(), headers, body, &mut out);
     out
 }
 
@@ -106,7 +106,7 @@
     timeout: Duration,
 ) -> Result<ReceivedResponse, NetError> {
     let deadline = Instant::now() + timeout;
-    let mut conn = connect(to.place.clone(), timeout)?;
+    let mut conn = connect(to.endpoint.clone(), timeout)?;
     conn.set_write_timeout(Some(timeout));
     conn.set_deadline(Some(deadline));
     send(&mut conn, method, to, headers, body)?;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -61,7 +61,7 @@
 /// A listening socket that is served in a coroutine.
 pub struct Listener {
     io: CoIo<Arc<ListeningSocket>>,
-    place: Endpoint,
+    endpoint: Endpoint,
     /// Stop at once.
     is_stopped: Arc<AtomicBool>,
     /// Stop when no connection waits in the backlog any more.
@@ -134,8 +134,8 @@
 
     /// Listens at a TCP address or a Unix socket path. A socket file that an earlier process left behind is
     /// replaced. A socket file at which a process still listens is not, nor is any other file.
-    pub fn bind_endpoint(place: &Endpoint) -> io::Result<Listener> {
-        let path = match place {
+    pub fn bind_endpoint(endpoint: &Endpoint) -> io::Result<Listener> {
+        let path = match endpoint {
             Endpoint::Tcp(addr) => return Listener::bind(addr),
             Endpoint::Unix(path) => path,
         };
@@ -150,16 +150,16 @@
         }
         socket.listen(BACKLOG)?;
         let listener = UnixListener::from(std::os::fd::OwnedFd::from(socket));
-        Listener::register(ListeningSocket::Unix(listener), place.clone())
+        Listener::register(ListeningSocket::Unix(listener), endpoint.clone())
     }
 
     /// Registers a listening socket for readiness events.
-    fn register(socket: ListeningSocket, place: Endpoint) -> io::Result<Listener> {
+    fn register(socket: ListeningSocket, endpoint: Endpoint) -> io::Result<Listener> {
         let socket = Arc::new(socket);
         let io = CoIo::new(socket.clone()).map_err(io::Error::from)?;
         Ok(Listener {
             io,
-            place,
+            endpoint,
             is_stopped: Arc::default(),
             is_draining: Arc::default(),
             _closed_last: socket,
@@ -167,13 +167,13 @@
     }
 
     /// The address at which it listens, with the port that the system assigned.
-    pub fn place(&self) -> &Endpoint {
-        &self.place
+    pub fn endpoint(&self) -> &Endpoint {
+        &self.endpoint
     }
 
     /// The TCP address and port; the unspecified address for a Unix socket.
     pub fn addr(&self) -> SocketAddr {
-        match &self.place {
+        match &self.endpoint {
             Endpoint::Tcp(addr) => *addr,
             Endpoint::Unix(_) => (IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0).into(),
         }
--- a/crates/net/tests/places.rs
+++ b/crates/net/tests/places.rs
@@ -24,9 +24,13 @@
 }
 
 /// Sends a request over a new connection, answers it at `peer` and checks the received body.
-fn exchange(place: Endpoint, mut peer: impl Read + Write + Send + 'static, open_conn: impl FnOnce() -> Conn) {
+fn exchange(
+    endpoint: Endpoint,
+    mut peer: impl Read + Write + Send + 'static,
+    open_conn: impl FnOnce() -> Conn,
+) {
     let mut conn = open_conn();
-    assert!(conn.is_idle(), "{place}");
+    assert!(conn.is_idle(), "{endpoint}");
     conn.write(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let mut received = [0; 18];
     peer.read_exact(&mut received).unwrap();
@@ -36,26 +40,26 @@
         let head = conn.receive_response().unwrap();
         conn.receive_body(head.framing).unwrap()
     });
-    assert_eq!(body, b"hi", "{place}");
+    assert_eq!(body, b"hi", "{endpoint}");
 }
 
 #[test]
 fn tcp_and_unix_sockets_carry_a_request() {
     let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
-    let place = Endpoint::Tcp(tcp.local_addr().unwrap());
+    let endpoint = Endpoint::Tcp(tcp.local_addr().unwrap());
     let conn = in_coroutine({
-        let place = place.clone();
-        move || connect(place, LONG).unwrap()
+        let endpoint = endpoint.clone();
+        move || connect(endpoint, LONG).unwrap()
     });
-    exchange(place, tcp.accept().unwrap().0, || conn);
+    exchange(endpoint, tcp.accept().unwrap().0, || conn);
     let path = socket_path("carry");
     let unix = UnixListener::bind(&path).unwrap();
-    let place = Endpoint::Unix(path.clone());
+    let endpoint = Endpoint::Unix(path.clone());
     let conn = in_coroutine({
-        let place = place.clone();
-        move || connect(place, LONG).unwrap()
+        let endpoint = endpoint.clone();
+        move || connect(endpoint, LONG).unwrap()
     });
-    exchange(place, unix.accept().unwrap().0, || conn);
+    exchange(endpoint, unix.accept().unwrap().0, || conn);
     std::fs::remove_file(path).unwrap();
 }
 
@@ -64,14 +68,14 @@
     let stale = socket_path("stale");
     drop(UnixListener::bind(&stale).unwrap());
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    for place in [
+    for endpoint in [
         Endpoint::Tcp(dead),
         Endpoint::Unix(socket_path("missing")),
         Endpoint::Unix(stale.clone()),
         Endpoint::Unix(format!("/{}", "long".repeat(60)).into()),
     ] {
-        let text = place.to_string();
-        let result = in_coroutine(move || connect(place, LONG).map(|_| ()));
+        let text = endpoint.to_string();
+        let result = in_coroutine(move || connect(endpoint, LONG).map(|_| ()));
         assert!(matches!(result, Err(NetError::Io(_))), "{text}: {result:?}");
     }
     std::fs::remove_file(stale).unwrap();
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -84,15 +84,15 @@
 /// The places of an engine besides its IPv4 address. Every engine has that one, because other engines fetch states
 /// through it.
 fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Endpoint>> {
-    let mut places = Vec::new();
+    let mut endpoints = Vec::new();
     for family in &engine.ways {
         match family {
             AddressFamily::V4 => {}
-            AddressFamily::V6 => places.push(Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
-            AddressFamily::Unix => places.push(Endpoint::Unix(dir.join(format!("{}.sock", engine.name)))),
+            AddressFamily::V6 => endpoints.push(Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
+            AddressFamily::Unix => endpoints.push(Endpoint::Unix(dir.join(format!("{}.sock", engine.name)))),
         }
     }
-    Ok(places)
+    Ok(endpoints)
 }
 
 impl Fleet {
@@ -119,7 +119,7 @@
 
     /// Index of the engine's first place of this family, as [`Control::Door`] takes it.
     pub fn place_index(&self, engine: &str, family: AddressFamily) -> Option<usize> {
-        self.hosts.get(engine)?.places().iter().position(|place| place.family() == family)
+        self.hosts.get(engine)?.listen_endpoints().iter().position(|endpoint| endpoint.family() == family)
     }
 
     /// Sets the fault of one kind of address, at one engine or at all engines that have it.
@@ -141,9 +141,9 @@
 
     /// The engine's addresses in the order of preference, as the server list has them.
     fn addresses(&self, engine: &Engine) -> String {
-        let places = self.hosts.get(&engine.name).map(Host::places).unwrap_or_default();
+        let endpoints = self.hosts.get(&engine.name).map(Host::listen_endpoints).unwrap_or_default();
         let address = |family: &AddressFamily| {
-            places.iter().find(|place| place.family() == *family).map(ToString::to_string)
+            endpoints.iter().find(|endpoint| endpoint.family() == *family).map(ToString::to_string)
         };
         engine.ways.iter().filter_map(address).collect::<Vec<_>>().join(" ")
     }
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -653,14 +653,15 @@
     let mut site = build_site(vec![(Role::Mixed, 1, Spec::default())], CLASSES.into());
     site.engines[0].ways = vec![AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
     let fleet = Fleet::start(site, &Log::none())?;
-    let places = fleet.hosts.values().next().map(elderstage_standin::host::Host::places).unwrap_or_default();
+    let endpoints =
+        fleet.hosts.values().next().map(elderstage_standin::host::Host::listen_endpoints).unwrap_or_default();
     let mut kinds = serde_json::Map::new();
-    for place in places {
-        let (name, rounds) = (place.family().to_string(), (rounds / 20).max(20));
+    for endpoint in endpoints {
+        let (name, rounds) = (endpoint.family().to_string(), (rounds / 20).max(20));
         let (sender, receiver) = std::sync::mpsc::channel();
         spawn(move || {
             // The receiver may have given up.
-            let _ = sender.send(time_exchanges(&place, rounds));
+            let _ = sender.send(time_exchanges(&endpoint, rounds));
         });
         let (pooled, new) =
             receiver.recv_timeout(TIMEOUT).map_err(std::io::Error::other)?.map_err(std::io::Error::other)?;
@@ -674,10 +675,10 @@
 }
 
 /// Median time in microseconds of an exchange on a pooled connection, and on a new one.
-fn time_exchanges(place: &elderstage_net::Endpoint, rounds: u32) -> Result<(f64, f64), String> {
+fn time_exchanges(endpoint: &elderstage_net::Endpoint, rounds: u32) -> Result<(f64, f64), String> {
     let message = |error: NetError| error.to_string();
-    let to = EndpointPath::new(place.clone(), engine::HEALTH_PATH);
-    let mut pooled = connect(place.clone(), TIMEOUT).map_err(message)?;
+    let to = EndpointPath::new(endpoint.clone(), engine::HEALTH_PATH);
+    let mut pooled = connect(endpoint.clone(), TIMEOUT).map_err(message)?;
     let (mut pooled_us, mut new_us) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
         let started = Instant::now();
@@ -685,7 +686,7 @@
         receive(&mut pooled).map_err(message)?;
         pooled_us.push(started.elapsed().as_nanos() as f64 / 1e3);
         let started = Instant::now();
-        let mut conn = connect(place.clone(), TIMEOUT).map_err(message)?;
+        let mut conn = connect(endpoint.clone(), TIMEOUT).map_err(message)?;
         send(&mut conn, "GET", &to, &[], b"").map_err(message)?;
         receive(&mut conn).map_err(message)?;
         new_us.push(started.elapsed().as_nanos() as f64 / 1e3);
@@ -701,17 +702,17 @@
     };
     let mut addresses = Addresses::<()>::new(ConnectionLimits::default(), 0.0);
     let names: Vec<ServerId> = (0..60).map(|n| ServerId(format!("s{n}").into())).collect();
-    let places = |n: usize| {
+    let endpoints = |n: usize| {
         ["unix:/run/s", "[::1]:", "127.0.0.1:"]
             .iter()
             .filter_map(|start| format!("{start}{}", 1000 + n).parse::<elderstage_net::Endpoint>().ok())
             .collect::<Vec<_>>()
     };
-    addresses.apply_list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), places(n), false)));
+    addresses.apply_list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), endpoints(n), false)));
     for n in 0..60 {
-        for place in places(n) {
-            addresses.record_other_answer(1, &place);
-            addresses.return_connection(1, &place, (), ConnectionAge::new(1));
+        for endpoint in endpoints(n) {
+            addresses.record_other_answer(1, &endpoint);
+            addresses.return_connection(1, &endpoint, (), ConnectionAge::new(1));
         }
     }
     let ask = ConnectionNeeds {
@@ -729,10 +730,10 @@
             let mut race = addresses.start_race(2, server, ask);
             let RaceStep::Reuse(lane, (conn, life)) = addresses.poll(2, &mut race) else { continue };
             let _ = addresses.poll(2, &mut race);
-            let place = race.place(lane).clone();
-            let number = addresses.record_sent(2, server, &place, true);
+            let endpoint = race.endpoint(lane).clone();
+            let number = addresses.record_sent(2, server, &endpoint, true);
             addresses.record_first_byte(2, number);
-            addresses.return_connection(2, &place, conn, life);
+            addresses.return_connection(2, &endpoint, conn, life);
         }
         times_ns.push(started.elapsed().as_nanos() as f64 / f64::from(batch_rounds));
     }
--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -175,7 +175,7 @@
     /// Names of the servers.
     names: Vec<ServerId>,
     /// Places of each server.
-    places: Vec<Vec<Endpoint>>,
+    endpoints: Vec<Vec<Endpoint>>,
     /// Number of dials in each second.
     dials: BTreeMap<Time, u64>,
     summary: SimulationSummary,
@@ -201,10 +201,10 @@
     let names: Vec<ServerId> = (0..scenario.servers).map(|n| ServerId(format!("s{n}").into())).collect();
     let server_places =
         |server| scenario.families.iter().enumerate().map(move |(i, family)| make_place(server, i, *family));
-    let places: Vec<Vec<Endpoint>> =
+    let endpoints: Vec<Vec<Endpoint>> =
         (0..scenario.servers).map(|server| server_places(server).collect()).collect();
     let mut seed_rng = ChaCha8Rng::seed_from_u64(scenario.seed);
-    let list = || names.iter().cloned().zip(places.iter().cloned()).map(|(n, p)| (n, p, false));
+    let list = || names.iter().cloned().zip(endpoints.iter().cloned()).map(|(n, p)| (n, p, false));
     let fronts = (0..scenario.fronts).map(|_| {
         let mut addresses = Addresses::new(ConnectionLimits::default(), seed_rng.random());
         addresses.apply_list(0, list());
@@ -235,7 +235,7 @@
         now: 0,
         dials: BTreeMap::new(),
         names,
-        places,
+        endpoints,
         summary,
         scenario,
     };
@@ -250,10 +250,12 @@
     }
 
     /// How an address behaves now.
-    fn behavior(&self, place: &Endpoint) -> AddressBehavior {
+    fn behavior(&self, endpoint: &Endpoint) -> AddressBehavior {
         let (family, behavior) = self.scenario.fault;
-        let has_fault = family.is_none_or(|family| place.family() == family)
-            && self.places[..self.scenario.faulty_servers].iter().any(|places| places.contains(place));
+        let has_fault = family.is_none_or(|family| endpoint.family() == family)
+            && self.endpoints[..self.scenario.faulty_servers]
+                .iter()
+                .any(|endpoints| endpoints.contains(endpoint));
         let is_in_fault =
             has_fault && (self.scenario.fault_start..self.scenario.fault_end).contains(&self.now);
         let is_on = self.scenario.flap_interval == 0
@@ -307,16 +309,16 @@
                 self.start_request(front);
             }
             EventKind::DialEnded { race, lane, since, ok } => {
-                let place = self.fronts[front].requests[race].race.place(lane).clone();
+                let endpoint = self.fronts[front].requests[race].race.endpoint(lane).clone();
                 let state = &mut self.fronts[front];
-                state.addresses.record_dial(self.now, &place, since, ok);
+                state.addresses.record_dial(self.now, &endpoint, since, ok);
                 let request = &mut state.requests[race];
                 let is_wanted =
                     if ok { request.race.record_connected(lane) } else { request.race.record_failure(lane) };
                 if !ok {
-                    state.addresses.record_closed(&place);
+                    state.addresses.record_closed(&endpoint);
                 } else if !is_wanted {
-                    state.addresses.return_connection(self.now, &place, (), ConnectionAge::new(self.now));
+                    state.addresses.return_connection(self.now, &endpoint, (), ConnectionAge::new(self.now));
                 }
                 self.advance_race(front, race);
             }
@@ -329,20 +331,20 @@
                 if ok {
                     state.addresses.record_proof(self.now, &mut request.race, lane);
                 } else {
-                    let place = request.race.place(lane).clone();
+                    let endpoint = request.race.endpoint(lane).clone();
                     state.addresses.record_proof_failure(self.now, &mut request.race, lane);
-                    state.addresses.record_closed(&place);
+                    state.addresses.record_closed(&endpoint);
                 }
                 self.advance_race(front, race);
             }
             EventKind::WaitEnded { race } => self.advance_race(front, race),
             EventKind::ConnectionFreed { server, address, opened } => {
-                let place = self.places[server][address].clone();
+                let endpoint = self.endpoints[server][address].clone();
                 let state = &mut self.fronts[front];
-                state.addresses.record_other_answer(self.now, &place);
+                state.addresses.record_other_answer(self.now, &endpoint);
                 state.addresses.return_connection(
                     self.now,
-                    &place,
+                    &endpoint,
                     (),
                     ConnectionAge { opened_at: opened, uses: 1 },
                 );
@@ -352,7 +354,7 @@
                 let state = &mut self.fronts[front];
                 let trial = state.trials[trial].clone();
                 state.addresses.record_trial(self.now, &trial, since, ok);
-                state.addresses.record_closed(&trial.place);
+                state.addresses.record_closed(&trial.endpoint);
             }
             EventKind::Maintain => self.maintain(front),
         }
@@ -363,9 +365,10 @@
         let state = &mut self.fronts[front];
         for () in state.addresses.take_closing() {
             // The count is by address. Any open address will do, since the limits are over all servers.
-            if let Some(place) = self.places.iter().flatten().find(|place| state.addresses.open_to(place) > 0)
+            if let Some(endpoint) =
+                self.endpoints.iter().flatten().find(|endpoint| state.addresses.open_to(endpoint) > 0)
             {
-                state.addresses.record_closed(place);
+                state.addresses.record_closed(endpoint);
             }
         }
     }
@@ -380,7 +383,8 @@
             Policy::Sequential => return self.connect_sequentially(server),
             Policy::Race => {
                 let mut addresses = Addresses::new(ConnectionLimits::default(), 0.0);
-                addresses.apply_list(0, [(self.names[server].clone(), self.places[server].clone(), false)]);
+                addresses
+                    .apply_list(0, [(self.names[server].clone(), self.endpoints[server].clone(), false)]);
                 self.fronts[front].addresses = addresses;
             }
             Policy::Learned => {}
@@ -409,8 +413,8 @@
     fn connect_sequentially(&mut self, server: usize) {
         let share = CONNECT_TIMEOUT / self.scenario.families.len() as Time;
         let mut elapsed = 0;
-        for place in &self.places[server] {
-            let behavior = self.behavior(place);
+        for endpoint in &self.endpoints[server] {
+            let behavior = self.behavior(endpoint);
             let (connects, answers) = (behavior.connects(), behavior.answers());
             let needed = behavior.round_trip() * if connects == Some(true) { 2 } else { 1 };
             match (connects, answers) {
@@ -445,8 +449,8 @@
             match state.addresses.poll(now, &mut request.race) {
                 RaceStep::Reuse(..) => {}
                 RaceStep::Dial(lane, until) => {
-                    let place = request.race.place(lane).clone();
-                    let behavior = self.behavior(&place);
+                    let endpoint = request.race.endpoint(lane).clone();
+                    let behavior = self.behavior(&endpoint);
                     *self.dials.entry(now / SECOND).or_default() += 1;
                     self.summary.dials_into_fault += u64::from(behavior != AddressBehavior::Healthy);
                     let (at, ok) = match behavior.connects() {
@@ -459,8 +463,8 @@
                     request.proof_numbers[lane] += 1;
                     let number = request.proof_numbers[lane];
                     let behavior = {
-                        let place = request.race.place(lane).clone();
-                        self.behavior(&place)
+                        let endpoint = request.race.endpoint(lane).clone();
+                        self.behavior(&endpoint)
                     };
                     if let Some(ok) = behavior.answers() {
                         self.schedule(
@@ -472,17 +476,17 @@
                 }
                 RaceStep::Drop(lane) => {
                     request.proof_numbers[lane] += 1;
-                    let place = request.race.place(lane).clone();
-                    state.addresses.record_closed(&place);
+                    let endpoint = request.race.endpoint(lane).clone();
+                    state.addresses.record_closed(&endpoint);
                 }
                 RaceStep::Send(lane, _) => {
                     request.is_finished = true;
-                    let place = request.race.place(lane).clone();
-                    let address = self.places[server].iter().position(|p| *p == place).unwrap_or(0);
+                    let endpoint = request.race.endpoint(lane).clone();
+                    let address = self.endpoints[server].iter().position(|p| *p == endpoint).unwrap_or(0);
                     let unused: Vec<Endpoint> =
-                        request.race.unused_lanes().map(|lane| request.race.place(lane).clone()).collect();
-                    for place in unused {
-                        state.addresses.return_connection(now, &place, (), ConnectionAge::new(now));
+                        request.race.unused_lanes().map(|lane| request.race.endpoint(lane).clone()).collect();
+                    for endpoint in unused {
+                        state.addresses.return_connection(now, &endpoint, (), ConnectionAge::new(now));
                     }
                     self.schedule(
                         now + CONNECTION_USE,
@@ -527,7 +531,7 @@
         }
         for trial in due.trials {
             *self.dials.entry(now / SECOND).or_default() += 1;
-            let behavior = self.behavior(&trial.place);
+            let behavior = self.behavior(&trial.endpoint);
             self.summary.dials_into_fault += u64::from(behavior != AddressBehavior::Healthy);
             let (at, ok) = match (behavior.connects(), behavior.answers()) {
                 (Some(true), Some(true)) => (now + 2 * behavior.round_trip(), true),
--- a/crates/standin/src/host/door.rs
+++ b/crates/standin/src/host/door.rs
@@ -54,7 +54,7 @@
 
 /// A listen address, its fault and its listener.
 pub(super) struct ListenAddress {
-    place: Endpoint,
+    endpoint: Endpoint,
     fault: DoorFault,
     /// A listener bound before the engine starts, so that its port is known.
     prebound: Option<Listener>,
@@ -65,9 +65,9 @@
 
 impl ListenAddress {
     pub fn new(listener: Listener) -> ListenAddress {
-        let place = listener.place().clone();
+        let endpoint = listener.endpoint().clone();
         ListenAddress {
-            place,
+            endpoint,
             fault: DoorFault::None,
             prebound: Some(listener),
             listener_stop: None,
@@ -75,8 +75,8 @@
         }
     }
 
-    pub fn place(&self) -> &Endpoint {
-        &self.place
+    pub fn endpoint(&self) -> &Endpoint {
+        &self.endpoint
     }
 
     pub fn fault(&self) -> DoorFault {
@@ -96,13 +96,13 @@
         self.stop_listening();
         match self.fault {
             DoorFault::Refuses => {
-                if let Endpoint::Unix(path) = &self.place {
+                if let Endpoint::Unix(path) = &self.endpoint {
                     leave_stale_socket_file(path)?;
                 }
                 Ok(())
             }
             DoorFault::Missing => {
-                if let Endpoint::Unix(path) = &self.place {
+                if let Endpoint::Unix(path) = &self.endpoint {
                     remove_socket_file(path)?;
                 }
                 Ok(())
@@ -111,9 +111,9 @@
             _ => {
                 let listener = match self.prebound.take() {
                     Some(listener) => listener,
-                    None => bind_listener(&self.place)?,
+                    None => bind_listener(&self.endpoint)?,
                 };
-                if let (DoorFault::Denied, Endpoint::Unix(path)) = (self.fault, &self.place) {
+                if let (DoorFault::Denied, Endpoint::Unix(path)) = (self.fault, &self.endpoint) {
                     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o000))?;
                 }
                 self.listener_stop = Some(listener.handle());
@@ -151,7 +151,7 @@
     /// Listens with a full backlog and accepts nothing.
     fn fill_backlog(&mut self) -> std::io::Result<()> {
         use socket2::{Domain, SockAddr, Socket, Type};
-        let (domain, addr) = match &self.place {
+        let (domain, addr) = match &self.endpoint {
             Endpoint::Tcp(addr) => (Domain::for_address(*addr), SockAddr::from(*addr)),
             Endpoint::Unix(path) => {
                 remove_socket_file(path)?;
@@ -192,12 +192,12 @@
 }
 
 /// Binds a listener, over the socket file of an earlier process if there is one.
-fn bind_listener(place: &Endpoint) -> std::io::Result<Listener> {
-    if let Endpoint::Unix(path) = place {
+fn bind_listener(endpoint: &Endpoint) -> std::io::Result<Listener> {
+    if let Endpoint::Unix(path) = endpoint {
         // A starting process removes the socket file that an earlier one left.
         remove_socket_file(path)?;
     }
-    retry_while_in_use(|| Listener::bind_endpoint(place))
+    retry_while_in_use(|| Listener::bind_endpoint(endpoint))
 }
 
 fn remove_socket_file(path: &Path) -> std::io::Result<()> {
--- a/crates/standin/src/host/mod.rs
+++ b/crates/standin/src/host/mod.rs
@@ -74,7 +74,7 @@
     Start { cold: bool },
     /// Replaces the socket faults.
     Faults(Faults),
-    /// Sets the fault of one listen address, by its index in [`Host::places`].
+    /// Sets the fault of one listen address, by its index in [`Host::listen_endpoints`].
     Door(usize, DoorFault),
 }
 
@@ -117,10 +117,10 @@
     /// Starts an engine and listens on all its addresses.
     pub fn start(options: Options, cold: bool, log: Log) -> std::io::Result<Host> {
         let mut addresses = Vec::new();
-        for place in [Endpoint::Tcp(options.listen)].iter().chain(&options.also) {
-            addresses.push(Mutex::new(ListenAddress::new(Listener::bind_endpoint(place)?)));
+        for endpoint in [Endpoint::Tcp(options.listen)].iter().chain(&options.also) {
+            addresses.push(Mutex::new(ListenAddress::new(Listener::bind_endpoint(endpoint)?)));
         }
-        let addr = match lock(&addresses[0]).place() {
+        let addr = match lock(&addresses[0]).endpoint() {
             Endpoint::Tcp(addr) => *addr,
             Endpoint::Unix(_) => options.listen,
         };
@@ -153,8 +153,8 @@
     }
 
     /// The listen addresses; the TCP address of `Options::listen` comes first.
-    pub fn places(&self) -> Vec<Endpoint> {
-        self.shared.addresses.iter().map(|address| lock(address).place().clone()).collect()
+    pub fn listen_endpoints(&self) -> Vec<Endpoint> {
+        self.shared.addresses.iter().map(|address| lock(address).endpoint().clone()).collect()
     }
 
     /// The main TCP address, with the chosen port.
--- a/fuzz/fuzz_targets/address.rs
+++ b/fuzz/fuzz_targets/address.rs
@@ -11,10 +11,10 @@
                     route r {\n class c\n}\nkind k {\n role mixed\n kv-tokens 1000\n}\n";
 
 fuzz_target!(|text: &str| {
-    let place = text.parse::<Endpoint>();
-    if let Ok(place) = &place {
-        assert_eq!(place.to_string().parse::<Endpoint>().as_ref(), Ok(place));
-        let _ = (place.family(), place.host());
+    let endpoint = text.parse::<Endpoint>();
+    if let Ok(endpoint) = &endpoint {
+        assert_eq!(endpoint.to_string().parse::<Endpoint>().as_ref(), Ok(endpoint));
+        let _ = (endpoint.family(), endpoint.host());
     }
     // The text as one quoted word in a list.
     let word = text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
@@ -25,11 +25,11 @@
     assert!(directives("f", &file).is_ok(), "the quoted word does not stay on its line");
     match parse("f", &file) {
         Ok(config) => {
-            assert_eq!(config.servers[0].places, [place.expect("the list accepted an invalid address")])
+            assert_eq!(config.servers[0].endpoints, [endpoint.expect("the list accepted an invalid address")])
         }
         Err(errors) => {
             let line = PREAMBLE.lines().count() + 4;
-            assert!(place.is_err(), "{errors}");
+            assert!(endpoint.is_err(), "{errors}");
             assert!(
                 errors.0.iter().any(|e| e.at.line == line && e.what.starts_with("address: value 1")),
                 "{errors}"
