--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use elderstage_config::{LoadedConfig, RepeatName, format, load_file};
+use elderstage_config::{LoadedConfig, RepeatName, format_config, load_file};
 
 /// What to do with a configuration, one subcommand each.
 #[derive(Subcommand)]
@@ -100,7 +100,7 @@
 fn format_file(file: &Path, should_write: bool, check_only: bool) -> Result<ExitCode, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
-    let formatted = format(&name, &text).map_err(|errors| errors.to_string())?;
+    let formatted = format_config(&name, &text).map_err(|errors| errors.to_string())?;
     if check_only {
         return Ok(if formatted == text { ExitCode::SUCCESS } else { ExitCode::FAILURE });
     }
@@ -127,12 +127,12 @@
 /// The effective values as text, by section; without the defaults if `set_only`.
 fn format_effective_values(loaded: &LoadedConfig, set_only: bool) -> String {
     let (mut out, mut section) = (String::new(), "");
-    for effective in loaded.effective.iter().filter(|effective| !set_only || effective.at.is_some()) {
+    for effective in loaded.effective.iter().filter(|effective| !set_only || effective.position.is_some()) {
         if effective.section != section {
             section = &effective.section;
             out.push_str(&std::format!("{section}\n"));
         }
-        let origin = effective.at.map_or("default".into(), |at| {
+        let origin = effective.position.map_or("default".into(), |at| {
             let file = loaded.files.get(at.file).map_or("?", |file| file.name.as_str());
             format!("{file}:{}", at.line)
         });
@@ -161,9 +161,9 @@
         }
     };
     let is_selected =
-        |expect: &&elderstage_config::ExpectConfig| filter.is_none_or(|part| expect.name.contains(part));
+        |expect: &&elderstage_config::ExpectationConfig| filter.is_none_or(|part| expect.name.contains(part));
     let (mut tested, mut failed, mut out) = (0, 0, String::new());
-    for expect in config.expects.iter().filter(is_selected) {
+    for expect in config.expectations.iter().filter(is_selected) {
         tested += 1;
         let verdict = elderstage_expect::run_expectation(config, &servers, expect, seeds);
         failed += usize::from(!verdict.holds());
@@ -203,13 +203,14 @@
                 format!("keyed; sent again within {group:?} and {} of the first", ms(memory)),
         }
     );
-    println!("  first token within {}, given up after {}", ms(class.first_token), ms(class.give_up));
+    println!("  first token within {}, given up after {}", ms(class.ttft_target), ms(class.give_up));
     println!("  the whole answer within {}", ms(class.total));
-    println!("  at most {} sends for each of {} turns", config.rules.most_tries, route.most_turns);
+    println!("  at most {} sends for each of {} turns", config.rules.max_attempts, route.max_turns);
     println!("  at most {} tokens a turn", route.max_tokens);
     for tool in config.tools.iter().filter(|tool| route.tools.contains(&tool.name)) {
-        let effect = if tool.effect { "lasting effect, one call unless proved unrun" } else { "no effect" };
-        println!("  tool {}: {effect}, {} a call, {} tries", tool.name, ms(tool.timeout), tool.tries);
+        let effect =
+            if tool.has_effect { "lasting effect, one call unless proved unrun" } else { "no effect" };
+        println!("  tool {}: {effect}, {} a call, {} tries", tool.name, ms(tool.timeout), tool.max_tries);
     }
     for kind in &config.kinds {
         let count = config.servers.iter().filter(|server| server.kind == kind.name).count();
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -3,15 +3,15 @@
 //!
 //! Formatting never changes what a file says, and formatting twice gives the same text as formatting once.
 
-use crate::lines::{Errors, Token, directives, lines, quote_word, tokens};
+use crate::lines::{ConfigErrors, Token, lines, parse_directives, quote_word, tokens};
 
 /// Spaces of indentation for each open section.
 const INDENT_WIDTH: usize = 4;
 
 /// Returns the text of a file in canonical form, with the same meaning. A text with syntax errors is refused. `file` is
 /// the name of the file in errors.
-pub fn format(file: &str, text: &str) -> Result<String, Errors> {
-    directives(file, text)?;
+pub fn format_config(file: &str, text: &str) -> Result<String, ConfigErrors> {
+    parse_directives(file, text)?;
     let (mut out, mut depth, mut after_empty_line) = (String::new(), 0usize, false);
     for (_, line) in lines(text) {
         // `directives` returned no error, so every line has valid tokens.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,8 +17,8 @@
 mod read;
 mod source;
 
-pub use format::format;
-pub use lines::{At, ConfigError, Directive, Errors, directives};
+pub use format::format_config;
+pub use lines::{ConfigError, ConfigErrors, Directive, Position, parse_directives};
 pub use model::*;
-pub use read::{EffectiveValue, number, parse, parse_servers, time};
+pub use read::{EffectiveValue, parse, parse_number, parse_servers, parse_time};
 pub use source::{LoadError, LoadedConfig, SourceFile, diff, load, load_file};
--- a/crates/config/src/lines.rs
+++ b/crates/config/src/lines.rs
@@ -14,7 +14,7 @@
 /// Position of a piece of text in a configuration file. Lines and columns count from 1, and columns are in characters.
 /// The default value, with all fields zero, means that there is no position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct At {
+pub struct Position {
     /// Index of the file, in the order in which files are read.
     pub file: usize,
     pub line: usize,
@@ -30,23 +30,23 @@
 pub struct ConfigError {
     /// Name of the file, as shown to the user.
     pub file: String,
-    pub at: At,
+    pub position: Position,
     /// What was wrong and what was expected.
-    pub what: String,
+    pub message: String,
     /// A known name that is similar to the unknown one.
     pub suggestion: Option<String>,
 }
 
 impl ConfigError {
     /// Makes an error without a suggestion.
-    pub fn new(file: &str, at: At, what: impl Into<String>) -> ConfigError {
-        ConfigError { file: file.into(), at, what: what.into(), suggestion: None }
+    pub fn new(file: &str, at: Position, what: impl Into<String>) -> ConfigError {
+        ConfigError { file: file.into(), position: at, message: what.into(), suggestion: None }
     }
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.file, self.at.line, self.at.column, self.what)?;
+        write!(f, "{}:{}:{}: {}", self.file, self.position.line, self.position.column, self.message)?;
         match &self.suggestion {
             Some(suggestion) => write!(f, "; did you mean {suggestion}?"),
             None => Ok(()),
@@ -56,34 +56,34 @@
 
 /// All errors of a configuration, in the order of its files and lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Errors(pub Vec<ConfigError>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Errors {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines: Vec<String> = self.0.iter().map(ConfigError::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
 
-impl std::error::Error for Errors {}
+impl std::error::Error for ConfigErrors {}
 
 /// A directive: its name, its values and, for a section, the directives in its braces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directive {
     /// Position of the name.
-    pub at: At,
+    pub position: Position,
     pub name: String,
     pub values: Vec<String>,
     /// Position of each value.
-    pub value_positions: Vec<At>,
+    pub value_positions: Vec<Position>,
     /// The directives in the braces; `None` for a directive without braces.
     pub body: Option<Vec<Directive>>,
 }
 
 impl Directive {
     /// Position of a value, or of the name if there is no such value.
-    pub fn value_position(&self, index: usize) -> At {
-        self.value_positions.get(index).copied().unwrap_or(self.at)
+    pub fn value_position(&self, index: usize) -> Position {
+        self.value_positions.get(index).copied().unwrap_or(self.position)
     }
 }
 
@@ -182,9 +182,9 @@
 }
 
 /// Parses the text of one file, without following includes. `file` is the name of the file in errors.
-pub fn directives(file: &str, text: &str) -> Result<Vec<Directive>, Errors> {
+pub fn parse_directives(file: &str, text: &str) -> Result<Vec<Directive>, ConfigErrors> {
     let (directives, errors) = parse_with_recovery(0, file, text);
-    if errors.is_empty() { Ok(directives) } else { Err(Errors(errors)) }
+    if errors.is_empty() { Ok(directives) } else { Err(ConfigErrors(errors)) }
 }
 
 /// Parses the text of one file and continues after errors: returns all directives that can be read, and all errors.
@@ -196,7 +196,7 @@
 ) -> (Vec<Directive>, Vec<ConfigError>) {
     let (mut open_sections, mut top_level, mut errors) = (Vec::<Directive>::new(), Vec::new(), Vec::new());
     for (index, (line_start, line)) in lines(text).enumerate() {
-        let position = |range: &Range<usize>| At {
+        let position = |range: &Range<usize>| Position {
             file: file_index,
             line: index + 1,
             column: line[..range.start].chars().count() + 1,
@@ -240,7 +240,7 @@
             let at = position(&range);
             let (values, value_positions) = words.map(|(word, range)| (word, position(&range))).unzip();
             let directive =
-                Directive { at, name, values, value_positions, body: opens_section.then(Vec::new) };
+                Directive { position: at, name, values, value_positions, body: opens_section.then(Vec::new) };
             if opens_section {
                 open_sections.push(directive);
             } else {
@@ -250,7 +250,7 @@
     }
     for section in &open_sections {
         let what = format!("expected }} for section \"{}\" before the end of the file", section.name);
-        errors.push(ConfigError::new(file, section.at, what));
+        errors.push(ConfigError::new(file, section.position, what));
     }
     (top_level, errors)
 }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -6,7 +6,7 @@
 
 use elderstage_protocol::place::Endpoint;
 
-use crate::lines::At;
+use crate::lines::Position;
 
 /// A time in microseconds.
 pub type Micros = u64;
@@ -52,15 +52,15 @@
 /// A `class` section: how requests of one class may be repeated, and their time limits and worth.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassConfig {
-    pub at: At,
+    pub position: Position,
     pub name: String,
     pub repeat: RepeatName,
     /// Target time to first token (TTFT), without the part that depends on the prompt.
-    pub first_token: Micros,
+    pub ttft_target: Micros,
     /// Added to `first_token` for each 1,000 prompt tokens.
     pub first_token_per_1000: Micros,
     /// Target mean time between tokens (TPOT).
-    pub token_gap: Micros,
+    pub tpot_target: Micros,
     /// Maximum wait for the first token of a turn.
     pub give_up: Micros,
     /// Added to `give_up` for each 1,000 prompt tokens.
@@ -76,22 +76,22 @@
 /// A `tool` section: a tool on a tool server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ToolConfig {
-    pub at: At,
+    pub position: Position,
     pub name: String,
     pub addr: SocketAddr,
     pub path: String,
     /// Whether a call may have a lasting effect, so that it must not be made twice.
-    pub effect: bool,
+    pub has_effect: bool,
     /// Time limit of one call.
     pub timeout: Micros,
     /// Maximum calls of one request for one turn.
-    pub tries: u32,
+    pub max_tries: u32,
 }
 
 /// A `route` section: what a client can call, with its class, model and tools.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteConfig {
-    pub at: At,
+    pub position: Position,
     pub name: String,
     pub class: String,
     pub description: String,
@@ -102,13 +102,13 @@
     /// Maximum tokens of one turn.
     pub max_tokens: u32,
     /// Maximum turns of the model in one request.
-    pub most_turns: u32,
+    pub max_turns: u32,
 }
 
 /// A `kind` section: properties that engines of one kind share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindConfig {
-    pub at: At,
+    pub position: Position,
     pub name: String,
     pub role: RoleName,
     /// Size of the KV cache in tokens.
@@ -127,7 +127,7 @@
 /// A `server` section: one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerConfig {
-    pub at: At,
+    pub position: Position,
     pub name: String,
     /// Addresses, in the order of preference.
     pub endpoints: Vec<Endpoint>,
@@ -153,22 +153,22 @@
     /// Number of worker threads.
     pub workers: usize,
     /// Maximum requests that the front holds at once.
-    pub most_requests: usize,
+    pub max_requests: usize,
     /// A connection without any traffic is closed after this time.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// A client that receives nothing from its connection for this time is considered gone.
-    pub stall: Micros,
+    pub stall_timeout: Micros,
     /// Bytes that the system buffers for a client that does not receive them. When the buffer is full, its stream
     /// waits.
     pub send_buffer: usize,
     /// Maximum bytes of the head of a request.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Maximum bytes of the body of a request.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Maximum bytes of one answer.
-    pub answer: usize,
+    pub max_answer_bytes: usize,
     /// Maximum time of a drain.
-    pub drain: Micros,
+    pub drain_timeout: Micros,
 }
 
 /// The `rules` section: parameters of the routing rules, and what the deployment allows.
@@ -179,25 +179,25 @@
     /// A server's connections are closed this long after the server was told to leave.
     pub drain_grace: Micros,
     /// Time limit for releasing what is held for a request without a running attempt.
-    pub let_go: Micros,
+    pub release_time_limit: Micros,
     /// Share of its full speed that an engine has at a cold start.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// Time after its start during which an engine is cold.
-    pub cold_for: Micros,
+    pub cold_duration: Micros,
     /// Load that makes a cold engine fail, as a multiple of what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Time for which that load must last to make a cold engine fail.
-    pub tip_after: Micros,
+    pub overload_window: Micros,
     /// Maximum sends of one request.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Timeout of connecting.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Maximum time after which a refused client is told to retry.
-    pub retry_after: Micros,
+    pub max_retry_after: Micros,
     /// Whether a writer prefills the prompt itself if there is no KV state to fetch.
-    pub writers_read: bool,
+    pub writers_may_read: bool,
     /// Whether the front may probe servers.
-    pub probes: bool,
+    pub may_probe: bool,
     /// Whether load reports come in answers; otherwise, if at all, in answers to probes.
     pub reports_in_answers: bool,
 }
@@ -208,24 +208,24 @@
     /// Connection attempts per second.
     pub dials_per_s: f64,
     /// Connection attempts that may start at once after an idle time.
-    pub dials_at_once: f64,
+    pub dial_burst: f64,
     /// Maximum connections to one server, open or being opened.
-    pub per_server: usize,
+    pub max_per_server: usize,
     /// Maximum connections to all servers, open or being opened.
-    pub in_all: usize,
+    pub max_total: usize,
     /// Maximum idle connections that are kept for one address.
-    pub idle_each: usize,
+    pub max_idle_per_address: usize,
     /// Time for which an idle connection is kept.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Age after which a connection is not reused.
-    pub age: Micros,
+    pub max_age: Micros,
     /// Number of requests after which a connection is not reused.
-    pub uses: u32,
+    pub max_uses: u32,
 }
 
 /// One condition of an expectation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Want {
+pub enum Condition {
     /// No request is sent to these servers.
     Never(Vec<String>),
     /// Maximum number of times that one request is sent.
@@ -238,22 +238,22 @@
     Share { server: String, low: f64, high: f64 },
 }
 
-impl std::fmt::Display for Want {
+impl std::fmt::Display for Condition {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Want::Never(servers) => write!(f, "never {}", servers.join(" ")),
-            Want::Attempts(limit) => write!(f, "attempts {limit}"),
-            Want::Served(share) => write!(f, "served {share}"),
-            Want::AnsweredWithin(time) => write!(f, "answered-within {}ms", *time as f64 / 1e3),
-            Want::Share { server, low, high } => write!(f, "share {server} {low} {high}"),
+            Condition::Never(servers) => write!(f, "never {}", servers.join(" ")),
+            Condition::Attempts(limit) => write!(f, "attempts {limit}"),
+            Condition::Served(share) => write!(f, "served {share}"),
+            Condition::AnsweredWithin(time) => write!(f, "answered-within {}ms", *time as f64 / 1e3),
+            Condition::Share { server, low, high } => write!(f, "share {server} {low} {high}"),
         }
     }
 }
 
 /// An `expect` section: a scenario and the conditions that the configuration must meet in it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ExpectConfig {
-    pub at: At,
+pub struct ExpectationConfig {
+    pub position: Position,
     pub name: String,
     pub route: String,
     /// Number of requests in one run.
@@ -268,7 +268,7 @@
     pub draining: Vec<String>,
     /// Servers that refuse every request because they are full.
     pub full: Vec<String>,
-    pub wants: Vec<Want>,
+    pub conditions: Vec<Condition>,
 }
 
 /// A complete configuration.
@@ -285,5 +285,5 @@
     pub servers: Vec<ServerConfig>,
     /// Path of a file that lists servers. The front watches it for changes while it runs.
     pub servers_file: Option<String>,
-    pub expects: Vec<ExpectConfig>,
+    pub expectations: Vec<ExpectationConfig>,
 }
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -7,7 +7,7 @@
 
 use elderstage_protocol::place::Endpoint;
 
-use crate::lines::{At, ConfigError, Directive, Errors, closest_name, parse_with_recovery};
+use crate::lines::{ConfigError, ConfigErrors, Directive, Position, closest_name, parse_with_recovery};
 use crate::model::*;
 
 /// Directives that are allowed outside of sections.
@@ -25,7 +25,7 @@
     "servers",
 ];
 /// The start of the first file: the position of errors about something that is missing.
-const FILE_START: At = At { file: 0, line: 1, column: 1, start: 0, end: 0 };
+const FILE_START: Position = Position { file: 0, line: 1, column: 1, start: 0, end: 0 };
 
 /// Maximum number of addresses of one server. A machine has fewer ways to be reached.
 const MAX_SERVER_ADDRESSES: usize = 8;
@@ -48,12 +48,12 @@
     pub name: String,
     pub value: String,
     /// Position of the directive; `None` for a default.
-    pub at: Option<At>,
+    pub position: Option<Position>,
 }
 
 /// The directives of one section. Each is taken at most once; those that remain are unknown.
 struct Section<'a> {
-    at: At,
+    at: Position,
     name: String,
     /// Name of the section among the effective values, such as `class ask`.
     title: String,
@@ -72,7 +72,7 @@
 /// Stands for a section that is not in the file: all its values are defaults.
 fn empty_section(name: &str) -> Directive {
     Directive {
-        at: FILE_START,
+        position: FILE_START,
         name: name.into(),
         values: Vec::new(),
         value_positions: Vec::new(),
@@ -81,13 +81,13 @@
 }
 
 impl ConfigParser<'_> {
-    fn report_error(&mut self, at: At, what: impl Into<String>) {
+    fn report_error(&mut self, at: Position, what: impl Into<String>) {
         let file = self.files.get(at.file).map_or("", String::as_str);
         self.errors.push(ConfigError::new(file, at, what));
     }
 
     /// Reports that something is missing, unless it may be on a line with a syntax error.
-    fn report_missing(&mut self, at: At, what: impl Into<String>) {
+    fn report_missing(&mut self, at: Position, what: impl Into<String>) {
         if !self.has_syntax_errors {
             self.report_error(at, what);
         }
@@ -96,7 +96,7 @@
     /// Reports an unknown name, with the known name that is most similar to it.
     fn report_unknown_name<'a>(
         &mut self,
-        at: At,
+        at: Position,
         what: impl Into<String>,
         name: &str,
         known_names: impl Iterator<Item = &'a str>,
@@ -108,8 +108,19 @@
         }
     }
 
-    fn record_effective_value(&mut self, section: &Section<'_>, name: &str, value: String, at: Option<At>) {
-        self.effective.push(EffectiveValue { section: section.title.clone(), name: name.into(), value, at });
+    fn record_effective_value(
+        &mut self,
+        section: &Section<'_>,
+        name: &str,
+        value: String,
+        at: Option<Position>,
+    ) {
+        self.effective.push(EffectiveValue {
+            section: section.title.clone(),
+            name: name.into(),
+            value,
+            position: at,
+        });
     }
 
     /// Starts to parse a section, and checks its name and its braces.
@@ -117,18 +128,18 @@
         let expected_values = usize::from(has_name);
         if directive.values.len() != expected_values {
             let what = if has_name { "one name and {" } else { "{ and no name" };
-            self.report_error(directive.at, format!("expected {} {what}", directive.name));
+            self.report_error(directive.position, format!("expected {} {what}", directive.name));
         }
         let directives = match &directive.body {
             Some(body) => body.iter().map(Some).collect(),
             None => {
-                self.report_error(directive.at, format!("expected {{ after {}", directive.name));
+                self.report_error(directive.position, format!("expected {{ after {}", directive.name));
                 Vec::new()
             }
         };
         let name = directive.values.first().cloned().unwrap_or_default();
         Section {
-            at: directive.at,
+            at: directive.position,
             title: section_title(directive),
             name,
             directives,
@@ -145,8 +156,8 @@
                 let directive = slot.take()?;
                 match found {
                     Some(first) => {
-                        let what = format!("{name} is already set on line {}", first.at.line);
-                        self.report_error(directive.at, what);
+                        let what = format!("{name} is already set on line {}", first.position.line);
+                        self.report_error(directive.position, what);
                     }
                     None => found = Some(directive),
                 }
@@ -155,7 +166,7 @@
         if let Some(directive) = found
             && directive.body.is_some()
         {
-            self.report_error(directive.at, format!("{name} takes no {{"));
+            self.report_error(directive.position, format!("{name} takes no {{"));
         }
         found
     }
@@ -190,12 +201,12 @@
                 format!("{name}: expected {expected}, not \"{text}\""),
             );
         }
-        self.record_effective_value(section, name, text, Some(directive.at));
+        self.record_effective_value(section, name, text, Some(directive.position));
         value.unwrap_or(placeholder)
     }
 
     fn parse_time(&mut self, section: &mut Section<'_>, name: &'static str, default: Option<&str>) -> Micros {
-        self.parse_value(section, name, default, "a time such as 300ms or 2s", time, 1)
+        self.parse_value(section, name, default, "a time such as 300ms or 2s", parse_time, 1)
     }
 
     fn parse_number(
@@ -206,7 +217,7 @@
         range: (f64, f64),
     ) -> f64 {
         let expected = format!("a number from {} to {}", range.0, range.1);
-        let parse = |text: &str| number(text).filter(|n| *n >= range.0 && *n <= range.1);
+        let parse = |text: &str| parse_number(text).filter(|n| *n >= range.0 && *n <= range.1);
         let default = default.map(|value| value.to_string());
         self.parse_value(section, name, default.as_deref(), &expected, parse, range.0)
     }
@@ -235,7 +246,7 @@
         };
         if directive.values.is_empty() || directive.values.len() > MAX_SERVER_ADDRESSES {
             let what = format!("{name}: expected from 1 to {MAX_SERVER_ADDRESSES} addresses");
-            self.report_error(directive.at, what);
+            self.report_error(directive.position, what);
         }
         let mut endpoints: Vec<Endpoint> = Vec::new();
         for (index, value) in directive.values.iter().enumerate() {
@@ -259,7 +270,7 @@
                 }
             }
         }
-        self.record_effective_value(section, name, directive.values.join(" "), Some(directive.at));
+        self.record_effective_value(section, name, directive.values.join(" "), Some(directive.position));
         endpoints
     }
 
@@ -276,7 +287,7 @@
     fn finish_section(&mut self, section: Section<'_>) {
         for directive in section.directives.into_iter().flatten() {
             let what = format!("unknown directive {} in section \"{}\"", directive.name, section.name);
-            self.report_error(directive.at, what);
+            self.report_error(directive.position, what);
             if let Some(error) = self.errors.last_mut() {
                 error.suggestion = closest_name(&directive.name, section.known_directives.iter().copied());
             }
@@ -285,7 +296,7 @@
 }
 
 /// Parses a time such as `300ms`, `2s`, `500us` or `1m`. The unit is required, because a bare number is ambiguous.
-pub fn time(text: &str) -> Option<Micros> {
+pub fn parse_time(text: &str) -> Option<Micros> {
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let unit = match &text[digits.len()..] {
         "us" => 1.0,
@@ -300,7 +311,7 @@
 }
 
 /// Parses a number such as `20`, `0.5`, `160k` or `1M`.
-pub fn number(text: &str) -> Option<f64> {
+pub fn parse_number(text: &str) -> Option<f64> {
     let (digits, unit) = match text.strip_suffix('k') {
         Some(digits) => (digits, 1e3),
         None => text.strip_suffix('M').map_or((text, 1.0), |digits| (digits, 1e6)),
@@ -333,13 +344,13 @@
     let policy = match words.as_slice() {
         ["safe"] => Some(RepeatName::Safe),
         ["unsafe"] => Some(RepeatName::Unsafe),
-        ["keyed", group, memory] => {
-            parse_group(group).zip(time(memory)).map(|(group, memory)| RepeatName::Keyed { group, memory })
-        }
+        ["keyed", group, memory] => parse_group(group)
+            .zip(parse_time(memory))
+            .map(|(group, memory)| RepeatName::Keyed { group, memory }),
         _ => None,
     };
     policy.unwrap_or_else(|| {
-        parser.report_error(directive.at, expected);
+        parser.report_error(directive.position, expected);
         RepeatName::Unsafe
     })
 }
@@ -352,12 +363,12 @@
     let first_token = parser.parse_time(s, "first-token", None);
     let give_up = parser.parse_time(s, "give-up", None);
     let class = ClassConfig {
-        at: directive.at,
+        position: directive.position,
         name: s.name.clone(),
         repeat,
-        first_token,
+        ttft_target: first_token,
         first_token_per_1000: parser.parse_time(s, "first-token-per-1000", Some("0ms")),
-        token_gap: parser.parse_time(s, "token-gap", Some("60ms")),
+        tpot_target: parser.parse_time(s, "token-gap", Some("60ms")),
         give_up,
         give_up_per_1000: parser.parse_time(s, "give-up-per-1000", Some("0ms")),
         total: parser.parse_time(s, "total", Some("120s")),
@@ -366,11 +377,11 @@
     };
     // Invalid values are already reported, and cannot be compared with each other.
     let all_valid = parser.errors.len() == errors_before;
-    if all_valid && (class.first_token == 0 || class.give_up < class.first_token) {
-        parser.report_error(directive.at, "expected first-token above 0 and no longer than give-up");
+    if all_valid && (class.ttft_target == 0 || class.give_up < class.ttft_target) {
+        parser.report_error(directive.position, "expected first-token above 0 and no longer than give-up");
     }
     if all_valid && class.total < class.give_up {
-        parser.report_error(directive.at, "expected total to be no shorter than give-up");
+        parser.report_error(directive.position, "expected total to be no shorter than give-up");
     }
     parser.finish_section(section);
     class
@@ -388,13 +399,13 @@
         _ => None,
     };
     let tool = ToolConfig {
-        at: directive.at,
+        position: directive.position,
         name: s.name.clone(),
         addr,
         path,
-        effect: parser.parse_value(s, "effect", None, "none or lasting", parse, true),
+        has_effect: parser.parse_value(s, "effect", None, "none or lasting", parse, true),
         timeout: parser.parse_time(s, "timeout", Some("5s")),
-        tries: parser.parse_number(s, "tries", Some(2.0), (1.0, 10.0)) as u32,
+        max_tries: parser.parse_number(s, "tries", Some(2.0), (1.0, 10.0)) as u32,
     };
     parser.finish_section(section);
     tool
@@ -407,14 +418,14 @@
         parser.take_directive(s, "tools").map(|directive| directive.values.clone()).unwrap_or_default();
     let name = s.name.clone();
     let route = RouteConfig {
-        at: directive.at,
+        position: directive.position,
         class: parser.parse_text(s, "class", None),
         description: parser.parse_text(s, "description", Some(&format!("Answers a prompt on route {name}."))),
         model: parser.parse_text(s, "model", Some(&name)),
         tools,
         preamble: parser.parse_text(s, "preamble", Some("")),
         max_tokens: parser.parse_number(s, "max-tokens", Some(512.0), (1.0, 1e6)) as u32,
-        most_turns: parser.parse_number(s, "most-turns", Some(4.0), (1.0, 64.0)) as u32,
+        max_turns: parser.parse_number(s, "most-turns", Some(4.0), (1.0, 64.0)) as u32,
         name,
     };
     parser.finish_section(section);
@@ -438,7 +449,7 @@
     };
     let expected = "continue, health or none";
     let kind = KindConfig {
-        at: directive.at,
+        position: directive.position,
         name: s.name.clone(),
         role: parser.parse_value(s, "role", None, "prefill, decode or mixed", parse, RoleName::Mixed),
         kv_tokens: parser.parse_number(s, "kv-tokens", None, (1.0, 1e12)),
@@ -459,7 +470,7 @@
     };
     let expected = "running, draining or gone";
     let server = ServerConfig {
-        at: directive.at,
+        position: directive.position,
         name: s.name.clone(),
         endpoints: parser.parse_server_addresses(s, "address"),
         kind: parser.parse_text(s, "kind", None),
@@ -474,7 +485,8 @@
 }
 
 fn parse_share(parser: &mut ConfigParser<'_>, directive: &Directive, index: usize) -> f64 {
-    let value = directive.values.get(index).and_then(|text| number(text)).filter(|n| (0.0..=1.0).contains(n));
+    let value =
+        directive.values.get(index).and_then(|text| parse_number(text)).filter(|n| (0.0..=1.0).contains(n));
     value.unwrap_or_else(|| {
         let what = format!("{}: expected a share from 0 to 1 as value {}", directive.name, index + 1);
         parser.report_error(directive.value_position(index), what);
@@ -482,28 +494,28 @@
     })
 }
 
-fn parse_expectation(parser: &mut ConfigParser<'_>, directive: &Directive) -> ExpectConfig {
+fn parse_expectation(parser: &mut ConfigParser<'_>, directive: &Directive) -> ExpectationConfig {
     let mut section = parser.open_section(directive, true);
     let s = &mut section;
     let mut wants = Vec::new();
     if let Some(directive) = parser.take_directive(s, "never") {
-        wants.push(Want::Never(directive.values.clone()));
+        wants.push(Condition::Never(directive.values.clone()));
     }
     if let Some(directive) = parser.take_directive(s, "attempts") {
         match directive.values.as_slice() {
             [limit] if limit.parse::<u32>().is_ok_and(|limit| limit > 0) => {
-                wants.push(Want::Attempts(limit.parse().unwrap_or(1)));
+                wants.push(Condition::Attempts(limit.parse().unwrap_or(1)));
             }
             _ => parser.report_error(directive.value_position(0), "attempts: expected a number from 1"),
         }
     }
     if let Some(directive) = parser.take_directive(s, "served") {
         let min_share = parse_share(parser, directive, 0);
-        wants.push(Want::Served(min_share));
+        wants.push(Condition::Served(min_share));
     }
     if let Some(directive) = parser.take_directive(s, "answered-within") {
-        match directive.values.first().and_then(|text| time(text)) {
-            Some(limit) => wants.push(Want::AnsweredWithin(limit)),
+        match directive.values.first().and_then(|text| parse_time(text)) {
+            Some(limit) => wants.push(Condition::AnsweredWithin(limit)),
             None => parser.report_error(
                 directive.value_position(0),
                 "answered-within: expected a time such as 300ms or 2s",
@@ -516,17 +528,17 @@
         if low > high {
             parser.report_error(directive.value_position(1), "share: expected the lower bound first");
         }
-        wants.push(Want::Share { server, low, high });
+        wants.push(Condition::Share { server, low, high });
     }
     if wants.is_empty() {
         let what = "expected never, attempts, served, answered-within or share: this expects nothing";
-        parser.report_missing(directive.at, what);
+        parser.report_missing(directive.position, what);
     }
     let mut take_names =
         |name| parser.take_directive(s, name).map(|directive| directive.values.clone()).unwrap_or_default();
     let (down, draining, full) = (take_names("down"), take_names("draining"), take_names("full"));
-    let expect = ExpectConfig {
-        at: directive.at,
+    let expect = ExpectationConfig {
+        position: directive.position,
         name: s.name.clone(),
         route: parser.parse_text(s, "route", None),
         requests: parser.parse_number(s, "requests", Some(200.0), (1.0, 100_000.0)) as u64,
@@ -535,7 +547,7 @@
         down,
         draining,
         full,
-        wants,
+        conditions: wants,
     };
     parser.finish_section(section);
     expect
@@ -545,16 +557,16 @@
 /// proves nothing. `servers` is `None` if the list of servers is not known.
 fn check_expectations(
     parser: &mut ConfigParser<'_>,
-    expects: &[ExpectConfig],
+    expects: &[ExpectationConfig],
     routes: &[RouteConfig],
     servers: Option<&[ServerConfig]>,
 ) {
-    check_unique(parser, "expect", expects.iter().map(|e| (e.at, e.name.as_str())));
+    check_unique(parser, "expect", expects.iter().map(|e| (e.position, e.name.as_str())));
     for expect in expects {
         if !routes.iter().any(|route| route.name == expect.route) {
             let what = format!("expect {}: no route is called {}", expect.name, expect.route);
             parser.report_unknown_name(
-                expect.at,
+                expect.position,
                 what,
                 &expect.route,
                 routes.iter().map(|route| route.name.as_str()),
@@ -563,10 +575,10 @@
         let Some(servers) = servers else { continue };
         let mut named_servers: Vec<&String> =
             expect.down.iter().chain(&expect.draining).chain(&expect.full).collect();
-        for want in &expect.wants {
+        for want in &expect.conditions {
             match want {
-                Want::Never(servers) => named_servers.extend(servers),
-                Want::Share { server, .. } => named_servers.push(server),
+                Condition::Never(servers) => named_servers.extend(servers),
+                Condition::Share { server, .. } => named_servers.push(server),
                 _ => {}
             }
         }
@@ -574,7 +586,7 @@
             if !servers.iter().any(|server| server.name == *name) {
                 let what = format!("expect {}: no server is called {name}", expect.name);
                 parser.report_unknown_name(
-                    expect.at,
+                    expect.position,
                     what,
                     name,
                     servers.iter().map(|server| server.name.as_str()),
@@ -591,13 +603,13 @@
     s.name = "connections".into();
     let connections = ConnectionsConfig {
         dials_per_s: parser.parse_number(s, "dials-per-second", Some(200.0), (1.0, 1e6)),
-        dials_at_once: parser.parse_number(s, "dials-at-once", Some(100.0), (1.0, 1e6)),
-        per_server: parser.parse_number(s, "per-server", Some(512.0), (1.0, 1e6)) as usize,
-        in_all: parser.parse_number(s, "in-all", Some(8192.0), (1.0, 1e6)) as usize,
-        idle_each: parser.parse_number(s, "idle-per-address", Some(64.0), (0.0, 1e6)) as usize,
-        idle: parser.parse_time(s, "idle", Some("20s")),
-        age: parser.parse_time(s, "age", Some("600s")),
-        uses: parser.parse_number(s, "uses", Some(10_000.0), (1.0, 1e9)) as u32,
+        dial_burst: parser.parse_number(s, "dials-at-once", Some(100.0), (1.0, 1e6)),
+        max_per_server: parser.parse_number(s, "per-server", Some(512.0), (1.0, 1e6)) as usize,
+        max_total: parser.parse_number(s, "in-all", Some(8192.0), (1.0, 1e6)) as usize,
+        max_idle_per_address: parser.parse_number(s, "idle-per-address", Some(64.0), (0.0, 1e6)) as usize,
+        idle_timeout: parser.parse_time(s, "idle", Some("20s")),
+        max_age: parser.parse_time(s, "age", Some("600s")),
+        max_uses: parser.parse_number(s, "uses", Some(10_000.0), (1.0, 1e9)) as u32,
     };
     parser.finish_section(section);
     connections
@@ -614,14 +626,14 @@
         number: parser.parse_number(s, "number", Some(0.0), (0.0, 1e6)) as u32,
         fronts: parser.parse_number(s, "fronts", Some(1.0), (1.0, 1e6)) as u32,
         workers: parser.parse_number(s, "workers", Some(2.0), (1.0, 1024.0)) as usize,
-        most_requests: parser.parse_number(s, "most-requests", Some(20_000.0), (1.0, 1e6)) as usize,
-        idle: parser.parse_time(s, "idle", Some("60s")),
-        stall: parser.parse_time(s, "stall", Some("10s")),
+        max_requests: parser.parse_number(s, "most-requests", Some(20_000.0), (1.0, 1e6)) as usize,
+        idle_timeout: parser.parse_time(s, "idle", Some("60s")),
+        stall_timeout: parser.parse_time(s, "stall", Some("10s")),
         send_buffer: parser.parse_number(s, "send-buffer", Some(262_144.0), (4096.0, 1e8)) as usize,
-        head: parser.parse_number(s, "head", Some(16_384.0), (1024.0, 1e6)) as usize,
-        body: parser.parse_number(s, "body", Some(1_048_576.0), (1024.0, 1e9)) as usize,
-        answer: parser.parse_number(s, "answer", Some(1_048_576.0), (1024.0, 1e9)) as usize,
-        drain: parser.parse_time(s, "drain", Some("30s")),
+        max_head_bytes: parser.parse_number(s, "head", Some(16_384.0), (1024.0, 1e6)) as usize,
+        max_body_bytes: parser.parse_number(s, "body", Some(1_048_576.0), (1024.0, 1e9)) as usize,
+        max_answer_bytes: parser.parse_number(s, "answer", Some(1_048_576.0), (1024.0, 1e9)) as usize,
+        drain_timeout: parser.parse_time(s, "drain", Some("30s")),
     };
     parser.finish_section(section);
     front
@@ -635,16 +647,16 @@
     let rules = RulesConfig {
         answer_slack: parser.parse_time(s, "answer-slack", Some("50ms")),
         drain_grace: parser.parse_time(s, "drain-grace", Some("2s")),
-        let_go: parser.parse_time(s, "let-go", Some("300ms")),
-        cold_from: parser.parse_number(s, "cold-from", Some(0.3), (0.01, 1.0)),
-        cold_for: parser.parse_time(s, "cold-for", Some("12s")),
-        fall_multiple: parser.parse_number(s, "fall-multiple", Some(4.0), (1.0, 1000.0)),
-        tip_after: parser.parse_time(s, "tip-after", Some("2s")),
-        most_tries: parser.parse_number(s, "most-tries", Some(4.0), (1.0, 100.0)) as u32,
-        connect: parser.parse_time(s, "connect", Some("250ms")),
-        retry_after: parser.parse_time(s, "retry-after", Some("500ms")),
-        writers_read: parser.parse_bool(s, "writers-read", true),
-        probes: parser.parse_bool(s, "probes", true),
+        release_time_limit: parser.parse_time(s, "let-go", Some("300ms")),
+        cold_start_share: parser.parse_number(s, "cold-from", Some(0.3), (0.01, 1.0)),
+        cold_duration: parser.parse_time(s, "cold-for", Some("12s")),
+        overload_multiple: parser.parse_number(s, "fall-multiple", Some(4.0), (1.0, 1000.0)),
+        overload_window: parser.parse_time(s, "tip-after", Some("2s")),
+        max_attempts: parser.parse_number(s, "most-tries", Some(4.0), (1.0, 100.0)) as u32,
+        connect_timeout: parser.parse_time(s, "connect", Some("250ms")),
+        max_retry_after: parser.parse_time(s, "retry-after", Some("500ms")),
+        writers_may_read: parser.parse_bool(s, "writers-read", true),
+        may_probe: parser.parse_bool(s, "probes", true),
         reports_in_answers: parser.parse_bool(s, "reports-in-answers", true),
     };
     parser.finish_section(section);
@@ -652,7 +664,11 @@
 }
 
 /// Reports each name that is defined more than once. `what` is the keyword of the section.
-fn check_unique<'a>(parser: &mut ConfigParser<'_>, what: &str, names: impl Iterator<Item = (At, &'a str)>) {
+fn check_unique<'a>(
+    parser: &mut ConfigParser<'_>,
+    what: &str,
+    names: impl Iterator<Item = (Position, &'a str)>,
+) {
     let mut positions = std::collections::BTreeMap::new();
     for (at, name) in names {
         if let Some(first) = positions.insert(name, at) {
@@ -668,17 +684,17 @@
     kinds: &[KindConfig],
     zones: &[String],
 ) {
-    check_unique(parser, "server", servers.iter().map(|s| (s.at, s.name.as_str())));
+    check_unique(parser, "server", servers.iter().map(|s| (s.position, s.name.as_str())));
     for server in servers {
         // The name is written into headers, metrics and logs.
         if server.name.is_empty() || !server.name.bytes().all(|b| b.is_ascii_graphic() && b != b'"') {
             let what = format!("server \"{}\": expected a name without spaces or quotes", server.name);
-            parser.report_error(server.at, what);
+            parser.report_error(server.position, what);
         }
         if !kinds.iter().any(|kind| kind.name == server.kind) {
             let what = format!("server {}: no kind is called {}", server.name, server.kind);
             parser.report_unknown_name(
-                server.at,
+                server.position,
                 what,
                 &server.kind,
                 kinds.iter().map(|kind| kind.name.as_str()),
@@ -686,13 +702,13 @@
         }
         if !zones.contains(&server.zone) {
             let what = format!("server {}: no zone is called {}", server.name, server.zone);
-            parser.report_unknown_name(server.at, what, &server.zone, zones.iter().map(String::as_str));
+            parser.report_unknown_name(server.position, what, &server.zone, zones.iter().map(String::as_str));
         }
     }
 }
 
 /// Parses a whole configuration that consists of one file, without includes. `file` is the name of the file in errors.
-pub fn parse(file: &str, text: &str) -> Result<Config, Errors> {
+pub fn parse(file: &str, text: &str) -> Result<Config, ConfigErrors> {
     let (directives, errors) = parse_with_recovery(0, file, text);
     build_config(&[file.to_owned()], &directives, errors).map(|(config, _)| config)
 }
@@ -704,7 +720,7 @@
     files: &[String],
     directives: &[Directive],
     syntax_errors: Vec<ConfigError>,
-) -> Result<(Config, Vec<EffectiveValue>), Errors> {
+) -> Result<(Config, Vec<EffectiveValue>), ConfigErrors> {
     let mut parser_state = ConfigParser {
         files,
         has_syntax_errors: !syntax_errors.is_empty(),
@@ -730,18 +746,23 @@
             "kind" => kinds.push(parse_kind(parser, directive)),
             "server" => servers.push(parse_server(parser, directive)),
             "servers" => match directive.values.as_slice() {
-                [path] => server_files.push((directive.at, path.clone())),
-                _ => parser.report_error(directive.at, "servers: expected the path of a file"),
+                [path] => server_files.push((directive.position, path.clone())),
+                _ => parser.report_error(directive.position, "servers: expected the path of a file"),
             },
             other => {
                 let what = format!("unknown directive {other}");
-                parser.report_unknown_name(directive.at, what, other, TOP_LEVEL_DIRECTIVES.iter().copied());
+                parser.report_unknown_name(
+                    directive.position,
+                    what,
+                    other,
+                    TOP_LEVEL_DIRECTIVES.iter().copied(),
+                );
             }
         }
     }
     let repeated = [&front_sections, &rules_sections, &connections_sections].map(|list| list.iter().skip(1));
     for section in repeated.into_iter().flatten() {
-        parser.report_error(section.at, format!("{} is already defined in this file", section.name));
+        parser.report_error(section.position, format!("{} is already defined in this file", section.name));
     }
     if let Some((at, _)) = server_files.get(1) {
         parser.report_error(*at, "servers is already set in this file");
@@ -777,13 +798,13 @@
                 kinds,
                 servers,
                 servers_file,
-                expects,
+                expectations: expects,
             };
             Ok((config, effective))
         }
         _ => {
-            errors.sort_by_key(|error| (error.at.file, error.at.line, error.at.column));
-            Err(Errors(errors))
+            errors.sort_by_key(|error| (error.position.file, error.position.line, error.position.column));
+            Err(ConfigErrors(errors))
         }
     }
 }
@@ -799,10 +820,10 @@
     routes: &[RouteConfig],
     kinds: &[KindConfig],
 ) {
-    check_unique(parser, "class", classes.iter().map(|c| (c.at, c.name.as_str())));
-    check_unique(parser, "tool", tools.iter().map(|t| (t.at, t.name.as_str())));
-    check_unique(parser, "route", routes.iter().map(|t| (t.at, t.name.as_str())));
-    check_unique(parser, "kind", kinds.iter().map(|k| (k.at, k.name.as_str())));
+    check_unique(parser, "class", classes.iter().map(|c| (c.position, c.name.as_str())));
+    check_unique(parser, "tool", tools.iter().map(|t| (t.position, t.name.as_str())));
+    check_unique(parser, "route", routes.iter().map(|t| (t.position, t.name.as_str())));
+    check_unique(parser, "kind", kinds.iter().map(|k| (k.position, k.name.as_str())));
     for (section, is_missing) in
         [("class", classes.is_empty()), ("route", routes.is_empty()), ("kind", kinds.is_empty())]
     {
@@ -828,7 +849,7 @@
         if class.is_none() {
             let what = format!("route {}: no class is called {}", route.name, route.class);
             parser.report_unknown_name(
-                route.at,
+                route.position,
                 what,
                 &route.class,
                 classes.iter().map(|class| class.name.as_str()),
@@ -839,19 +860,19 @@
                 None => {
                     let what = format!("route {}: no tool is called {name}", route.name);
                     parser.report_unknown_name(
-                        route.at,
+                        route.position,
                         what,
                         name,
                         tools.iter().map(|tool| tool.name.as_str()),
                     );
                 }
                 // A request that is safe to repeat may run again, and would then call the tool again.
-                Some(tool) if tool.effect && class.is_some_and(|c| c.repeat == RepeatName::Safe) => {
+                Some(tool) if tool.has_effect && class.is_some_and(|c| c.repeat == RepeatName::Safe) => {
                     let what = format!(
                         "route {}: tool {name} has a lasting effect, and class {} is safe to repeat",
                         route.name, route.class
                     );
-                    parser.report_error(route.at, what);
+                    parser.report_error(route.position, what);
                 }
                 Some(_) => {}
             }
@@ -861,7 +882,7 @@
 
 /// Parses a file that lists servers, and checks it against the configuration that it belongs to. `file` is the name of
 /// the file in errors.
-pub fn parse_servers(file: &str, text: &str, config: &Config) -> Result<Vec<ServerConfig>, Errors> {
+pub fn parse_servers(file: &str, text: &str, config: &Config) -> Result<Vec<ServerConfig>, ConfigErrors> {
     let (directives, errors) = parse_with_recovery(0, file, text);
     let files = [file.to_owned()];
     let mut parser =
@@ -870,12 +891,12 @@
     for directive in &directives {
         match directive.name.as_str() {
             "server" => servers.push(parse_server(&mut parser, directive)),
-            other => parser.report_error(directive.at, format!("expected server, not {other}")),
+            other => parser.report_error(directive.position, format!("expected server, not {other}")),
         }
     }
     check_servers(&mut parser, &servers, &config.kinds, &config.zones);
     if servers.is_empty() {
         parser.report_missing(FILE_START, "expected at least one server");
     }
-    if parser.errors.is_empty() { Ok(servers) } else { Err(Errors(parser.errors)) }
+    if parser.errors.is_empty() { Ok(servers) } else { Err(ConfigErrors(parser.errors)) }
 }
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -9,7 +9,7 @@
 
 use ariadne::{Config as ReportConfig, IndexType, Label, Report, ReportKind, sources};
 
-use crate::lines::{At, ConfigError, Directive, Errors, parse_with_recovery};
+use crate::lines::{ConfigError, ConfigErrors, Directive, Position, parse_with_recovery};
 use crate::model::Config;
 use crate::read::{EffectiveValue, build_config};
 
@@ -30,14 +30,14 @@
 pub struct LoadedConfig {
     pub config: Config,
     pub effective: Vec<EffectiveValue>,
-    /// All files, in the order in which they were read; [`At::file`] is an index into them.
+    /// All files, in the order in which they were read; [`Position::file`] is an index into them.
     pub files: Vec<SourceFile>,
 }
 
 /// The errors of a configuration, with the files that they refer to.
 #[derive(Clone, Debug)]
 pub struct LoadError {
-    pub errors: Errors,
+    pub errors: ConfigErrors,
     pub files: Vec<SourceFile>,
 }
 
@@ -55,14 +55,14 @@
     pub fn render(&self, color: bool) -> String {
         let mut out = Vec::new();
         for error in &self.errors.0 {
-            let span = |at: At| (error.file.clone(), at.start..at.end);
+            let span = |at: Position| (error.file.clone(), at.start..at.end);
             let report_config = ReportConfig::default().with_color(color).with_index_type(IndexType::Byte);
             let label =
                 error.suggestion.as_ref().map_or("here".into(), |name| format!("did you mean {name}?"));
-            let report = Report::build(ReportKind::Error, span(error.at))
+            let report = Report::build(ReportKind::Error, span(error.position))
                 .with_config(report_config)
-                .with_message(&error.what)
-                .with_label(Label::new(span(error.at)).with_message(label))
+                .with_message(&error.message)
+                .with_label(Label::new(span(error.position)).with_message(label))
                 .finish();
             let files = self.files.iter().map(|file| (file.name.clone(), file.text.as_str()));
             // Writing to memory fails only if the file of the error is not known. The error then becomes one line.
@@ -91,7 +91,7 @@
     fn load_directives(
         &mut self,
         path: &Path,
-        included_at: At,
+        included_at: Position,
         open_files: &mut Vec<PathBuf>,
     ) -> Vec<Directive> {
         let name = path.display().to_string();
@@ -123,7 +123,7 @@
             let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
             // The shown text has a replacement character here, and the range must end on a character boundary.
             let end = valid_up_to + char::REPLACEMENT_CHARACTER.len_utf8();
-            let at = At { file: file_index, line, column, start: valid_up_to, end };
+            let at = Position { file: file_index, line, column, start: valid_up_to, end };
             let what = "invalid UTF-8 byte; the file must be UTF-8 text";
             self.errors.push(ConfigError::new(&name, at, what));
         }
@@ -157,7 +157,7 @@
             let [file] = directive.values.as_slice() else {
                 self.errors.push(ConfigError::new(
                     &name,
-                    directive.at,
+                    directive.position,
                     "include: expected the path of one file",
                 ));
                 continue;
@@ -189,7 +189,7 @@
 /// directory of the file that contains it.
 pub fn load<'a>(path: &Path, read_file: &'a mut ReadFile<'a>) -> Result<LoadedConfig, Box<LoadError>> {
     let mut loader = Loader { files: Vec::new(), errors: Vec::new(), read_file };
-    let directives = loader.load_directives(path, At::default(), &mut Vec::new());
+    let directives = loader.load_directives(path, Position::default(), &mut Vec::new());
     let (files, errors) = (loader.files, loader.errors);
     let names: Vec<String> = files.iter().map(|file| file.name.clone()).collect();
     match build_config(&names, &directives, errors) {
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -56,7 +56,7 @@
 #[test]
 fn valid_file_loads() {
     let config = parse("f.conf", VALID).unwrap();
-    assert_eq!(config.classes[0].first_token, 1_200_000);
+    assert_eq!(config.classes[0].ttft_target, 1_200_000);
     assert!(matches!(config.classes[1].repeat, RepeatName::Keyed { memory: 5_000_000, .. }));
     assert_eq!(config.kinds[0].kv_tokens, 160_000.0);
     assert_eq!(config.routes[0].preamble, "You answer\nshortly. {#}");
@@ -69,10 +69,13 @@
     let config = parse("f.conf", &text).unwrap();
     let endpoints: Vec<String> = config.servers[0].endpoints.iter().map(ToString::to_string).collect();
     assert_eq!(endpoints, ["unix:/run/r1.sock", "[::1]:8001", "127.0.0.1:8001"]);
-    assert_eq!((config.connections.per_server, config.connections.idle), (512, 20_000_000));
+    assert_eq!((config.connections.max_per_server, config.connections.idle_timeout), (512, 20_000_000));
     let with_limits =
         parse("f.conf", &format!("{VALID}connections {{\n per-server 7\n idle 1s\n}}\n")).unwrap();
-    assert_eq!((with_limits.connections.per_server, with_limits.connections.idle), (7, 1_000_000));
+    assert_eq!(
+        (with_limits.connections.max_per_server, with_limits.connections.idle_timeout),
+        (7, 1_000_000)
+    );
 }
 
 #[test]
--- a/crates/config/tests/language.rs
+++ b/crates/config/tests/language.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use elderstage_config::{Directive, LoadError, LoadedConfig, diff, directives, format, load};
+use elderstage_config::{Directive, LoadError, LoadedConfig, diff, format_config, load, parse_directives};
 use proptest::prelude::*;
 
 const VALID: &str = "zones a\nfront {\n    zone a\n}\nclass c {\n    repeat safe\n    first-token 1s\n    give-up 2s\n}\n\
@@ -121,8 +121,13 @@
     let main = format!("{}include parts/servers.conf\n", &VALID[..server]);
     let files = [("main.conf", main.as_bytes()), ("parts/servers.conf", &VALID.as_bytes()[server..])];
     let included = load_files(&files).unwrap();
-    let at =
-        included.effective.iter().find(|e| e.section == "server s" && e.name == "kind").unwrap().at.unwrap();
+    let at = included
+        .effective
+        .iter()
+        .find(|e| e.section == "server s" && e.name == "kind")
+        .unwrap()
+        .position
+        .unwrap();
     assert_eq!((included.files[at.file].name.as_str(), at.line), ("parts/servers.conf", 3));
     // An include inside a section, valid and with an error.
     let inner = VALID.replacen("    give-up 2s\n", "    include times.conf\n", 1);
@@ -147,8 +152,8 @@
 fn effective_values_have_their_lines_and_are_compared() {
     let old = load_files(&[("main.conf", VALID.as_bytes())]).unwrap();
     let find = |name: &str| old.effective.iter().find(|e| e.section == "class c" && e.name == name).unwrap();
-    assert_eq!((find("give-up").value.as_str(), find("give-up").at.map(|at| at.line)), ("2s", Some(8)));
-    assert_eq!((find("total").value.as_str(), find("total").at), ("120s", None));
+    assert_eq!((find("give-up").value.as_str(), find("give-up").position.map(|at| at.line)), ("2s", Some(8)));
+    assert_eq!((find("total").value.as_str(), find("total").position), ("120s", None));
     let changed =
         VALID.replacen("give-up 2s", "give-up 3s\n    worth 2", 1).replacen("server s ", "server t ", 1);
     let new = load_files(&[("main.conf", changed.as_bytes())]).unwrap();
@@ -163,9 +168,9 @@
 fn formatting_gives_the_canonical_form() {
     let unformatted = "# top\n\n\n\nclass   \"ask\" {# why\n\trepeat \"safe\"\n\n\n  # alone\n worth   2 # twice\n\n}\nzones a   \"b c\"\n\n";
     let canonical = "# top\n\nclass ask {  # why\n    repeat safe\n\n    # alone\n    worth 2  # twice\n}\nzones a \"b c\"\n";
-    assert_eq!(format("f", unformatted).unwrap(), canonical);
-    assert_eq!(format("f", canonical).unwrap(), canonical);
-    assert!(format("f", "a \"b\n").is_err(), "a text with a syntax error is refused");
+    assert_eq!(format_config("f", unformatted).unwrap(), canonical);
+    assert_eq!(format_config("f", canonical).unwrap(), canonical);
+    assert!(format_config("f", "a \"b\n").is_err(), "a text with a syntax error is refused");
 }
 
 /// The names, values and bodies of directives, without their positions.
@@ -187,10 +192,10 @@
     /// canonical form.
     #[test]
     fn formatting_keeps_the_content(text in "([a-z\"{}#\\\\ \t\r\n]|\\PC|[a-z]{1,6} [a-z]{1,4} \\{\n|\n\\}\n){0,40}") {
-        if let Ok(before) = directives("f", &text) {
-            let canonical = format("f", &text).unwrap();
-            prop_assert_eq!(content(&directives("f", &canonical).unwrap()), content(&before), "{}", canonical);
-            prop_assert_eq!(format("f", &canonical).unwrap(), canonical);
+        if let Ok(before) = parse_directives("f", &text) {
+            let canonical = format_config("f", &text).unwrap();
+            prop_assert_eq!(content(&parse_directives("f", &canonical).unwrap()), content(&before), "{}", canonical);
+            prop_assert_eq!(format_config("f", &canonical).unwrap(), canonical);
         }
         // Loading and rendering must not panic either.
         let _ = load_files(&[("main.conf", text.as_bytes())]).map_err(|failed| failed.render(false));
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod scene;
 
-use elderstage_config::{Config, ExpectConfig, ServerConfig, Want};
+use elderstage_config::{Condition, Config, ExpectationConfig, ServerConfig};
 use elderstage_core::Final;
 
 pub use scene::{Request, simulate};
@@ -63,13 +63,13 @@
 }
 
 /// Evaluates one condition on the requests of one run.
-fn measure(want: &Want, requests: &[Request]) -> Measurement {
+fn measure(want: &Condition, requests: &[Request]) -> Measurement {
     let first =
         |violates: &dyn Fn(&Request) -> bool| requests.iter().find(|r| violates(r)).map(describe_request);
     let maximum = |figure: &dyn Fn(&Request) -> f64| requests.iter().map(figure).fold(0.0, f64::max);
     // A condition must not hold merely because nothing was sent.
     let sends: usize = requests.iter().map(|r| r.sends.len()).sum();
-    if sends == 0 && matches!(want, Want::Never(_) | Want::Attempts(_) | Want::Share { .. }) {
+    if sends == 0 && matches!(want, Condition::Never(_) | Condition::Attempts(_) | Condition::Share { .. }) {
         let witness = requests.first().map(describe_request);
         return Measurement {
             severity: f64::INFINITY,
@@ -79,7 +79,7 @@
         };
     }
     match want {
-        Want::Never(servers) => {
+        Condition::Never(servers) => {
             let to = |r: &Request| r.sends.iter().filter(|(_, s, _)| servers.contains(s)).count();
             let count: usize = requests.iter().map(to).sum();
             Measurement {
@@ -89,13 +89,13 @@
                 witness: first(&|r| to(r) > 0),
             }
         }
-        Want::Attempts(most_sends) => {
+        Condition::Attempts(most_sends) => {
             let worst = maximum(&|r| r.sends.len() as f64);
             let held = worst <= f64::from(*most_sends);
             let witness = first(&|r| r.sends.len() as f64 > f64::from(*most_sends));
             Measurement { severity: worst, held, seen: format!("{worst} sends"), witness }
         }
-        Want::Served(share) => {
+        Condition::Served(share) => {
             let is_served = |r: &Request| matches!(r.end, Some((_, Final::Served)));
             let share_seen =
                 requests.iter().filter(|r| is_served(r)).count() as f64 / requests.len().max(1) as f64;
@@ -106,7 +106,7 @@
                 witness: first(&|r| !is_served(r)),
             }
         }
-        Want::AnsweredWithin(time) => {
+        Condition::AnsweredWithin(time) => {
             // A request without an answer counts as infinitely late.
             let answer_time = |r: &Request| r.end.map_or(f64::INFINITY, |(at, _)| at as f64);
             let worst = maximum(&answer_time);
@@ -117,7 +117,7 @@
                 witness: first(&|r| answer_time(r) > *time as f64),
             }
         }
-        Want::Share { server, low, high } => {
+        Condition::Share { server, low, high } => {
             let of = |r: &Request| r.sends.iter().filter(|(_, s, _)| s == server).count();
             let share_seen = requests.iter().map(of).sum::<usize>() as f64 / sends as f64;
             Measurement {
@@ -132,13 +132,13 @@
 
 /// Servers that an expectation names but the list does not have. This cannot be checked when the
 /// configuration is parsed, since the list may be in a file of its own.
-fn unknown_servers(servers: &[ServerConfig], expect: &ExpectConfig) -> Vec<String> {
+fn unknown_servers(servers: &[ServerConfig], expect: &ExpectationConfig) -> Vec<String> {
     let mut named: Vec<&String> = expect.down.iter().chain(&expect.draining).chain(&expect.full).collect();
-    for want in &expect.wants {
+    for want in &expect.conditions {
         match want {
-            Want::Never(servers) => named.extend(servers),
-            Want::Share { server, .. } => named.push(server),
-            Want::Attempts(_) | Want::Served(_) | Want::AnsweredWithin(_) => {}
+            Condition::Never(servers) => named.extend(servers),
+            Condition::Share { server, .. } => named.push(server),
+            Condition::Attempts(_) | Condition::Served(_) | Condition::AnsweredWithin(_) => {}
         }
     }
     let known = |name: &String| servers.iter().any(|server| server.name == *name);
@@ -149,7 +149,7 @@
 pub fn run_expectation(
     config: &Config,
     servers: &[ServerConfig],
-    expect: &ExpectConfig,
+    expect: &ExpectationConfig,
     seeds: u64,
 ) -> Verdict {
     let unknown_servers = unknown_servers(servers, expect);
@@ -161,19 +161,19 @@
             seed: 0,
             witness: None,
         };
-        return Verdict { name: expect.name.clone(), line: expect.at.line, checks: vec![check] };
+        return Verdict { name: expect.name.clone(), line: expect.position.line, checks: vec![check] };
     }
-    let mut worst: Vec<Option<(Measurement, u64)>> = expect.wants.iter().map(|_| None).collect();
+    let mut worst: Vec<Option<(Measurement, u64)>> = expect.conditions.iter().map(|_| None).collect();
     for seed in 1..=seeds.max(1) {
         let requests = simulate(config, servers, expect, seed);
-        for (want, worst) in expect.wants.iter().zip(&mut worst) {
+        for (want, worst) in expect.conditions.iter().zip(&mut worst) {
             let measurement = measure(want, &requests);
             if worst.as_ref().is_none_or(|(worst_so_far, _)| measurement.severity > worst_so_far.severity) {
                 *worst = Some((measurement, seed));
             }
         }
     }
-    let check = |(want, measurement): (&Want, Option<(Measurement, u64)>)| {
+    let check = |(want, measurement): (&Condition, Option<(Measurement, u64)>)| {
         measurement.map(|(measurement, seed)| Check {
             what: want.to_string(),
             holds: measurement.held,
@@ -182,6 +182,6 @@
             witness: measurement.witness.filter(|_| !measurement.held),
         })
     };
-    let checks = expect.wants.iter().zip(worst).filter_map(check).collect();
-    Verdict { name: expect.name.clone(), line: expect.at.line, checks }
+    let checks = expect.conditions.iter().zip(worst).filter_map(check).collect();
+    Verdict { name: expect.name.clone(), line: expect.position.line, checks }
 }
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use elderstage::{ListMode, RequestId, Time};
-use elderstage_config::{Config, ExpectConfig, ServerConfig, StateName};
+use elderstage_config::{Config, ExpectationConfig, ServerConfig, StateName};
 use elderstage_core::evidence::Evidence;
 use elderstage_core::{ChainId, Core, Effect, Event, Final, NewRequest, Stage};
 
@@ -38,7 +38,7 @@
 /// The state of one simulation.
 struct Simulation<'a> {
     core: Core,
-    expect: &'a ExpectConfig,
+    expect: &'a ExpectationConfig,
     now: Time,
     last_event: u64,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
@@ -50,7 +50,12 @@
 }
 
 /// Simulates an expectation with one seed until the last answer is due, and returns its requests.
-pub fn simulate(config: &Config, servers: &[ServerConfig], expect: &ExpectConfig, seed: u64) -> Vec<Request> {
+pub fn simulate(
+    config: &Config,
+    servers: &[ServerConfig],
+    expect: &ExpectationConfig,
+    seed: u64,
+) -> Vec<Request> {
     let mut list = servers.to_vec();
     for server in &mut list {
         if expect.draining.contains(&server.name) {
--- a/crates/expect/tests/expectations.rs
+++ b/crates/expect/tests/expectations.rs
@@ -19,10 +19,10 @@
 
 fn test_twice(expect: &str) -> Verdict {
     let config = config(&format!("expect it {{\n{expect}\n}}\n"));
-    let verdict = run_expectation(&config, &config.servers, &config.expects[0], 3);
+    let verdict = run_expectation(&config, &config.servers, &config.expectations[0], 3);
     assert_eq!(
         verdict,
-        run_expectation(&config, &config.servers, &config.expects[0], 3),
+        run_expectation(&config, &config.servers, &config.expectations[0], 3),
         "the same on every run"
     );
     verdict
@@ -65,7 +65,7 @@
     let verdict = test_twice("route ask\ndraining r1 r2 w1 w2\nnever w1");
     assert!(!verdict.holds() && verdict.checks[0].seen == "nothing was sent", "{verdict:?}");
     let config = config("expect it {\nroute ask\ndown w1\nserved 1\n}\n");
-    let verdict = run_expectation(&config, &config.servers[..2], &config.expects[0], 1);
+    let verdict = run_expectation(&config, &config.servers[..2], &config.expectations[0], 1);
     assert!(!verdict.holds() && verdict.checks[0].seen.contains("w1"), "{verdict:?}");
 }
 
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -32,7 +32,10 @@
 
 /// Serves a new connection in a coroutine of its own.
 pub(crate) fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
-    conn.limits = http::Limits { head_bytes: shared.config.front.head, body_bytes: shared.config.front.body };
+    conn.limits = http::Limits {
+        head_bytes: shared.config.front.max_head_bytes,
+        body_bytes: shared.config.front.max_body_bytes,
+    };
     let shared = shared.clone();
     spawn(move || {
         shared.connections.fetch_add(1, Ordering::Relaxed);
@@ -55,7 +58,8 @@
     /// Reads requests from the socket and answers them, until the connection ends.
     fn serve(&mut self) {
         let front = &self.shared.config.front;
-        let (idle, stall) = (Duration::from_micros(front.idle), Duration::from_micros(front.stall));
+        let (idle, stall) =
+            (Duration::from_micros(front.idle_timeout), Duration::from_micros(front.stall_timeout));
         self.conn.set_write_timeout(Some(stall));
         loop {
             self.conn.set_read_timeout(Some(idle));
@@ -246,7 +250,7 @@
             Some(writer) => writer,
             None => self.conn.try_clone_for_writing()?,
         };
-        writer.set_write_timeout(Some(Duration::from_micros(self.shared.config.front.stall)));
+        writer.set_write_timeout(Some(Duration::from_micros(self.shared.config.front.stall_timeout)));
         let (end_sender, call_ended) = channel();
         let shared = self.shared.clone();
         let guard = ActiveCallGuard::new(&shared, session_id.clone(), id.clone());
@@ -267,7 +271,7 @@
         chain: ChainId,
         call_ended: &Receiver<(Conn, bool)>,
     ) -> Result<bool, NetError> {
-        let idle = Duration::from_micros(self.shared.config.front.idle);
+        let idle = Duration::from_micros(self.shared.config.front.idle_timeout);
         self.conn.set_read_timeout(Some(idle));
         loop {
             // A client that has already sent its next request may send nothing more until this one is answered, so
@@ -404,7 +408,7 @@
             Input::NewRequest { submit, rid: self.rid.clone(), commands: command_sender, slot: slot.clone() };
         if self.shared.inbox.try_send(submission).is_err() {
             // The owner's queue is full or the owner has ended: the request was not submitted.
-            let retry_after = self.shared.config.rules.retry_after;
+            let retry_after = self.shared.config.rules.max_retry_after;
             let reason = elderstage_core::Reason::FrontFull;
             return self.finish(Final::Refused { reason, retry_after });
         }
@@ -600,7 +604,7 @@
 
     fn on_text(&mut self, text: &str) {
         let request = &mut *self.request;
-        if request.answer_text.len() + text.len() > request.shared.config.front.answer {
+        if request.answer_text.len() + text.len() > request.shared.config.front.max_answer_bytes {
             request.send_event(Event::TooLong { chain: request.chain });
             return;
         }
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -93,7 +93,7 @@
     let ask = ConnectionNeeds {
         must_not_repeat: attempt.is_at_most_once,
         proof: shared.catalog.proof_for(attempt.server),
-        connect_limit: shared.config.rules.connect,
+        connect_limit: shared.config.rules.connect_timeout,
         attempt_limit: attempt.timeout.as_micros() as u64,
     };
     let connect_request = ConnectRequest {
@@ -241,7 +241,7 @@
     let (mut body, mut parser) = (http::BodyDecoder::new(head.framing), sse::EventParser::default());
     let (mut bytes, mut text) = (Vec::new(), String::new());
     let mut stream_state = StreamState::default();
-    let max_call_bytes = shared.config.front.body;
+    let max_call_bytes = shared.config.front.max_body_bytes;
     loop {
         bytes.clear();
         match conn.receive_body_piece(&mut body, &mut bytes) {
@@ -259,7 +259,7 @@
             // The deadline for the first token no longer applies. From here on, a stream without data for the stall
             // time counts as broken.
             conn.set_deadline(None);
-            conn.set_read_timeout(Some(Duration::from_micros(shared.config.front.stall)));
+            conn.set_read_timeout(Some(Duration::from_micros(shared.config.front.stall_timeout)));
             sink.on_first_output();
         }
         if !text.is_empty() {
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -55,7 +55,7 @@
     ServersFile { path: PathBuf, error: std::io::Error },
     /// The servers' file has mistakes.
     #[error("{0}")]
-    Servers(elderstage_config::Errors),
+    Servers(elderstage_config::ConfigErrors),
     /// A thread could not be started.
     #[error("cannot start a thread: {0}")]
     Thread(std::io::Error),
@@ -102,7 +102,7 @@
         // The jitter depends on the seed, so that fronts that start together retry a failing address at different
         // times.
         let jitter = (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
-        let connect = config.rules.connect;
+        let connect = config.rules.connect_timeout;
         let pool =
             ConnPool::new(plan::connection_bounds(&config), jitter, clock, catalog.via.clone(), connect);
         let shared = Arc::new(Shared {
@@ -169,7 +169,7 @@
     /// themselves.
     pub fn finish(self, end_now: &AtomicBool) -> bool {
         self.drain();
-        let deadline = Instant::now() + Duration::from_micros(self.shared.config.front.drain);
+        let deadline = Instant::now() + Duration::from_micros(self.shared.config.front.drain_timeout);
         let is_idle = || self.shared.active.load(Ordering::SeqCst) == 0;
         while !is_idle() && Instant::now() < deadline && !end_now.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(10));
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -184,7 +184,7 @@
             Input::LoadReport { server, report } => {
                 if let Some(started) = report.named(orca::STARTED_METRIC).filter(|started| *started > 0.0) {
                     let at = ClockMapping::read(self.shared.clock).front_time(started);
-                    let long_ago = now.saturating_sub(self.shared.config.rules.cold_for);
+                    let long_ago = now.saturating_sub(self.shared.config.rules.cold_duration);
                     self.handle_core_event(now, Event::Started { server, at, long_ago });
                 }
             }
@@ -219,7 +219,7 @@
     let shared = shared.clone();
     spawn(move || {
         let body = serde_json::json!({"rid": rid}).to_string();
-        let timeout = Duration::from_micros(shared.config.rules.let_go / MAX_RELEASE_TRIES);
+        let timeout = Duration::from_micros(shared.config.rules.release_time_limit / MAX_RELEASE_TRIES);
         let headers = [("content-type", "application/json"), ("via", shared.catalog.via.as_str())];
         for _ in 0..MAX_RELEASE_TRIES {
             let result =
@@ -240,7 +240,7 @@
     spawn(move || {
         let started_at = shared.clock.now();
         let headers = [orca::REPORT_REQUEST_HEADER, ("via", shared.catalog.via.as_str())];
-        let timeout = Duration::from_micros(shared.config.rules.connect);
+        let timeout = Duration::from_micros(shared.config.rules.connect_timeout);
         let answer = shared.pool.exchange(&server, "GET", engine::HEALTH_PATH, &headers, b"", timeout);
         let took = shared.clock.now() - started_at;
         let (evidence, report) = match answer {
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -56,9 +56,9 @@
     let zone = config.zones.iter().position(|zone| *zone == config.front.zone).unwrap_or(0) as u32;
     let class = |class: &elderstage_config::ClassConfig| Class {
         repeat: repeat_policy(class.repeat),
-        ttft_target: class.first_token,
+        ttft_target: class.ttft_target,
         ttft_target_per_1000_tokens: class.first_token_per_1000 as f64,
-        tpot_target: class.token_gap as f64,
+        tpot_target: class.tpot_target as f64,
         worth: class.worth,
         late_worth: class.late_worth,
     };
@@ -77,27 +77,27 @@
         over_quota_worth: 0.0,
         roles: config.kinds.iter().map(role).collect(),
         kv_tokens: config.kinds.iter().map(|kind| kind.kv_tokens).collect(),
-        writers_may_read: rules.writers_read,
+        writers_may_read: rules.writers_may_read,
         may_reserve_places: false,
         may_resume: false,
-        release_time_limit: rules.let_go,
+        release_time_limit: rules.release_time_limit,
         discovery: Discovery::Pushed,
         report_fields: REPORT_FIELDS.to_vec(),
         reports_in_answers: rules.reports_in_answers,
         may_cancel: true,
-        may_probe: rules.probes,
+        may_probe: rules.may_probe,
         may_advise: true,
         may_duplicate: false,
-        max_attempts: rules.most_tries,
-        connect_timeout: rules.connect,
-        max_retry_after: rules.retry_after,
+        max_attempts: rules.max_attempts,
+        connect_timeout: rules.connect_timeout,
+        max_retry_after: rules.max_retry_after,
         answer_slack: rules.answer_slack,
         resubscribe_within: 0,
         drain_grace: rules.drain_grace,
-        cold_start_share: rules.cold_from,
-        cold_duration: rules.cold_for,
-        overload_multiple: rules.fall_multiple,
-        overload_window: rules.tip_after,
+        cold_start_share: rules.cold_start_share,
+        cold_duration: rules.cold_duration,
+        overload_multiple: rules.overload_multiple,
+        overload_window: rules.overload_window,
     };
     let classes = config.classes.iter().map(|class| ClassPlan {
         repeat: repeat_policy(class.repeat),
@@ -107,9 +107,9 @@
     });
     let tools = config.tools.iter().map(|tool| ToolPlan {
         name: tool.name.clone(),
-        has_effect: tool.effect,
+        has_effect: tool.has_effect,
         timeout: tool.timeout,
-        max_tries: tool.tries,
+        max_tries: tool.max_tries,
     });
     let tool_index = |name: &str| config.tools.iter().position(|tool| tool.name == name);
     let routes = config.routes.iter().map(|route| RoutePlan {
@@ -117,7 +117,7 @@
         class: config.classes.iter().position(|class| class.name == route.class).unwrap_or(0),
         tools: route.tools.iter().filter_map(|name| tool_index(name)).collect(),
         max_tokens: f64::from(route.max_tokens),
-        max_legs: route.most_turns,
+        max_legs: route.max_turns,
     });
     Plan {
         settings,
@@ -125,8 +125,8 @@
         tools: tools.collect(),
         routes: routes.collect(),
         limits: Limits {
-            max_requests: config.front.most_requests,
-            retry_after: rules.retry_after,
+            max_requests: config.front.max_requests,
+            retry_after: rules.max_retry_after,
             ..Limits::default()
         },
     }
@@ -137,13 +137,13 @@
     let connections = &config.connections;
     ConnectionLimits {
         dials_per_s: connections.dials_per_s,
-        dial_burst: connections.dials_at_once,
-        max_per_server: connections.per_server,
-        max_total: connections.in_all,
-        max_idle_per_address: connections.idle_each,
-        idle_timeout: connections.idle,
-        max_age: connections.age,
-        max_uses: connections.uses,
+        dial_burst: connections.dial_burst,
+        max_per_server: connections.max_per_server,
+        max_total: connections.max_total,
+        max_idle_per_address: connections.max_idle_per_address,
+        idle_timeout: connections.idle_timeout,
+        max_age: connections.max_age,
+        max_uses: connections.max_uses,
         grace: config.rules.drain_grace,
     }
 }
@@ -160,7 +160,8 @@
 impl Catalog {
     /// The catalog of a configuration; no server is listed yet.
     pub fn new(config: &Config) -> Catalog {
-        let has_effect = |name: &String| config.tools.iter().any(|tool| tool.effect && tool.name == *name);
+        let has_effect =
+            |name: &String| config.tools.iter().any(|tool| tool.has_effect && tool.name == *name);
         let route_tool = |route: &elderstage_config::RouteConfig| mcp::Tool {
             name: route.name.clone(),
             description: route.description.clone(),
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -67,7 +67,7 @@
             name: tool.name.clone(),
             server: ServerId(format!("tool {}", tool.name).into()),
             endpoint_path: EndpointPath::new(tool.addr, tool.path.clone()),
-            connect_timeout_us: config.rules.connect,
+            connect_timeout_us: config.rules.connect_timeout,
             session: Mutex::default(),
             next_id: AtomicI64::new(1),
         }
--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use elderstage_config::{At, ConfigError, Directive, Errors, directives, number, time};
+use elderstage_config::{
+    ConfigError, ConfigErrors, Directive, Position, parse_directives, parse_number, parse_time,
+};
 use elderstage_protocol::place::AddressFamily;
 use elderstage_standin::host::DoorFault;
 use elderstage_standin::model::{Role, Spec};
@@ -183,17 +185,17 @@
 }
 
 impl ScriptParser<'_> {
-    fn add_error(&mut self, at: At, message: impl Into<String>) {
+    fn add_error(&mut self, at: Position, message: impl Into<String>) {
         self.errors.push(ConfigError::new(self.file, at, message));
     }
 
     /// The value at `index` as a number that is not negative, or 0 with an error.
     fn number(&mut self, directive: &Directive, index: usize) -> f64 {
-        match directive.values.get(index).and_then(|text| number(text)) {
+        match directive.values.get(index).and_then(|text| parse_number(text)) {
             Some(value) if value >= 0.0 => value,
             _ => {
                 let message = format!("{}: expected a number as value {}", directive.name, index + 1);
-                self.add_error(directive.at, message);
+                self.add_error(directive.position, message);
                 0.0
             }
         }
@@ -201,11 +203,11 @@
 
     /// The value at `index` as a time in microseconds, or 0 with an error.
     fn time(&mut self, directive: &Directive, index: usize) -> u64 {
-        match directive.values.get(index).and_then(|text| time(text)) {
+        match directive.values.get(index).and_then(|text| parse_time(text)) {
             Some(value) => value,
             None => {
                 let message = format!("{}: expected a time as value {}", directive.name, index + 1);
-                self.add_error(directive.at, message);
+                self.add_error(directive.position, message);
                 0
             }
         }
@@ -217,7 +219,7 @@
             Some(word) => word.clone(),
             None => {
                 let message = format!("{}: expected a word as value {}", directive.name, index + 1);
-                self.add_error(directive.at, message);
+                self.add_error(directive.position, message);
                 String::new()
             }
         }
@@ -232,7 +234,7 @@
                     "prefill" => spec.role = Role::Prefill,
                     "decode" => spec.role = Role::Decode,
                     "mixed" => spec.role = Role::Mixed,
-                    _ => self.add_error(line.at, "role: expected prefill, decode or mixed"),
+                    _ => self.add_error(line.position, "role: expected prefill, decode or mixed"),
                 },
                 "slots" => spec.slots = self.number(line, 0) as usize,
                 "queue" => spec.queue = self.number(line, 0) as usize,
@@ -246,7 +248,7 @@
                 "cold-for" => spec.cold_for = self.time(line, 0),
                 "fall-multiple" => spec.fall_multiple = self.number(line, 0),
                 "tip-after" => spec.tip_after = self.time(line, 0),
-                other => self.add_error(line.at, format!("unknown directive {other} in kind {name}")),
+                other => self.add_error(line.position, format!("unknown directive {other} in kind {name}")),
             }
         }
         Kind { name, spec }
@@ -290,11 +292,11 @@
                         tool,
                     });
                 }
-                other => self.add_error(line.at, format!("unknown directive {other} in load")),
+                other => self.add_error(line.position, format!("unknown directive {other} in load")),
             }
         }
         if load.mix.is_empty() {
-            self.add_error(directive.at, "load: expected a mix");
+            self.add_error(directive.position, "load: expected a mix");
         }
         load
     }
@@ -306,7 +308,7 @@
             "failed" => LimitedOutcome::Failed,
             "lost" => LimitedOutcome::Lost,
             _ => {
-                self.add_error(directive.at, "expect: expected refused, failed or lost, and a number");
+                self.add_error(directive.position, "expect: expected refused, failed or lost, and a number");
                 return None;
             }
         };
@@ -320,7 +322,7 @@
             match parse_family(word) {
                 Some(family) if !families.contains(&family) => families.push(family),
                 _ => self.add_error(
-                    directive.at,
+                    directive.position,
                     "engine: expected unix, ipv6 or ipv4, each once, after the cell",
                 ),
             }
@@ -341,7 +343,7 @@
             return false;
         };
         let (Some(way), Some(period), Some(fault), Some(duration)) =
-            (parse_family(way), time(period), parse_address_fault(fault), time(duration))
+            (parse_family(way), parse_time(period), parse_address_fault(fault), parse_time(duration))
         else {
             return false;
         };
@@ -364,23 +366,23 @@
         let mut words = directive.values.iter().skip(1).cloned().collect::<Vec<_>>();
         let mut duration = None;
         if words.len() >= 2 && words[words.len() - 2] == "for" {
-            duration = time(&words[words.len() - 1]);
+            duration = parse_time(&words[words.len() - 1]);
             if duration.is_none() {
-                self.add_error(directive.at, "at: expected a time after for");
+                self.add_error(directive.position, "at: expected a time after for");
             }
             words.truncate(words.len() - 2);
         }
         let texts: Vec<&str> = words.iter().map(String::as_str).collect();
         let Some((step, end_step)) = parse_step(&texts) else {
             let message = format!("at: expected a step, found \"{}\"", texts.join(" "));
-            return self.add_error(directive.at, message);
+            return self.add_error(directive.position, message);
         };
         steps.push((Duration::from_micros(start), step));
         match (duration, end_step) {
             (Some(duration), Some(end_step)) => {
                 steps.push((Duration::from_micros(start + duration), end_step))
             }
-            (Some(_), None) => self.add_error(directive.at, "at: this step takes no duration (for)"),
+            (Some(_), None) => self.add_error(directive.position, "at: this step takes no duration (for)"),
             _ => {}
         }
     }
@@ -414,10 +416,12 @@
 /// Parses a step. Returns also the step that ends it, if it can have a duration.
 fn parse_step(words: &[&str]) -> Option<(Step, Option<Step>)> {
     let name = |text: &str| text.to_owned();
-    let duration = |text: &str| time(text).map(Duration::from_micros);
+    let duration = |text: &str| parse_time(text).map(Duration::from_micros);
     Some(match words {
         ["hang", engine] => (Step::Hang(name(engine)), Some(Step::Well(name(engine)))),
-        ["slow", engine, times] => (Step::Slow(name(engine), number(times)?), Some(Step::Well(name(engine)))),
+        ["slow", engine, times] => {
+            (Step::Slow(name(engine), parse_number(times)?), Some(Step::Well(name(engine))))
+        }
         ["unanswered", engine, class] => {
             (Step::Unanswered(name(engine), name(class)), Some(Step::Well(name(engine))))
         }
@@ -449,7 +453,7 @@
             let (streams, after) = (streams.parse().ok()?, tokens.parse().ok()?);
             (Step::Break { engine: name(engine), streams, after }, None)
         }
-        ["slow-links", times] => (Step::SlowLinks(number(times)?), Some(Step::SlowLinks(1.0))),
+        ["slow-links", times] => (Step::SlowLinks(parse_number(times)?), Some(Step::SlowLinks(1.0))),
         ["tool", "slow", time] => {
             (Step::Tool(ToolFault::Slow(duration(time)?)), Some(Step::Tool(ToolFault::None)))
         }
@@ -497,8 +501,8 @@
 }
 
 /// Parses a script. `file` is its name in error messages.
-pub fn parse(file: &str, source: &str) -> Result<Day, Errors> {
-    let all = directives(file, source)?;
+pub fn parse(file: &str, source: &str) -> Result<Day, ConfigErrors> {
+    let all = parse_directives(file, source)?;
     let mut parser = ScriptParser { file, errors: Vec::new() };
     let p = &mut parser;
     let (mut name, mut seed, mut zones) = (String::from("rehearsal"), 1, Vec::new());
@@ -521,7 +525,7 @@
                 match kinds.iter().position(|kind| kind.name == kind_name) {
                     Some(kind) => engines.push(Engine { name, kind, zone, cell, ways }),
                     None => p.add_error(
-                        directive.at,
+                        directive.position,
                         format!("engine {name}: kind {kind_name} is not defined above"),
                     ),
                 }
@@ -531,7 +535,7 @@
             "load" => load = Some(p.load(directive)),
             "expect" => outcome_limits.extend(p.expect(directive)),
             "at" => p.timed_step(directive, &mut steps),
-            other => p.add_error(directive.at, format!("unknown directive {other}")),
+            other => p.add_error(directive.position, format!("unknown directive {other}")),
         }
     }
     if !all.iter().any(|directive| directive.name == "class") {
@@ -541,19 +545,19 @@
         [("an engine", engines.is_empty()), ("a front", fronts.is_empty()), ("a load", load.is_none())]
     {
         if is_missing {
-            p.add_error(At::default(), format!("expected {expected}"));
+            p.add_error(Position::default(), format!("expected {expected}"));
         }
     }
     for (_, step) in &steps {
         let (engine, front, zone) = named_targets(step);
         if let Some(name) = engine.filter(|name| !engines.iter().any(|e| e.name == **name)) {
-            p.add_error(At::default(), format!("no engine is called {name}"));
+            p.add_error(Position::default(), format!("no engine is called {name}"));
         }
         if let Some(name) = front.filter(|name| !fronts.iter().any(|f| f.name == **name)) {
-            p.add_error(At::default(), format!("no front is called {name}"));
+            p.add_error(Position::default(), format!("no front is called {name}"));
         }
         if let Some(name) = zone.filter(|name| !zones.contains(name)) {
-            p.add_error(At::default(), format!("no zone is called {name}"));
+            p.add_error(Position::default(), format!("no zone is called {name}"));
         }
     }
     steps.sort_by_key(|(at, _)| *at);
@@ -568,8 +572,8 @@
             steps,
         }),
         _ => {
-            parser.errors.sort_by_key(|error| (error.at.line, error.at.column));
-            Err(Errors(parser.errors))
+            parser.errors.sort_by_key(|error| (error.position.line, error.position.column));
+            Err(ConfigErrors(parser.errors))
         }
     }
 }
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -52,7 +52,7 @@
     },
     /// The script gives a configuration that fronts do not accept.
     #[error("the fronts' configuration is invalid:\n{0}")]
-    Config(elderstage_config::Errors),
+    Config(elderstage_config::ConfigErrors),
     /// A front did not start in time: its name, and the path of its log.
     #[error("front {0} did not start; see its log {1}")]
     FrontNotStarted(String, PathBuf),
@@ -230,8 +230,8 @@
         classes: config.classes.iter().map(|class| (class.name.clone(), policy(class.repeat))).collect(),
         answer_slack_us: config.rules.answer_slack,
         drain_grace_us: config.rules.drain_grace,
-        release_deadline_us: config.rules.let_go,
-        connect_timeout_us: config.rules.connect,
+        release_deadline_us: config.rules.release_time_limit,
+        connect_timeout_us: config.rules.connect_timeout,
         list_delay_us: 150_000,
     }
 }
--- a/fuzz/fuzz_targets/address.rs
+++ b/fuzz/fuzz_targets/address.rs
@@ -2,7 +2,7 @@
 //! after it was written, and an error in a list names the line and the field.
 #![no_main]
 
-use elderstage_config::{directives, parse};
+use elderstage_config::{parse, parse_directives};
 use elderstage_protocol::place::Endpoint;
 use libfuzzer_sys::fuzz_target;
 
@@ -22,7 +22,7 @@
         return;
     }
     let file = format!("{PREAMBLE}server s {{\n kind k\n zone a\n address \"{word}\"\n}}\n");
-    assert!(directives("f", &file).is_ok(), "the quoted word does not stay on its line");
+    assert!(parse_directives("f", &file).is_ok(), "the quoted word does not stay on its line");
     match parse("f", &file) {
         Ok(config) => {
             assert_eq!(config.servers[0].endpoints, [endpoint.expect("the list accepted an invalid address")])
@@ -31,7 +31,7 @@
             let line = PREAMBLE.lines().count() + 4;
             assert!(endpoint.is_err(), "{errors}");
             assert!(
-                errors.0.iter().any(|e| e.at.line == line && e.what.starts_with("address: value 1")),
+                errors.0.iter().any(|e| e.position.line == line && e.message.starts_with("address: value 1")),
                 "{errors}"
             );
         }
--- a/fuzz/fuzz_targets/config.rs
+++ b/fuzz/fuzz_targets/config.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 
-use elderstage_config::{Directive, diff, directives, format, load};
+use elderstage_config::{Directive, diff, format_config, load, parse_directives};
 use libfuzzer_sys::fuzz_target;
 
 /// Renders directives as text, to compare them.
@@ -35,11 +35,11 @@
         }
     }
     let Ok(text) = std::str::from_utf8(bytes) else { return };
-    let Ok(before) = directives("f", text) else { return };
-    let formatted = format("f", text).expect("a text that parses can be formatted");
+    let Ok(before) = parse_directives("f", text) else { return };
+    let formatted = format_config("f", text).expect("a text that parses can be formatted");
     assert_eq!(
-        directives_text(&directives("f", &formatted).expect("the formatted text parses")),
+        directives_text(&parse_directives("f", &formatted).expect("the formatted text parses")),
         directives_text(&before)
     );
-    assert_eq!(format("f", &formatted).expect("the formatted text can be formatted"), formatted);
+    assert_eq!(format_config("f", &formatted).expect("the formatted text can be formatted"), formatted);
 });
