--- a/crates/cli/tests/node/bed.rs
+++ b/crates/cli/tests/node/bed.rs
@@ -148,7 +148,7 @@
     /// Waits until the node has reached the step.
     pub fn wait_until_reached(&self, step: &str) {
         let reached_file = self.0.join(format!("{step}.reached"));
-        assert!(Platform::until(LONG, || reached_file.exists()), "the node does not reach {step}");
+        assert!(Platform::wait_until(LONG, || reached_file.exists()), "the node does not reach {step}");
     }
 
     /// Lets the node continue from the step.
--- a/crates/cli/tests/node/client_gone.rs
+++ b/crates/cli/tests/node/client_gone.rs
@@ -13,11 +13,14 @@
     let node = start_node(&platform, |_| {});
     let mut client = node.client();
     client.send(&chat("reader-silent-1", "plain", 4000));
-    assert!(Platform::until(LONG, || !platform.traffic.held().is_empty()));
+    assert!(Platform::wait_until(LONG, || !platform.traffic.held_states().is_empty()));
     drop(client);
-    assert!(Platform::until(LONG, || platform.traffic.held().is_empty()), "the state is still held");
-    let ended = |seen: &Pass| matches!(seen, Pass::Ended { how: How::MayHaveRun, .. });
-    assert!(Platform::until(LONG, || platform.traffic.seen().iter().any(|seen| ended(&seen.pass))));
+    assert!(
+        Platform::wait_until(LONG, || platform.traffic.held_states().is_empty()),
+        "the state is still held"
+    );
+    let ended = |seen: &EngineEvent| matches!(seen, EngineEvent::Ended { how: AttemptEnd::MayHaveRun, .. });
+    assert!(Platform::wait_until(LONG, || platform.traffic.events().iter().any(|seen| ended(&seen.pass))));
 }
 
 /// Guards against attempts for disconnected clients: the end of a connection comes after the bytes that the
@@ -27,7 +30,7 @@
 #[test]
 fn no_attempt_is_made_for_clients_that_sent_more_bytes_and_disconnected() {
     let platform = Platform::start(1, 1).unwrap();
-    platform.discovery.silence(true);
+    platform.discovery.set_silent(true);
     // No engine is known, so requests wait, and the class waits long.
     let node = start_node(&platform, |config| {
         config["known"]["hosts"] = Value::Array(Vec::new());
@@ -51,14 +54,14 @@
     let mut connected = node.client();
     connected.send(&chat("stays-1", "plain", 18_000));
     std::thread::sleep(Duration::from_millis(500));
-    platform.discovery.silence(false);
-    platform.discovery.change(Platform::list(&platform.engines, |_| "SERVING"));
+    platform.discovery.set_silent(false);
+    platform.discovery.publish_change(Platform::host_list(&platform.engines, |_| "SERVING"));
     assert!(is_served(&connected.answer()), "the connected client is not served");
     assert!(is_served(&node.request("after-1", "plain")));
-    let seen = platform.traffic.seen();
+    let seen = platform.traffic.events();
     let for_disconnected = seen
         .iter()
-        .filter(|seen| matches!(&seen.pass, Pass::Begun { trace, .. } if trace.starts_with("left-")));
+        .filter(|seen| matches!(&seen.pass, EngineEvent::Begun { trace, .. } if trace.starts_with("left-")));
     assert_eq!(for_disconnected.count(), 0);
 }
 
--- a/crates/cli/tests/node/discovery.rs
+++ b/crates/cli/tests/node/discovery.rs
@@ -13,31 +13,33 @@
 #[test]
 fn the_node_serves_while_discovery_is_silent_and_takes_its_list_afterwards() {
     let platform = Platform::start(1, 2).unwrap();
-    platform.discovery.silence(true);
+    platform.discovery.set_silent(true);
     let node = start_node(&platform, |_| {});
     assert!(is_served(&node.request("known-1", "plain")), "not served from the initial list");
-    platform.discovery.silence(false);
+    platform.discovery.set_silent(false);
     let health = |name: &str| if name == "writer-0" { "DRAINING" } else { "SERVING" };
-    platform.discovery.change(Platform::list(&platform.engines, health));
+    platform.discovery.publish_change(Platform::host_list(&platform.engines, health));
     let writers = |from: usize| -> Vec<String> {
-        let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
-        let seen = platform.traffic.seen();
+        let began = |seen: &elderstage_standin::platform::RecordedEvent| {
+            matches!(seen.pass, EngineEvent::Begun { .. })
+        };
+        let seen = platform.traffic.events();
         let writers = seen[from..].iter().filter(|seen| began(seen) && seen.engine.starts_with("writer"));
         writers.map(|seen| seen.engine.clone()).collect()
     };
     // Sends requests until the drain has taken effect.
     let mut n = 0;
     let has_taken_effect = || {
-        let from = platform.traffic.seen().len();
+        let from = platform.traffic.events().len();
         for _ in 0..8 {
             n += 1;
             assert!(is_served(&node.request(&format!("drain-{n}"), "plain")));
         }
         writers(from).iter().all(|writer| writer == "writer-1")
     };
-    assert!(Platform::until(LONG, has_taken_effect));
+    assert!(Platform::wait_until(LONG, has_taken_effect));
     // Discovery falls silent again: the node keeps its list.
-    platform.discovery.silence(true);
+    platform.discovery.set_silent(true);
     assert!(is_served(&node.request("silent-1", "plain")));
 }
 
@@ -45,9 +47,9 @@
 fn a_new_configuration_changes_discoverys_address_and_an_invalid_one_changes_nothing() {
     let platform = Platform::start(1, 1).unwrap();
     let mut node = start_node(&platform, |_| {});
-    let other = platform.discovery.beside().unwrap();
-    assert!(Platform::until(LONG, || !platform.discovery.asked().is_empty()));
-    let asked = platform.discovery.asked().len();
+    let other = platform.discovery.start_replica().unwrap();
+    assert!(Platform::wait_until(LONG, || !platform.discovery.request_targets().is_empty()));
+    let asked = platform.discovery.request_targets().len();
     std::fs::write(&node.config, "{\"listen\":").unwrap();
     node.signal("HUP");
     assert!(is_served(&node.request("bad-config-1", "plain")));
@@ -55,10 +57,10 @@
     std::fs::write(&node.config, config.to_string()).unwrap();
     node.signal("HUP");
     assert!(
-        Platform::until(LONG, || platform.discovery.asked().len() > asked),
+        Platform::wait_until(LONG, || platform.discovery.request_targets().len() > asked),
         "the node does not watch the new address"
     );
-    let last = platform.discovery.asked().pop().unwrap();
+    let last = platform.discovery.request_targets().pop().unwrap();
     assert!(last.contains("stream=1&index="), "{last}");
     assert!(is_served(&node.request("moved-1", "plain")));
     assert!(node.child.try_wait().unwrap().is_none(), "the node has exited");
@@ -69,13 +71,17 @@
 fn an_invalid_list_is_requested_again() {
     let platform = Platform::start(1, 1).unwrap();
     let node = start_node(&platform, |_| {});
-    let watches = || platform.discovery.asked().len();
-    assert!(Platform::until(LONG, || watches() == 1));
+    let watches = || platform.discovery.request_targets().len();
+    assert!(Platform::wait_until(LONG, || watches() == 1));
     // The first watch has its list and is open, so the next line arrives as a change.
     std::thread::sleep(Duration::from_millis(300));
-    platform.discovery.garble();
-    assert!(Platform::until(LONG, || watches() > 1), "no new watch is started");
-    assert!(platform.discovery.asked()[1].ends_with("index=0"), "{:?}", platform.discovery.asked());
+    platform.discovery.send_malformed_line();
+    assert!(Platform::wait_until(LONG, || watches() > 1), "no new watch is started");
+    assert!(
+        platform.discovery.request_targets()[1].ends_with("index=0"),
+        "{:?}",
+        platform.discovery.request_targets()
+    );
     assert!(is_served(&node.request("after-noise-1", "plain")));
 }
 
@@ -85,7 +91,7 @@
 fn a_node_is_ready_only_with_the_list_of_its_discovery() {
     let platform = Platform::start(1, 2).unwrap();
     let health = |name: &str| if name == "writer-0" { "DRAINING" } else { "SERVING" };
-    platform.discovery.change(Platform::list(&platform.engines, health));
+    platform.discovery.publish_change(Platform::host_list(&platform.engines, health));
     for n in 0..5 {
         let node = start_node(&platform, |config| {
             assert_eq!(
@@ -98,8 +104,9 @@
             assert!(is_served(&answer), "node {n}, request {m}: {answer:?}");
         }
     }
-    let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
-    let seen = platform.traffic.seen();
+    let began =
+        |seen: &elderstage_standin::platform::RecordedEvent| matches!(seen.pass, EngineEvent::Begun { .. });
+    let seen = platform.traffic.events();
     assert!(
         !seen.iter().any(|seen| began(seen) && seen.engine == "writer-0"),
         "a request went to a draining engine"
@@ -110,22 +117,25 @@
 fn until_avoided(platform: &Platform, node: &Node, avoided_writers: &[&str], tag: &str) {
     let mut n = 0;
     let avoided = || {
-        let from = platform.traffic.seen().len();
+        let from = platform.traffic.events().len();
         for _ in 0..8 {
             n += 1;
             assert!(is_served(&node.request(&format!("{tag}-{n}"), "plain")));
         }
-        let seen = platform.traffic.seen();
-        let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
+        let seen = platform.traffic.events();
+        let began = |seen: &elderstage_standin::platform::RecordedEvent| {
+            matches!(seen.pass, EngineEvent::Begun { .. })
+        };
         !seen[from..].iter().any(|seen| began(seen) && avoided_writers.contains(&seen.engine.as_str()))
     };
-    assert!(Platform::until(LONG, avoided), "requests still go to {avoided_writers:?}");
+    assert!(Platform::wait_until(LONG, avoided), "requests still go to {avoided_writers:?}");
 }
 
 /// The number of requests that an engine has begun.
 fn begun_at(platform: &Platform, engine: &str) -> usize {
-    let began = |seen: &elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
-    platform.traffic.seen().iter().filter(|seen| began(seen) && seen.engine == engine).count()
+    let began =
+        |seen: &elderstage_standin::platform::RecordedEvent| matches!(seen.pass, EngineEvent::Begun { .. });
+    platform.traffic.events().iter().filter(|seen| began(seen) && seen.engine == engine).count()
 }
 
 /// Health of the engines where the named one drains.
@@ -138,17 +148,17 @@
 fn an_older_list_after_a_newer_one_is_ignored() {
     let platform = Platform::start(1, 3).unwrap();
     let node = start_node(&platform, |_| {});
-    platform.discovery.change(Platform::list(&platform.engines, draining("writer-0")));
+    platform.discovery.publish_change(Platform::host_list(&platform.engines, draining("writer-0")));
     until_avoided(&platform, &node, &["writer-0"], "newer");
     let before = begun_at(&platform, "writer-0");
-    let old = Platform::list(&platform.engines, |_| "SERVING");
-    platform.discovery.inject(&json!({"seq": 1, "whole": true, "hosts": old}).to_string());
-    let asked = platform.discovery.asked().len();
+    let old = Platform::host_list(&platform.engines, |_| "SERVING");
+    platform.discovery.send_line(&json!({"seq": 1, "whole": true, "hosts": old}).to_string());
+    let asked = platform.discovery.request_targets().len();
     assert!(
-        Platform::until(LONG, || platform.discovery.asked().len() > asked),
+        Platform::wait_until(LONG, || platform.discovery.request_targets().len() > asked),
         "the list is not requested again"
     );
-    platform.discovery.change(vec![host_of(&platform, "writer-1", "DRAINING")]);
+    platform.discovery.publish_change(vec![host_of(&platform, "writer-1", "DRAINING")]);
     until_avoided(&platform, &node, &["writer-0", "writer-1"], "after");
     assert_eq!(
         begun_at(&platform, "writer-0"),
@@ -159,7 +169,7 @@
 
 /// The list entry of an engine.
 fn host_of(platform: &Platform, name: &str, health: &'static str) -> Value {
-    let hosts = Platform::list(&platform.engines, |_| health);
+    let hosts = Platform::host_list(&platform.engines, |_| health);
     hosts.into_iter().find(|host| host["host"] == name).unwrap()
 }
 
@@ -209,7 +219,7 @@
     let (mut connection, index) = next_watch(&discovery);
     assert_eq!(index, "0");
     let all = |seq: u64, health: &dyn Fn(&str) -> &'static str| {
-        server_list(seq, true, &Platform::list(&platform.engines, health))
+        server_list(seq, true, &Platform::host_list(&platform.engines, health))
     };
     connection.write(&(WATCH_HEAD.to_owned() + &chunk(&(all(5, &|_| "SERVING") + "\n"))));
     // Half of a drain's line arrives.
@@ -231,10 +241,10 @@
 fn a_list_that_arrives_byte_by_byte_is_applied() {
     let platform = Platform::start(1, 2).unwrap();
     let discovery = Peer::new();
-    let serving = Platform::list(&platform.engines, |_| "SERVING");
+    let serving = Platform::host_list(&platform.engines, |_| "SERVING");
     let (node, mut connection) =
         start_with_first_list(&platform, &discovery, &server_list(2, true, &serving));
-    let hosts = Platform::list(&platform.engines, draining("writer-1"));
+    let hosts = Platform::host_list(&platform.engines, draining("writer-1"));
     let text =
         serde_json::to_string_pretty(&json!({"seq": 3, "whole": true, "hosts": hosts})).unwrap() + "\n";
     for byte in chunk(&text).chars() {
@@ -249,7 +259,7 @@
 fn an_open_watch_that_falls_silent_is_replaced() {
     let platform = Platform::start(1, 2).unwrap();
     let discovery = Peer::new();
-    let hosts = Platform::list(&platform.engines, |_| "SERVING");
+    let hosts = Platform::host_list(&platform.engines, |_| "SERVING");
     let (node, mut silent) = start_with_first_list(&platform, &discovery, &server_list(7, true, &hosts));
     let (mut connection, index) = next_watch(&discovery);
     assert_eq!(index, "7");
@@ -272,7 +282,7 @@
     assert!(is_served(&node.request("known-1", "plain")), "not served from the initial list");
     let discovery = Peer::at(addr);
     let (mut connection, _) = next_watch(&discovery);
-    let hosts = Platform::list(&platform.engines, draining("writer-0"));
+    let hosts = Platform::host_list(&platform.engines, draining("writer-0"));
     connection.write(&(WATCH_HEAD.to_owned() + &chunk(&(server_list(4, true, &hosts) + "\n"))));
     until_avoided(&platform, &node, &["writer-0"], "refused");
 }
@@ -283,7 +293,7 @@
 fn a_drain_announced_right_after_a_new_configuration_is_applied() {
     let platform = Platform::start(1, 3).unwrap();
     let (old, new) = (Peer::new(), Peer::new());
-    let hosts = Platform::list(&platform.engines, |_| "SERVING");
+    let hosts = Platform::host_list(&platform.engines, |_| "SERVING");
     let (node, mut connection) = start_with_first_list(&platform, &old, &server_list(10, true, &hosts));
     node.suspend();
     std::fs::write(&node.config, platform.config(node.addr, new.addr, true).to_string()).unwrap();
@@ -292,7 +302,7 @@
     node.resume();
     let (mut moved, index) = next_watch(&new);
     assert!(["10", "11"].contains(&index.as_str()), "{index}");
-    let drain = server_list(12, true, &Platform::list(&platform.engines, draining("writer-0")));
+    let drain = server_list(12, true, &Platform::host_list(&platform.engines, draining("writer-0")));
     moved.write(&(WATCH_HEAD.to_owned() + &chunk(&(drain + "\n"))));
     until_avoided(&platform, &node, &["writer-0"], "moved");
     let before = begun_at(&platform, "writer-0");
--- a/crates/cli/tests/node/drains.rs
+++ b/crates/cli/tests/node/drains.rs
@@ -30,12 +30,12 @@
                 });
                 connected_writer.is_some()
             };
-            assert!(Platform::until(LONG, has_connected));
+            assert!(Platform::wait_until(LONG, has_connected));
             let leaving_writer = connected_writer.unwrap();
             bed.holds.hold("listed-2");
             let drained =
                 host_entry(&format!("writer-{leaving_writer}"), &bed.writers[leaving_writer], health);
-            bed.platform.discovery.change(vec![drained]);
+            bed.platform.discovery.publish_change(vec![drained]);
             bed.holds.wait_until_reached("listed-2");
             bed.holds.release("listed-2");
             // The change is in the queue. Later events are processed after it.
@@ -80,7 +80,7 @@
         received = bed.readers.iter().chain(&bed.writers).find_map(|engine| engine.try_next_request());
         received.is_some()
     };
-    assert!(Platform::until(LONG, has_arrived), "no release arrives");
+    assert!(Platform::wait_until(LONG, has_arrived), "no release arrives");
     let (_connection, request) = received.unwrap();
     assert_eq!(
         (request.head.method.as_str(), request.head.target.as_str()),
--- a/crates/cli/tests/node/fleet.rs
+++ b/crates/cli/tests/node/fleet.rs
@@ -25,14 +25,14 @@
         assert!(is_served(&node.request(&format!("warm-{n}"), "plain")));
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let mut hosts = Platform::list(&platform.engines[..1], |_| "SERVING");
+    let mut hosts = Platform::host_list(&platform.engines[..1], |_| "SERVING");
     hosts[0]["born_ms"] = now.into();
-    platform.discovery.change(hosts);
+    platform.discovery.publish_change(hosts);
     // The other nodes learn of it from their first list.
     nodes.extend((0..NODES / 2).map(|_| start_node(&platform, cold)));
-    let all_listed = || platform.discovery.told() >= nodes.len();
-    assert!(Platform::until(LONG, all_listed), "not all nodes have the list");
-    let before = platform.traffic.seen().len();
+    let all_listed = || platform.discovery.up_to_date_watches() >= nodes.len();
+    assert!(Platform::wait_until(LONG, all_listed), "not all nodes have the list");
+    let before = platform.traffic.events().len();
     std::thread::scope(|scope| {
         for (n, node) in nodes.iter().enumerate() {
             scope.spawn(move || {
@@ -44,8 +44,9 @@
             });
         }
     });
-    let seen = platform.traffic.seen();
-    let began = |seen: &&elderstage_standin::platform::Seen| matches!(seen.pass, Pass::Begun { .. });
+    let seen = platform.traffic.events();
+    let began =
+        |seen: &&elderstage_standin::platform::RecordedEvent| matches!(seen.pass, EngineEvent::Begun { .. });
     let prefills =
         |engine: &str| seen[before..].iter().filter(began).filter(|seen| seen.engine == engine).count();
     let all: usize = (0..6).map(|n| prefills(&format!("reader-{n}"))).sum();
@@ -128,7 +129,7 @@
             "class": class, "block": n / CELL, "health": health, "share": 1.0, "born_ms": 0})
     };
     let all = |health: &str| (0..servers).map(|n| entry(n, health)).collect::<Vec<Value>>();
-    platform.discovery.change(all("SERVING"));
+    platform.discovery.publish_change(all("SERVING"));
     let node = start_node(&platform, |config| {
         config["settings"]["n-instances"] = 300.into();
         config["known"]["hosts"] = Value::Array(all("SERVING"));
@@ -148,9 +149,9 @@
         }
         for round in 0..4 {
             let part = |health| (0..servers).filter(|n| n % 20 == round).map(|n| entry(n, health)).collect();
-            platform.discovery.change(part("DRAINING"));
+            platform.discovery.publish_change(part("DRAINING"));
             std::thread::sleep(Duration::from_millis(100));
-            platform.discovery.change(part("SERVING"));
+            platform.discovery.publish_change(part("SERVING"));
         }
     });
     cpu_seconds(&node) - cpu_at_start
--- a/crates/cli/tests/node/held_state.rs
+++ b/crates/cli/tests/node/held_state.rs
@@ -13,7 +13,7 @@
         received = bed.readers.iter().chain(&bed.writers).find_map(|engine| engine.try_next_request());
         received.is_some() || attempt.is_closed_by_node()
     };
-    assert!(Platform::until(LONG, has_arrived), "{trace}: no release while an attempt is open");
+    assert!(Platform::wait_until(LONG, has_arrived), "{trace}: no release while an attempt is open");
     let (mut connection, request) = received.unwrap_or_else(|| panic!("{trace}: the attempt ended first"));
     assert_eq!(
         (request.head.method.as_str(), request.head.target.as_str()),
--- a/crates/cli/tests/node/input.rs
+++ b/crates/cli/tests/node/input.rs
@@ -65,9 +65,9 @@
         }
     }
     assert!(is_served(&node.request("good-1", "plain")));
-    let attempts = platform.traffic.seen().into_iter().filter_map(|seen| match seen.pass {
-        Pass::Begun { trace, .. } => Some(trace),
-        Pass::Unknown { what } => Some(what),
+    let attempts = platform.traffic.events().into_iter().filter_map(|seen| match seen.pass {
+        EngineEvent::Begun { trace, .. } => Some(trace),
+        EngineEvent::Unknown { what } => Some(what),
         _ => None,
     });
     assert!(attempts.into_iter().all(|trace| trace == "good-1"));
--- a/crates/cli/tests/node/log.rs
+++ b/crates/cli/tests/node/log.rs
@@ -37,5 +37,5 @@
         missing = lines.into_iter().filter(|line| !log.contains(line)).collect();
         missing.is_empty()
     };
-    assert!(Platform::until(LONG, is_logged), "missing in the log: {missing:?} in {}", node.log_text());
+    assert!(Platform::wait_until(LONG, is_logged), "missing in the log: {missing:?} in {}", node.log_text());
 }
--- a/crates/cli/tests/node/outcomes.rs
+++ b/crates/cli/tests/node/outcomes.rs
@@ -40,13 +40,17 @@
                 assert_eq!(answer.status, 502, "{trace}: {answer:?}");
                 // The engine may record the end after the client has its answer.
                 let attempts = || platform.traffic.attempts(&trace);
-                assert!(Platform::until(LONG, || !attempts().is_empty()), "{trace}");
-                assert_eq!(attempts(), [How::MayHaveRun], "{trace}");
+                assert!(Platform::wait_until(LONG, || !attempts().is_empty()), "{trace}");
+                assert_eq!(attempts(), [AttemptEnd::MayHaveRun], "{trace}");
             }
         }
-        assert_eq!(platform.traffic.judge(|trace| trace.ends_with("-once")), Vec::<String>::new(), "{case}");
-        let is_released = Platform::until(LONG, || platform.traffic.held().is_empty());
-        assert!(is_released, "{case}: still held: {:?}", platform.traffic.held());
+        assert_eq!(
+            platform.traffic.violations(|trace| trace.ends_with("-once")),
+            Vec::<String>::new(),
+            "{case}"
+        );
+        let is_released = Platform::wait_until(LONG, || platform.traffic.held_states().is_empty());
+        assert!(is_released, "{case}: still held: {:?}", platform.traffic.held_states());
     }
 }
 
@@ -115,22 +119,26 @@
                 served += 1;
                 assert_eq!(answer.body, whole_answer(), "{trace}");
                 assert!(
-                    platform.traffic.attempts(trace).contains(&How::Served),
+                    platform.traffic.attempts(trace).contains(&AttemptEnd::Served),
                     "{trace}: no engine served it"
                 );
             }
             200 => assert!(whole_answer().starts_with(&answer.body), "{trace}: {answer:?}"),
             503 if trace.ends_with("once") => {
                 let ran = platform.traffic.attempts(trace);
-                assert!(ran.iter().all(|how| *how == How::NeverRan), "{trace}: refused, but {ran:?}");
+                assert!(ran.iter().all(|how| *how == AttemptEnd::NeverRan), "{trace}: refused, but {ran:?}");
             }
             503 | 502 => {}
             other => panic!("{trace}: {other} {answer:?}"),
         }
     }
     assert!(served > 100, "{served} of 200 served");
-    assert_eq!(platform.traffic.judge(|trace| trace.ends_with("once")), Vec::<String>::new());
-    assert!(Platform::until(LONG, || platform.traffic.held().is_empty()), "{:?}", platform.traffic.held());
+    assert_eq!(platform.traffic.violations(|trace| trace.ends_with("once")), Vec::<String>::new());
+    assert!(
+        Platform::wait_until(LONG, || platform.traffic.held_states().is_empty()),
+        "{:?}",
+        platform.traffic.held_states()
+    );
 }
 
 /// A second answer to one request that arrives some milliseconds later must not be taken for the answer to
@@ -148,11 +156,11 @@
         if wrong.is_empty() {
             return;
         }
-        let later = |seen: &elderstage_standin::platform::Seen| match seen.pass {
-            Pass::SecondAnswer { after } => after,
+        let later = |seen: &elderstage_standin::platform::RecordedEvent| match seen.pass {
+            EngineEvent::SecondAnswer { after } => after,
             _ => Duration::ZERO,
         };
-        let latest = platform.traffic.seen().iter().map(later).max().unwrap_or_default();
+        let latest = platform.traffic.events().iter().map(later).max().unwrap_or_default();
         assert!(latest > MAX_EXPECTED_DELAY, "{wrong:?}; the latest second answer came after {latest:?}");
     }
     panic!("the machine is too busy to write a second answer in time");
@@ -165,8 +173,9 @@
     let mut first = node.client();
     // The reader does not answer, so the request stays open.
     first.send(&chat("reader-silent-first-1", "plain", 4000));
-    let begun = || platform.traffic.seen().iter().any(|seen| matches!(seen.pass, Pass::Begun { .. }));
-    assert!(Platform::until(LONG, begun));
+    let begun =
+        || platform.traffic.events().iter().any(|seen| matches!(seen.pass, EngineEvent::Begun { .. }));
+    assert!(Platform::wait_until(LONG, begun));
     assert_eq!(node.request("reader-silent-first-1", "plain").status, 409);
     assert!(is_served(&first.answer()), "the first request is not served at another reader");
 }
--- a/crates/cli/tests/node/peer.rs
+++ b/crates/cli/tests/node/peer.rs
@@ -98,7 +98,7 @@
             received = self.try_next_request();
             received.is_some()
         };
-        assert!(Platform::until(LONG, has_arrived), "no request arrives at {}", self.addr);
+        assert!(Platform::wait_until(LONG, has_arrived), "no request arrives at {}", self.addr);
         received.unwrap()
     }
 
@@ -258,7 +258,7 @@
         });
         received.is_some()
     };
-    assert!(Platform::until(LONG, has_arrived), "no request arrives at any peer");
+    assert!(Platform::wait_until(LONG, has_arrived), "no request arrives at any peer");
     received.unwrap()
 }
 
--- a/crates/cli/tests/node/shutdown.rs
+++ b/crates/cli/tests/node/shutdown.rs
@@ -20,18 +20,18 @@
     let begun = || {
         platform
             .traffic
-            .seen()
+            .events()
             .iter()
-            .any(|seen| matches!(&seen.pass, Pass::Begun { trace, .. } if trace.ends_with("-2")))
+            .any(|seen| matches!(&seen.pass, EngineEvent::Begun { trace, .. } if trace.ends_with("-2")))
     };
-    assert!(Platform::until(LONG, begun));
+    assert!(Platform::wait_until(LONG, begun));
     node.signal("TERM");
     // Right after the signal, a request on an open connection is still accepted.
     kept.send(&chat("after-1", "plain", 4000));
     assert!(is_served(&kept.answer()));
     assert!(is_served(&open.answer()));
     let mut status = None;
-    assert!(Platform::until(LONG, || {
+    assert!(Platform::wait_until(LONG, || {
         status = node.child.try_wait().unwrap();
         status.is_some()
     }));
@@ -48,18 +48,19 @@
     let addr = node.addr;
     let mut open = node.client();
     open.send(&chat("reader-silent-1", "once", 4000));
-    let begun = || platform.traffic.seen().iter().any(|seen| matches!(seen.pass, Pass::Begun { .. }));
-    assert!(Platform::until(LONG, begun));
+    let begun =
+        || platform.traffic.events().iter().any(|seen| matches!(seen.pass, EngineEvent::Begun { .. }));
+    assert!(Platform::wait_until(LONG, begun));
     drop(node);
     assert_eq!(open.answer().status, 0, "the connection does not end");
     // The port is free, unless another test takes it for a moment.
     let mut restarts = (0..20).map(|_| try_start_node_at(&platform, addr, None, |_| {}));
     let restarted = restarts.find_map(|node| node).expect("the node does not start again");
     assert!(is_served(&restarted.request("after-kill-1", "once")));
-    let sent = platform.traffic.seen();
-    let sent = sent
-        .iter()
-        .filter(|seen| matches!(&seen.pass, Pass::Begun { trace, .. } if trace.starts_with("reader-silent")));
+    let sent = platform.traffic.events();
+    let sent = sent.iter().filter(
+        |seen| matches!(&seen.pass, EngineEvent::Begun { trace, .. } if trace.starts_with("reader-silent")),
+    );
     assert_eq!(sent.count(), 1);
 }
 
@@ -193,7 +194,7 @@
         } else {
             let ready =
                 || Client::connect(addr).is_some_and(|mut client| client.get("/-/ready") == Some(200));
-            assert!(Platform::until(LONG, ready), "{signals:?}");
+            assert!(Platform::wait_until(LONG, ready), "{signals:?}");
         }
     }
 }
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -11,7 +11,7 @@
 
 use crate::bed::HoldPoints;
 use elderstage_protocol::http::{self, BodyDecoder, Limits, Response};
-pub use elderstage_standin::platform::{How, Pass, Platform, whole_answer};
+pub use elderstage_standin::platform::{AttemptEnd, EngineEvent, Platform, whole_answer};
 pub use serde_json::Value;
 
 /// The program under test.
@@ -94,7 +94,7 @@
         has_exited = node.child.try_wait().unwrap().is_some();
         has_exited || Client::connect(addr).is_some_and(|mut client| client.get("/-/ready") == Some(200))
     };
-    assert!(Platform::until(LONG, ready), "the node neither exits nor becomes ready");
+    assert!(Platform::wait_until(LONG, ready), "the node neither exits nor becomes ready");
     (!has_exited).then_some(node)
 }
 
@@ -219,7 +219,7 @@
     pub fn suspend(&self) {
         self.signal("STOP");
         let is_stopped = || self.stat().is_some_and(|stat| stat.contains(") T "));
-        assert!(Platform::until(LONG, is_stopped), "the node is not suspended");
+        assert!(Platform::wait_until(LONG, is_stopped), "the node is not suspended");
     }
 
     /// Resumes the suspended process.
@@ -244,7 +244,10 @@
 
     /// Waits until the node accepts no more connections.
     pub fn wait_until_unreachable(&self) {
-        assert!(Platform::until(LONG, || Client::connect(self.addr).is_none()), "the node still listens");
+        assert!(
+            Platform::wait_until(LONG, || Client::connect(self.addr).is_none()),
+            "the node still listens"
+        );
     }
 
     /// The log of a node from [`crate::bed::TestBed::node_with_descriptor_limit`].
@@ -259,7 +262,7 @@
             status = self.child.try_wait().unwrap();
             status.is_some()
         };
-        assert!(Platform::until(LONG, has_exited), "the node does not exit");
+        assert!(Platform::wait_until(LONG, has_exited), "the node does not exit");
         status.is_some_and(|status| status.success())
     }
 }
--- a/crates/front/tests/addresses.rs
+++ b/crates/front/tests/addresses.rs
@@ -8,8 +8,8 @@
 use common::{CallEnd, TestCluster};
 use elderstage_protocol::place::AddressFamily;
 use elderstage_rehearsal::fleet::Site;
-use elderstage_standin::host::DoorFault;
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::host::AddressFault;
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 const ALL_FAMILIES: [AddressFamily; 3] = [AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
 
@@ -23,7 +23,7 @@
 fn count_receipts(records: &[Record]) -> BTreeMap<String, u32> {
     let mut received = BTreeMap::new();
     for record in records {
-        if let Seen::Received { rid, task, .. } = &record.what
+        if let TrafficEvent::Received { rid, task, .. } = &record.what
             && task != "read"
         {
             let turn = rid.rsplit_once('/').map_or(rid.as_str(), |(turn, _)| turn);
@@ -42,12 +42,12 @@
 
 /// While one address works, every call is served whatever the fault of the others, and no turn reaches a writer
 /// twice.
-fn assert_served_despite(preferred: AddressFamily, fault: DoorFault) {
+fn assert_served_despite(preferred: AddressFamily, fault: AddressFault) {
     let cluster = TestCluster::start(set_families(&ALL_FAMILIES), "", "");
     cluster.set_fault(None, preferred, fault);
     serve_orders(&cluster, 4);
     // The fault is cleared and set again, so that it also hits connections that are in use or idle in the pool.
-    cluster.set_fault(None, preferred, DoorFault::None);
+    cluster.set_fault(None, preferred, AddressFault::None);
     cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing == 0);
     serve_orders(&cluster, 2);
     cluster.set_fault(None, preferred, fault);
@@ -59,31 +59,31 @@
 
 #[test]
 fn calls_survive_addresses_that_refuse_or_are_missing() {
-    assert_served_despite(AddressFamily::Unix, DoorFault::Missing);
-    assert_served_despite(AddressFamily::Unix, DoorFault::Refuses);
-    assert_served_despite(AddressFamily::V6, DoorFault::Refuses);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Missing);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Refuses);
+    assert_served_despite(AddressFamily::V6, AddressFault::Refuses);
 }
 
 #[test]
 fn calls_survive_addresses_that_drop_connects_silently() {
-    assert_served_despite(AddressFamily::Unix, DoorFault::Silent);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Silent);
 }
 
 #[test]
 fn calls_survive_addresses_that_accept_and_never_answer() {
-    assert_served_despite(AddressFamily::Unix, DoorFault::Stalls);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Stalls);
 }
 
 #[test]
 fn calls_survive_addresses_that_close_connections_at_once_or_on_a_request() {
-    assert_served_despite(AddressFamily::Unix, DoorFault::Closes);
-    assert_served_despite(AddressFamily::Unix, DoorFault::ClosesOnRequest);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Closes);
+    assert_served_despite(AddressFamily::Unix, AddressFault::ClosesOnRequest);
 }
 
 #[test]
 fn calls_survive_addresses_that_are_slow_or_do_not_support_100_continue() {
-    assert_served_despite(AddressFamily::Unix, DoorFault::Slow);
-    assert_served_despite(AddressFamily::Unix, DoorFault::Unexpected);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Slow);
+    assert_served_despite(AddressFamily::Unix, AddressFault::Unexpected);
 }
 
 /// IPv6 is preferred, and its addresses accept connections but never answer: orders go over IPv4, arrive once and
@@ -92,7 +92,7 @@
 fn orders_avoid_an_ipv6_address_that_accepts_and_stalls() {
     let cluster = TestCluster::start(set_families(&[AddressFamily::V6, AddressFamily::V4]), "", "");
     serve_orders(&cluster, 1);
-    cluster.set_fault(None, AddressFamily::V6, DoorFault::Stalls);
+    cluster.set_fault(None, AddressFamily::V6, AddressFault::Stalls);
     serve_orders(&cluster, 5);
     assert!(cluster.metric("elderstage_proofs_failed_total") > 0);
     let received = count_receipts(&cluster.finish_and_check());
@@ -102,7 +102,9 @@
 /// The engine answered 100 and got the body, so the order may have run and must not be sent again.
 #[test]
 fn an_order_whose_body_was_sent_fails_and_is_not_repeated() {
-    for fault in [DoorFault::StallsAfterContinue, DoorFault::StallsAfterHead, DoorFault::StallsInBody] {
+    for fault in
+        [AddressFault::StallsAfterContinue, AddressFault::StallsAfterHead, AddressFault::StallsInBody]
+    {
         let short_give_up = |site: &mut Site| {
             set_families(&[AddressFamily::V6, AddressFamily::V4])(site);
             site.rest = site.rest.replace("give-up 12s", "give-up 3s");
@@ -121,13 +123,13 @@
 fn calls_are_refused_with_retry_after_when_all_addresses_fail() {
     let cluster = TestCluster::start(set_families(&ALL_FAMILIES), "", "");
     for family in ALL_FAMILIES {
-        cluster.set_fault(None, family, DoorFault::Refuses);
+        cluster.set_fault(None, family, AddressFault::Refuses);
     }
     for route in ["ask", "order"] {
         let end = cluster.call(route, "anyone there").wait_for_end();
         assert!(matches!(end, CallEnd::Refused { retry_after_ms: Some(_), .. }), "{end:?}");
     }
-    cluster.set_fault(None, AddressFamily::V4, DoorFault::None);
+    cluster.set_fault(None, AddressFamily::V4, AddressFault::None);
     cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing <= 10);
     let records = cluster.finish_and_check();
     assert_eq!(count_receipts(&records).len(), 0);
@@ -137,7 +139,7 @@
 #[test]
 fn a_dead_address_family_is_reported_and_recovers() {
     let cluster = TestCluster::start(set_families(&[AddressFamily::V6, AddressFamily::V4]), "", "");
-    cluster.set_fault(None, AddressFamily::V6, DoorFault::Refuses);
+    cluster.set_fault(None, AddressFamily::V6, AddressFault::Refuses);
     let down = "elderstage_address_family_down{family=\"ipv6\"}";
     for _ in 0..40 {
         if cluster.metric(down) == 1 {
@@ -153,7 +155,7 @@
         failed_dials,
         "requests must not dial a family that is down"
     );
-    cluster.set_fault(None, AddressFamily::V6, DoorFault::None);
+    cluster.set_fault(None, AddressFamily::V6, AddressFault::None);
     cluster.wait_until_metric(down, |down| down == 0);
     cluster.wait_until_metric("elderstage_addresses_failing", |failing| failing == 0);
     assert!(cluster.metric("elderstage_address_trials_total") > 0);
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -9,7 +9,7 @@
 use elderstage_net::{NetError, connect};
 use elderstage_protocol::mcp;
 use elderstage_rehearsal::fleet::ANY_PORT;
-use elderstage_standin::peer::{Peer, Script};
+use elderstage_standin::peer::{PeerScript, ScriptedPeer};
 
 /// Sends raw bytes and returns the status and the body of the response.
 fn send_raw(cluster: &TestCluster, bytes: &[u8]) -> (u16, String) {
@@ -103,9 +103,9 @@
 }
 
 /// Starts a cluster whose only engine is a scripted peer.
-fn start_with_engine_peer(script: Script) -> (TestCluster, Peer) {
+fn start_with_engine_peer(script: PeerScript) -> (TestCluster, ScriptedPeer) {
     elderstage_net::init(2);
-    let peer = Peer::start(ANY_PORT, script).unwrap();
+    let peer = ScriptedPeer::start(ANY_PORT, script).unwrap();
     let addr = peer.addr();
     let cluster = TestCluster::with_config(
         |_| {},
@@ -153,14 +153,14 @@
     ];
     for (what, bytes, close) in scripts {
         // Each case has its own front, because a failure suspends the only engine for a while.
-        let (cluster, _peer) = start_with_engine_peer(Script { bytes, close });
+        let (cluster, _peer) = start_with_engine_peer(PeerScript { bytes, close });
         let end = cluster.call("order", "x").wait_for_end();
         assert!(matches!(end, CallEnd::Failed(_)), "{what}: {end:?}");
         assert_eq!(cluster.status().held, 0, "{what}");
         cluster.finish_and_check();
     }
     let valid = stream(&format!("{HELLO}{STOP}data: [DONE]\n\n"));
-    let (cluster, _peer) = start_with_engine_peer(Script { bytes: valid, close: true });
+    let (cluster, _peer) = start_with_engine_peer(PeerScript { bytes: valid, close: true });
     assert_eq!(cluster.call("order", "x").expect_served(), "hello ");
     cluster.finish_and_check();
 }
@@ -180,7 +180,8 @@
         ("closed", String::new()),
     ] {
         elderstage_net::init(2);
-        let peer = Peer::start(ANY_PORT, Script { bytes: bytes.into_bytes(), close: true }).unwrap();
+        let peer =
+            ScriptedPeer::start(ANY_PORT, PeerScript { bytes: bytes.into_bytes(), close: true }).unwrap();
         let addr = peer.addr();
         let cluster = TestCluster::with_config(
             |_| {},
@@ -198,7 +199,11 @@
 #[test]
 fn an_answer_over_the_length_limit_fails() {
     let cluster = TestCluster::start(
-        |site| site.kinds.iter_mut().for_each(|kind| (kind.spec.step, kind.spec.step_per_answer) = (150, 1)),
+        |site| {
+            site.kinds
+                .iter_mut()
+                .for_each(|kind| (kind.spec.step_time_us, kind.spec.step_time_per_answer_us) = (150, 1))
+        },
         "answer 1024",
         "",
     );
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -15,8 +15,8 @@
 use elderstage_rehearsal::fleet::{Fleet, Site, demo};
 use elderstage_rehearsal::play::figures;
 use elderstage_rehearsal::rules::{Figures, judge};
-use elderstage_standin::host::DoorFault;
-use elderstage_standin::traffic::{Log, Record, Writer};
+use elderstage_standin::host::AddressFault;
+use elderstage_standin::traffic::{Log, LogWriter, Record};
 use serde_json::{Value, json};
 
 /// Longest wait in a test. It is far longer than any wait takes, so that a busy machine does not make a test fail.
@@ -29,7 +29,7 @@
     pub addr: SocketAddr,
     pub dir: PathBuf,
     figures: Figures,
-    writer: Option<Writer>,
+    writer: Option<LogWriter>,
 }
 
 /// Creates an empty directory for one test.
@@ -78,7 +78,7 @@
         TestCluster::start(|_| {}, "", "")
     }
 
-    pub fn host(&self, name: &str) -> &elderstage_standin::host::Host {
+    pub fn host(&self, name: &str) -> &elderstage_standin::host::EngineHost {
         &self.fleet.hosts[name]
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Sets the fault of one engine's addresses of a family, or of all engines'.
-    pub fn set_fault(&self, engine: Option<&str>, family: AddressFamily, fault: DoorFault) {
+    pub fn set_fault(&self, engine: Option<&str>, family: AddressFamily, fault: AddressFault) {
         self.fleet.fault(engine, family, fault).unwrap();
     }
 
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -8,19 +8,19 @@
 use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
 use elderstage_net::{Conn, connect};
 use elderstage_protocol::{http, mcp};
-use elderstage_standin::host::{Control, Faults};
-use elderstage_standin::model::Ail;
+use elderstage_standin::host::{Control, SocketFaults};
+use elderstage_standin::model::EngineFault;
 use elderstage_standin::tool::ToolFault;
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 const ORDER: &str = "One bowl. [words 12][call place_order]";
 
-fn count_records(records: &[Record], is_match: impl Fn(&Seen) -> bool) -> usize {
+fn count_records(records: &[Record], is_match: impl Fn(&TrafficEvent) -> bool) -> usize {
     records.iter().filter(|record| is_match(&record.what)).count()
 }
 
 fn count_tool_runs(records: &[Record]) -> usize {
-    count_records(records, |seen| matches!(seen, Seen::ToolRan { effect: true, .. }))
+    count_records(records, |seen| matches!(seen, TrafficEvent::ToolRan { effect: true, .. }))
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let records = cluster.finish_and_check();
     assert_eq!(count_tool_runs(&records), 1);
     assert!(
-        count_records(&records, |seen| matches!(seen, Seen::StateTaken { .. })) >= 2,
+        count_records(&records, |seen| matches!(seen, TrafficEvent::StateTaken { .. })) >= 2,
         "writers must fetch the KV states"
     );
 }
@@ -53,7 +53,7 @@
 #[test]
 fn a_disconnected_client_ends_its_request_at_every_stage() {
     let hang = |cluster: &TestCluster, names: &[&str]| {
-        names.iter().for_each(|name| cluster.control(name, Control::Ail(Some(Ail::Hang))));
+        names.iter().for_each(|name| cluster.control(name, Control::EngineFault(Some(EngineFault::Hang))));
     };
     // During prefill, and during the transfer to a writer.
     for (hung, stage) in [(["r1", "r2", "m1"], "read"), (["w1", "w2", "m1"], "hand-over")] {
@@ -65,8 +65,10 @@
         call.disconnect();
         cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
         let records = cluster.finish_and_check();
-        let left = |seen: &Seen| matches!(seen, Seen::StateHeld { .. });
-        let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
+        let left = |seen: &TrafficEvent| matches!(seen, TrafficEvent::StateHeld { .. });
+        let freed = |seen: &TrafficEvent| {
+            matches!(seen, TrafficEvent::StateTaken { .. } | TrafficEvent::StateReleased { .. })
+        };
         assert!(
             count_records(&records, left) <= count_records(&records, freed),
             "{stage}: a KV state was not released"
@@ -92,11 +94,11 @@
     cluster.finish_and_check();
     // During the tool call.
     let cluster = TestCluster::start_default();
-    cluster.fleet.tools.fault(ToolFault::Slow(Duration::from_millis(600)));
+    cluster.fleet.tools.set_fault(ToolFault::Slow(Duration::from_millis(600)));
     let mut call = cluster.call("order", ORDER);
     call.wait_for_text();
     // The owner counts the call before it is made, so the test waits until the tool server has begun it.
-    cluster.wait_until("tool call", |_| cluster.fleet.tools.orders() == 1);
+    cluster.wait_until("tool call", |_| cluster.fleet.tools.order_count() == 1);
     call.disconnect();
     cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     assert_eq!(count_tool_runs(&cluster.finish_and_check()), 1);
@@ -108,18 +110,22 @@
         [ToolFault::Slow(Duration::from_secs(3)), ToolFault::Lost, ToolFault::Garbled, ToolFault::Error]
     {
         let cluster = TestCluster::start_default();
-        cluster.fleet.tools.fault(fault.clone());
+        cluster.fleet.tools.set_fault(fault.clone());
         let end = cluster.call("order", ORDER).wait_for_end();
         assert!(matches!(&end, CallEnd::Failed(why) if why.contains("tool")), "{fault:?}: {end:?}");
         let records = cluster.finish_and_check();
-        assert_eq!(count_records(&records, |seen| matches!(seen, Seen::ToolReceived { .. })), 1, "{fault:?}");
+        assert_eq!(
+            count_records(&records, |seen| matches!(seen, TrafficEvent::ToolReceived { .. })),
+            1,
+            "{fault:?}"
+        );
     }
 }
 
 #[test]
 fn a_tool_without_effect_is_retried_and_the_model_gets_its_error() {
     let cluster = TestCluster::start_default();
-    cluster.fleet.tools.fault(ToolFault::Lost);
+    cluster.fleet.tools.set_fault(ToolFault::Lost);
     let text = cluster.call("ask", "Any left? [words 4][call stock]").expect_served();
     assert!(text.contains("error: the tool gave no result"), "{text}");
     assert_eq!(cluster.status().counters.tool_retries, 1);
@@ -181,7 +187,7 @@
 fn a_client_that_does_not_read_does_not_delay_others() {
     let fast_engines = |site: &mut elderstage_rehearsal::fleet::Site| {
         for kind in &mut site.kinds {
-            (kind.spec.step, kind.spec.step_per_answer) = (150, 1);
+            (kind.spec.step_time_us, kind.spec.step_time_per_answer_us) = (150, 1);
         }
     };
     let cluster = TestCluster::with_config(fast_engines, "stall 500ms\nsend-buffer 8k", "", |text, _| {
@@ -240,14 +246,16 @@
 #[test]
 fn a_late_answer_to_an_abandoned_attempt_has_no_effect() {
     let cluster = TestCluster::start_default();
-    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::Ail(Some(Ail::Hang))));
+    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::EngineFault(Some(EngineFault::Hang))));
     let mut call = cluster.call("ask", "Patience. [words 5]");
     cluster.wait_until("given up", |status| status.counters.outcomes.contains_key("timed-out"));
-    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::Ail(None)));
+    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::EngineFault(None)));
     call.expect_served();
     let records = cluster.finish_and_check();
-    let states_held = count_records(&records, |seen| matches!(seen, Seen::StateHeld { .. }));
-    let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
+    let states_held = count_records(&records, |seen| matches!(seen, TrafficEvent::StateHeld { .. }));
+    let freed = |seen: &TrafficEvent| {
+        matches!(seen, TrafficEvent::StateTaken { .. } | TrafficEvent::StateReleased { .. })
+    };
     assert_eq!(states_held, count_records(&records, freed));
 }
 
@@ -255,7 +263,14 @@
 fn an_order_fails_when_its_writer_dies_in_the_stream() {
     let cluster = TestCluster::start_default();
     for name in ["w1", "w2", "m1"] {
-        cluster.control(name, Control::Faults(Faults { break_next: 1, break_after: 3, ..Faults::default() }));
+        cluster.control(
+            name,
+            Control::SocketFaults(SocketFaults {
+                streams_to_break: 1,
+                break_after_tokens: 3,
+                ..SocketFaults::default()
+            }),
+        );
     }
     let end = cluster.call("order", "A bowl. [words 50]").wait_for_end();
     assert!(matches!(&end, CallEnd::Failed(why) if why.contains("stream broke")), "{end:?}");
@@ -280,6 +295,6 @@
     cluster.control("r2", Control::Kill);
     cluster.call("ask", "And now? [words 3]").expect_served();
     let records = cluster.finish_and_check();
-    let received = records.iter().rev().filter(|r| matches!(r.what, Seen::Received { .. })).take(10);
+    let received = records.iter().rev().filter(|r| matches!(r.what, TrafficEvent::Received { .. })).take(10);
     assert!(received.clone().count() == 10 && received.clone().all(|record| record.who != "r1"));
 }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -13,7 +13,7 @@
 use elderstage_protocol::http::BodyDecoder;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{mcp, sse};
-use elderstage_standin::traffic::{Log, Seen};
+use elderstage_standin::traffic::{Log, TrafficEvent};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -350,7 +350,7 @@
         }
         let started = Instant::now();
         let total = timeout.total.as_micros() as u64;
-        let log = |event| self.log.see(LOG_SOURCE, event);
+        let log = |event| self.log.record(LOG_SOURCE, event);
         let request = InFlightRequest {
             addr: front.addr,
             session: front.session.clone(),
@@ -358,7 +358,12 @@
             behavior: planned.behavior,
         };
         lock(&self.in_flight).insert(rid.into(), request);
-        log(Seen::Sent { rid: rid.into(), class: timeout.class.clone(), front: front.name.clone(), total });
+        log(TrafficEvent::Sent {
+            rid: rid.into(),
+            class: timeout.class.clone(),
+            front: front.name.clone(),
+            total,
+        });
         let to = EndpointPath::new(front.addr, "/mcp");
         let sent = send(&mut conn, "POST", &to, &headers, body.as_bytes());
         let end = match sent {
@@ -367,7 +372,7 @@
         };
         lock(&self.in_flight).remove(rid);
         match &end {
-            RequestEnd::Lost => log(Seen::Lost { rid: rid.into() }),
+            RequestEnd::Lost => log(TrafficEvent::Lost { rid: rid.into() }),
             RequestEnd::Left | RequestEnd::Missing => {}
             RequestEnd::Served | RequestEnd::Refused(_) | RequestEnd::Failed
                 if planned.behavior == ClientBehavior::ReadToEnd =>
@@ -391,7 +396,7 @@
         started: Instant,
         timeout: &RouteTimeout,
     ) -> RequestEnd {
-        let log = |event| self.log.see(LOG_SOURCE, event);
+        let log = |event| self.log.record(LOG_SOURCE, event);
         let deadline = started + timeout.total + ANSWER_GRACE;
         let (mut read_until, mut is_cancelled) = match planned.behavior {
             ClientBehavior::Disconnect(after) | ClientBehavior::Cancel(after) => (started + after, false),
@@ -416,7 +421,7 @@
                 Ok(false) => return RequestEnd::Lost,
                 Err(NetError::TimedOut) if read_until < deadline => match planned.behavior {
                     ClientBehavior::Disconnect(_) => {
-                        log(Seen::Left { rid: rid.into() });
+                        log(TrafficEvent::Left { rid: rid.into() });
                         return RequestEnd::Left;
                     }
                     _ => {
@@ -436,7 +441,7 @@
                     Ok(Message::Notification { params, .. }) => {
                         if first.is_none() {
                             first = Some(started.elapsed());
-                            log(Seen::First { rid: rid.into() });
+                            log(TrafficEvent::First { rid: rid.into() });
                             if let ClientBehavior::PauseReading(time) = planned.behavior {
                                 sleep(time);
                             }
@@ -482,7 +487,10 @@
                 }
             }
         };
-        self.log.see(LOG_SOURCE, Seen::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms });
+        self.log.record(
+            LOG_SOURCE,
+            TrafficEvent::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms },
+        );
         if matches!(end, RequestEnd::Served) {
             let mut tallies = lock(&self.tallies);
             let tally = tallies.entry(planned.route.clone()).or_insert_with(RouteTally::new);
@@ -505,7 +513,7 @@
             return;
         };
         let Some(session) = session else { return };
-        self.log.see(LOG_SOURCE, Seen::Left { rid: rid.into() });
+        self.log.record(LOG_SOURCE, TrafficEvent::Left { rid: rid.into() });
         let body = jsonrpc::notification("notifications/cancelled", json!({"requestId": id}));
         let to = EndpointPath::new(addr, "/mcp");
         let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -9,8 +9,8 @@
     ConfigError, ConfigErrors, Directive, Position, parse_directives, parse_number, parse_time,
 };
 use elderstage_protocol::place::AddressFamily;
-use elderstage_standin::host::DoorFault;
-use elderstage_standin::model::{Role, Spec};
+use elderstage_standin::host::AddressFault;
+use elderstage_standin::model::{EngineSpec, Role};
 use elderstage_standin::tool::ToolFault;
 
 use crate::fleet::{CLASSES, Engine, Kind, Site};
@@ -56,7 +56,7 @@
         /// Family of the address.
         way: AddressFamily,
         /// The fault, or [`DoorFault::None`] to end it.
-        fault: DoorFault,
+        fault: AddressFault,
     },
     /// No traffic passes between this zone and the others.
     Cut(String, bool),
@@ -227,7 +227,7 @@
 
     fn kind(&mut self, directive: &Directive) -> Kind {
         let name = self.word(directive, 0);
-        let mut spec = Spec::default();
+        let mut spec = EngineSpec::default();
         for line in directive.body.iter().flatten() {
             match line.name.as_str() {
                 "role" => match self.word(line, 0).as_str() {
@@ -236,18 +236,18 @@
                     "mixed" => spec.role = Role::Mixed,
                     _ => self.add_error(line.position, "role: expected prefill, decode or mixed"),
                 },
-                "slots" => spec.slots = self.number(line, 0) as usize,
-                "queue" => spec.queue = self.number(line, 0) as usize,
+                "slots" => spec.max_running = self.number(line, 0) as usize,
+                "queue" => spec.max_waiting = self.number(line, 0) as usize,
                 "kv-tokens" => spec.kv_tokens = self.number(line, 0) as u64,
-                "kept-tokens" => spec.kept_tokens = self.number(line, 0) as u64,
-                "read-per-s" => spec.read_per_s = self.number(line, 0).max(1.0),
-                "step" => spec.step = self.time(line, 0),
-                "step-per-answer" => spec.step_per_answer = self.time(line, 0),
-                "chunk" => spec.chunk = self.number(line, 0).max(1.0) as u64,
-                "cold-from" => spec.cold_from = self.number(line, 0).clamp(0.01, 1.0),
-                "cold-for" => spec.cold_for = self.time(line, 0),
-                "fall-multiple" => spec.fall_multiple = self.number(line, 0),
-                "tip-after" => spec.tip_after = self.time(line, 0),
+                "kept-tokens" => spec.prefix_cache_tokens = self.number(line, 0) as u64,
+                "read-per-s" => spec.read_tokens_per_s = self.number(line, 0).max(1.0),
+                "step" => spec.step_time_us = self.time(line, 0),
+                "step-per-answer" => spec.step_time_per_answer_us = self.time(line, 0),
+                "chunk" => spec.max_tokens_per_step = self.number(line, 0).max(1.0) as u64,
+                "cold-from" => spec.cold_start_share = self.number(line, 0).clamp(0.01, 1.0),
+                "cold-for" => spec.cold_duration = self.time(line, 0),
+                "fall-multiple" => spec.overload_multiple = self.number(line, 0),
+                "tip-after" => spec.overload_window = self.time(line, 0),
                 other => self.add_error(line.position, format!("unknown directive {other} in kind {name}")),
             }
         }
@@ -352,7 +352,7 @@
         let period = period.max(MIN_FLAP_PERIOD_US);
         for begin in (start..start + duration).step_by(period as usize) {
             steps.push((Duration::from_micros(begin), step(fault)));
-            steps.push((Duration::from_micros(begin + period / 2), step(DoorFault::None)));
+            steps.push((Duration::from_micros(begin + period / 2), step(AddressFault::None)));
         }
         true
     }
@@ -394,21 +394,21 @@
         .find(|family| family.to_string() == word)
 }
 
-fn parse_address_fault(word: &str) -> Option<DoorFault> {
+fn parse_address_fault(word: &str) -> Option<AddressFault> {
     Some(match word {
-        "well" => DoorFault::None,
-        "refuses" => DoorFault::Refuses,
-        "silent" => DoorFault::Silent,
-        "stalls" => DoorFault::Stalls,
-        "closes" => DoorFault::Closes,
-        "closes-on-request" => DoorFault::ClosesOnRequest,
-        "stalls-after-head" => DoorFault::StallsAfterHead,
-        "stalls-in-body" => DoorFault::StallsInBody,
-        "stalls-after-continue" => DoorFault::StallsAfterContinue,
-        "slow" => DoorFault::Slow,
-        "missing" => DoorFault::Missing,
-        "denied" => DoorFault::Denied,
-        "unexpected" => DoorFault::Unexpected,
+        "well" => AddressFault::None,
+        "refuses" => AddressFault::Refuses,
+        "silent" => AddressFault::Silent,
+        "stalls" => AddressFault::Stalls,
+        "closes" => AddressFault::Closes,
+        "closes-on-request" => AddressFault::ClosesOnRequest,
+        "stalls-after-head" => AddressFault::StallsAfterHead,
+        "stalls-in-body" => AddressFault::StallsInBody,
+        "stalls-after-continue" => AddressFault::StallsAfterContinue,
+        "slow" => AddressFault::Slow,
+        "missing" => AddressFault::Missing,
+        "denied" => AddressFault::Denied,
+        "unexpected" => AddressFault::Unexpected,
         _ => return None,
     })
 }
@@ -445,7 +445,7 @@
         ["address", engine, way, fault] => {
             let engine = (*engine != "*").then(|| name(engine));
             let (way, fault) = (parse_family(way)?, parse_address_fault(fault)?);
-            let end_step = Step::Address { engine: engine.clone(), way, fault: DoorFault::None };
+            let end_step = Step::Address { engine: engine.clone(), way, fault: AddressFault::None };
             (Step::Address { engine, way, fault }, Some(end_step))
         }
         ["cut", zone] => (Step::Cut(name(zone), true), Some(Step::Cut(name(zone), false))),
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -11,8 +11,8 @@
 
 use elderstage_net::Endpoint;
 use elderstage_protocol::place::AddressFamily;
-use elderstage_standin::host::{Control, DoorFault, Host, Options};
-use elderstage_standin::model::{Role, Spec};
+use elderstage_standin::host::{AddressFault, Control, EngineHost, HostOptions};
+use elderstage_standin::model::{EngineSpec, Role};
 use elderstage_standin::tool::ToolServer;
 use elderstage_standin::traffic::Log;
 
@@ -22,7 +22,7 @@
     /// Its name in the configuration.
     pub name: String,
     /// Capacity and speed of the stand-in.
-    pub spec: Spec,
+    pub spec: EngineSpec,
 }
 
 /// One engine to start.
@@ -60,7 +60,7 @@
     /// What it was started from.
     pub site: Site,
     /// The engines by name.
-    pub hosts: BTreeMap<String, Host>,
+    pub hosts: BTreeMap<String, EngineHost>,
     /// The tool server.
     pub tools: ToolServer,
     /// State of each server in the first server list.
@@ -101,23 +101,23 @@
         let mut hosts = BTreeMap::new();
         let dir = create_socket_dir()?;
         for engine in &site.engines {
-            let options = Options {
+            let options = HostOptions {
                 name: engine.name.clone(),
                 spec: site.kinds[engine.kind].spec.clone(),
                 listen: ANY_PORT,
                 zone: engine.zone.clone(),
                 cell: engine.cell,
-                links: site.link_tokens_per_s,
-                also: additional_places(engine, &dir)?,
+                link_tokens_per_s: site.link_tokens_per_s,
+                additional_endpoints: additional_places(engine, &dir)?,
             };
-            hosts.insert(engine.name.clone(), Host::start(options, false, log.clone())?);
+            hosts.insert(engine.name.clone(), EngineHost::start(options, false, log.clone())?);
         }
         let tools = ToolServer::start("tools", ANY_PORT, true, log.clone())?;
         let listed = hosts.keys().map(|name| (name.clone(), "running")).collect();
         Ok(Fleet { site, hosts, tools, listed, dir })
     }
 
-    /// Index of the engine's first place of this family, as [`Control::Door`] takes it.
+    /// Index of the engine's first place of this family, as [`Control::AddressFault`] takes it.
     pub fn place_index(&self, engine: &str, family: AddressFamily) -> Option<usize> {
         self.hosts.get(engine)?.listen_endpoints().iter().position(|endpoint| endpoint.family() == family)
     }
@@ -127,13 +127,13 @@
         &self,
         engine: Option<&str>,
         family: AddressFamily,
-        fault: DoorFault,
+        fault: AddressFault,
     ) -> std::io::Result<()> {
         for (name, host) in &self.hosts {
             if engine.is_none_or(|engine| engine == name)
                 && let Some(index) = self.place_index(name, family)
             {
-                host.control(Control::Door(index, fault))?;
+                host.control(Control::AddressFault(index, fault))?;
             }
         }
         Ok(())
@@ -141,7 +141,7 @@
 
     /// The engine's addresses in the order of preference, as the server list has them.
     fn addresses(&self, engine: &Engine) -> String {
-        let endpoints = self.hosts.get(&engine.name).map(Host::listen_endpoints).unwrap_or_default();
+        let endpoints = self.hosts.get(&engine.name).map(EngineHost::listen_endpoints).unwrap_or_default();
         let address = |family: &AddressFamily| {
             endpoints.iter().find(|endpoint| endpoint.family() == *family).map(ToString::to_string)
         };
@@ -199,7 +199,7 @@
 
     /// Stops all engines and the tool server.
     pub fn stop(&self) {
-        self.hosts.values().for_each(Host::stop);
+        self.hosts.values().for_each(EngineHost::stop);
         self.tools.kill();
         // The directory holds only the sockets of this run.
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -251,9 +251,20 @@
     Site {
         zones: vec!["a".into()],
         kinds: vec![
-            kind("reader", Spec { role: Role::Prefill, slots: 8, ..Spec::default() }),
-            kind("writer", Spec { role: Role::Decode, read_per_s: 7_000.0, slots: 96, ..Spec::default() }),
-            kind("mixed", Spec { role: Role::Mixed, read_per_s: 10_000.0, ..Spec::default() }),
+            kind("reader", EngineSpec { role: Role::Prefill, max_running: 8, ..EngineSpec::default() }),
+            kind(
+                "writer",
+                EngineSpec {
+                    role: Role::Decode,
+                    read_tokens_per_s: 7_000.0,
+                    max_running: 96,
+                    ..EngineSpec::default()
+                },
+            ),
+            kind(
+                "mixed",
+                EngineSpec { role: Role::Mixed, read_tokens_per_s: 10_000.0, ..EngineSpec::default() },
+            ),
         ],
         engines: vec![engine("r1", 0), engine("r2", 0), engine("w1", 1), engine("w2", 1), engine("m1", 2)],
         rest: CLASSES.into(),
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -20,7 +20,7 @@
 use elderstage_protocol::jsonrpc::{self, Id};
 use elderstage_protocol::place::AddressFamily;
 use elderstage_protocol::{mcp, sse};
-use elderstage_standin::model::{Role, Spec};
+use elderstage_standin::model::{EngineSpec, Role};
 use elderstage_standin::traffic::Log;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -90,7 +90,7 @@
 }
 
 /// A site in one zone with these kinds of engines, and this many engines of each.
-fn build_site(kinds: Vec<(Role, usize, Spec)>, extra_directives: String) -> Site {
+fn build_site(kinds: Vec<(Role, usize, EngineSpec)>, extra_directives: String) -> Site {
     let mut site = Site {
         zones: vec!["a".into()],
         kinds: Vec::new(),
@@ -99,7 +99,7 @@
         link_tokens_per_s: [50_000_000.0; 3],
     };
     for (kind, (role, count, spec)) in kinds.into_iter().enumerate() {
-        site.kinds.push(Kind { name: format!("k{kind}"), spec: Spec { role, ..spec } });
+        site.kinds.push(Kind { name: format!("k{kind}"), spec: EngineSpec { role, ..spec } });
         let engine = |n| Engine {
             name: format!("k{kind}-{n}"),
             kind,
@@ -193,10 +193,15 @@
 /// Time to first token at `rate` requests a second, half of them sent directly and half through the front.
 pub fn first_token(program: &Path, rate: f64, seconds: u64) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let fast =
-        Spec { read_per_s: 4e6, step: 1_000, step_per_answer: 2, kv_tokens: 4_000_000, ..Spec::default() };
-    let reader = Spec { slots: 64, queue: 512, ..fast.clone() };
-    let writer = Spec { slots: 512, queue: 512, ..fast };
+    let fast = EngineSpec {
+        read_tokens_per_s: 4e6,
+        step_time_us: 1_000,
+        step_time_per_answer_us: 2,
+        kv_tokens: 4_000_000,
+        ..EngineSpec::default()
+    };
+    let reader = EngineSpec { max_running: 64, max_waiting: 512, ..fast.clone() };
+    let writer = EngineSpec { max_running: 512, max_waiting: 512, ..fast };
     let fleet = Fleet::start(
         build_site(vec![(Role::Prefill, 4, reader), (Role::Decode, 4, writer)], CLASSES.into()),
         &Log::none(),
@@ -437,8 +442,10 @@
     let relay_dir = create_temp_dir()?;
     let target = source.to_string();
     let relay = spawn_process(program, &["measure", "relay-process", "--target", &target], relay_dir)?;
-    let fleet =
-        Fleet::start(build_site(vec![(Role::Mixed, 1, Spec::default())], CLASSES.into()), &Log::none())?;
+    let fleet = Fleet::start(
+        build_site(vec![(Role::Mixed, 1, EngineSpec::default())], CLASSES.into()),
+        &Log::none(),
+    )?;
     let dir = create_temp_dir()?;
     // The list has the source as one engine for each stream, so that no stream waits for a slot.
     let entry = |n| format!("server k0-{n} {{\n address {source}\n kind k0\n zone a\n}}\n");
@@ -488,16 +495,16 @@
 /// Opens `streams` streams on one front and measures the memory of each, and how many were served.
 pub fn open_streams(program: &Path, streams: usize) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let spec = Spec {
-        slots: streams,
-        queue: streams,
+    let spec = EngineSpec {
+        max_running: streams,
+        max_waiting: streams,
         kv_tokens: 100_000_000,
-        read_per_s: 2e7,
-        step: 400_000,
-        step_per_answer: 1,
-        ..Spec::default()
+        read_tokens_per_s: 2e7,
+        step_time_us: 400_000,
+        step_time_per_answer_us: 1,
+        ..EngineSpec::default()
     };
-    let reader = Spec { step: 1_000, ..spec.clone() };
+    let reader = EngineSpec { step_time_us: 1_000, ..spec.clone() };
     let kinds = vec![(Role::Prefill, 6, reader), (Role::Decode, 8, spec)];
     // Only memory is measured. The limits on the first token are long, so that nothing is refused.
     let long_classes =
@@ -650,11 +657,15 @@
 /// of address. Both connections take turns in each round; figures are medians.
 pub fn connects(rounds: u32) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let mut site = build_site(vec![(Role::Mixed, 1, Spec::default())], CLASSES.into());
+    let mut site = build_site(vec![(Role::Mixed, 1, EngineSpec::default())], CLASSES.into());
     site.engines[0].ways = vec![AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
     let fleet = Fleet::start(site, &Log::none())?;
-    let endpoints =
-        fleet.hosts.values().next().map(elderstage_standin::host::Host::listen_endpoints).unwrap_or_default();
+    let endpoints = fleet
+        .hosts
+        .values()
+        .next()
+        .map(elderstage_standin::host::EngineHost::listen_endpoints)
+        .unwrap_or_default();
     let mut kinds = serde_json::Map::new();
     for endpoint in endpoints {
         let (name, rounds) = (endpoint.family().to_string(), (rounds / 20).max(20));
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -15,8 +15,8 @@
 use crossbeam_channel::{Receiver, unbounded};
 use elderstage_config::{Config, RepeatName};
 use elderstage_standin::host::Control;
-use elderstage_standin::model::Ail;
-use elderstage_standin::traffic::{Log, Record, Seen};
+use elderstage_standin::model::EngineFault;
+use elderstage_standin::traffic::{Log, Record, TrafficEvent};
 use thiserror::Error;
 
 use crate::clients::{Clients, FrontTarget, RouteTimeout, lock, plan_requests};
@@ -169,9 +169,9 @@
         std::thread::spawn(move || {
             for (at, step) in steps {
                 std::thread::sleep((started + at).saturating_duration_since(Instant::now()));
-                state.log.see("hand", Seen::Fault { what: format!("{step:?}") });
+                state.log.record("hand", TrafficEvent::Fault { what: format!("{step:?}") });
                 if let Err(error) = state.apply_step(&step) {
-                    state.log.see("hand", Seen::Fault { what: error.to_string() });
+                    state.log.record("hand", TrafficEvent::Fault { what: error.to_string() });
                     state.is_clean.store(false, Ordering::SeqCst);
                 }
             }
@@ -247,7 +247,7 @@
             .and_then(|()| std::fs::rename(&part, &path))
             .map_err(io(path.display().to_string()))?;
         let servers = listed.iter().map(|(name, state)| (name.clone(), (*state).to_owned())).collect();
-        self.log.see("hand", Seen::Listed { servers });
+        self.log.record("hand", TrafficEvent::Listed { servers });
         Ok(())
     }
 
@@ -295,7 +295,7 @@
         };
         let session =
             Clients::initialize(addr).map_err(|_| PlayError::FrontNotStarted(name.clone(), log_path))?;
-        self.log.see("hand", Seen::Front { front: name.clone(), what: "started".into() });
+        self.log.record("hand", TrafficEvent::Front { front: name.clone(), what: "started".into() });
         Ok(FrontTarget { name: name.clone(), addr, session, is_enabled: true })
     }
 
@@ -316,7 +316,8 @@
         let name = &self.fronts[index].name;
         let running = lock(&self.running);
         if let Some(process) = running.iter().rev().find(|process| process.name == *name) {
-            self.log.see("hand", Seen::Front { front: name.clone(), what: "told to drain".into() });
+            self.log
+                .record("hand", TrafficEvent::Front { front: name.clone(), what: "told to drain".into() });
             if let Some(pid) = rustix::process::Pid::from_raw(process.child.id() as i32) {
                 let term = rustix::process::Signal::TERM;
                 rustix::process::kill_process(pid, term).map_err(|error| io(name.clone())(error.into()))?;
@@ -330,7 +331,8 @@
         lock(&self.running).retain_mut(|process| match process.child.try_wait() {
             Ok(Some(status)) => {
                 let what = if status.code().is_some() { "ended" } else { "killed" };
-                self.log.see("hand", Seen::Front { front: process.name.clone(), what: what.into() });
+                self.log
+                    .record("hand", TrafficEvent::Front { front: process.name.clone(), what: what.into() });
                 // Exit code 0: all requests had ended when the front stopped. 3: some had to be aborted. Any other
                 // code is a crash.
                 if !matches!(status.code(), None | Some(0 | 3)) {
@@ -356,12 +358,12 @@
     fn change_faults(
         &self,
         engine: &str,
-        change: impl Fn(&mut elderstage_standin::host::Faults),
+        change: impl Fn(&mut elderstage_standin::host::SocketFaults),
     ) -> Result<(), PlayError> {
         let Some(host) = self.fleet.hosts.get(engine) else { return Ok(()) };
         let mut faults = host.faults();
         change(&mut faults);
-        host.control(Control::Faults(faults)).map_err(io(engine))
+        host.control(Control::SocketFaults(faults)).map_err(io(engine))
     }
 
     /// Starts an engine, and writes a server list with its new start time.
@@ -373,19 +375,25 @@
     /// Applies one step of the script.
     fn apply_step(self: &Arc<Self>, step: &Step) -> Result<(), PlayError> {
         match step {
-            Step::Hang(engine) => self.control(engine, Control::Ail(Some(Ail::Hang))),
-            Step::Slow(engine, times) => self.control(engine, Control::Ail(Some(Ail::Slow(*times)))),
+            Step::Hang(engine) => self.control(engine, Control::EngineFault(Some(EngineFault::Hang))),
+            Step::Slow(engine, times) => {
+                self.control(engine, Control::EngineFault(Some(EngineFault::Slow(*times))))
+            }
             Step::Unanswered(engine, class) => {
-                self.control(engine, Control::Ail(Some(Ail::ClassUnanswered(class.clone()))))
+                self.control(engine, Control::EngineFault(Some(EngineFault::ClassUnanswered(class.clone()))))
             }
-            Step::Well(engine) => self.control(engine, Control::Ail(None)),
-            Step::Flush(engine) => self.control(engine, Control::Flush),
+            Step::Well(engine) => self.control(engine, Control::EngineFault(None)),
+            Step::Flush(engine) => self.control(engine, Control::ClearPrefixCache),
             Step::Kill(engine) => self.control(engine, Control::Kill),
             Step::Start { engine, cold } => self.start_engine(engine, *cold),
-            Step::Full(engine, on) => self.change_faults(engine, |faults| faults.full = *on),
-            Step::TableFull(engine, on) => self.change_faults(engine, |faults| faults.table_full = *on),
-            Step::Freeze(engine, on) => self.change_faults(engine, |faults| faults.frozen = *on),
-            Step::Handshake(engine, time) => self.change_faults(engine, |faults| faults.handshake = *time),
+            Step::Full(engine, on) => self.change_faults(engine, |faults| faults.rejects_as_full = *on),
+            Step::TableFull(engine, on) => {
+                self.change_faults(engine, |faults| faults.closes_new_connections = *on)
+            }
+            Step::Freeze(engine, on) => self.change_faults(engine, |faults| faults.reports_frozen = *on),
+            Step::Handshake(engine, time) => {
+                self.change_faults(engine, |faults| faults.handshake_delay = *time)
+            }
             Step::Address { engine, way, fault } => {
                 self.fleet.fault(engine.as_deref(), *way, *fault).map_err(io("address"))
             }
@@ -397,29 +405,29 @@
                         });
                     let others: Vec<String> = others.cloned().collect();
                     self.change_faults(&engine.name, |faults| {
-                        faults.cut = if *on { others.clone() } else { Vec::new() };
+                        faults.partitioned_zones = if *on { others.clone() } else { Vec::new() };
                     })?;
                 }
                 Ok(())
             }
             Step::Break { engine, streams, after } => self.change_faults(engine, |faults| {
-                (faults.break_next, faults.break_after) = (*streams, *after);
+                (faults.streams_to_break, faults.break_after_tokens) = (*streams, *after);
             }),
             Step::SlowLinks(times) => {
                 for engine in &self.fleet.site.engines {
-                    self.change_faults(&engine.name, |faults| faults.slow_links = *times)?;
+                    self.change_faults(&engine.name, |faults| faults.link_slowdown = *times)?;
                 }
                 Ok(())
             }
             Step::Tool(fault) => {
-                self.fleet.tools.fault(fault.clone());
+                self.fleet.tools.set_fault(fault.clone());
                 Ok(())
             }
             Step::ToolKill => {
                 self.fleet.tools.kill();
                 Ok(())
             }
-            Step::ToolStart => self.fleet.tools.revive().map_err(io("tool server")),
+            Step::ToolStart => self.fleet.tools.restart().map_err(io("tool server")),
             Step::List(server, state) => {
                 lock(&self.listed).insert(server.clone(), state);
                 self.write_list()
@@ -440,7 +448,8 @@
                 let mut running = lock(&self.running);
                 if let Some(at) = running.iter().rposition(|process| process.name == *name) {
                     let mut process = running.remove(at);
-                    self.log.see("hand", Seen::Front { front: name.clone(), what: "killed".into() });
+                    self.log
+                        .record("hand", TrafficEvent::Front { front: name.clone(), what: "killed".into() });
                     process.child.kill().and_then(|()| process.child.wait()).map_err(io(name.clone()))?;
                 }
                 Ok(())
@@ -465,15 +474,15 @@
         let mut had_tool_effect: HashSet<String> = HashSet::new();
         while let Ok(record) = records_seen.recv() {
             match &record.what {
-                Seen::ToolReceived { rid, .. } => {
+                TrafficEvent::ToolReceived { rid, .. } => {
                     self.clients.on_tool_call(crate::rules::client_request_id(rid))
                 }
-                Seen::ToolRan { rid, effect: true, .. }
+                TrafficEvent::ToolRan { rid, effect: true, .. }
                     if self.kill_after_tool.load(Ordering::SeqCst) > 0 =>
                 {
                     had_tool_effect.insert(crate::rules::client_request_id(rid).to_owned());
                 }
-                Seen::Received { rid, task, .. }
+                TrafficEvent::Received { rid, task, .. }
                     if task != "read" && had_tool_effect.remove(crate::rules::client_request_id(rid)) =>
                 {
                     self.kill_writer(&record.who);
@@ -490,7 +499,7 @@
             return;
         }
         self.kill_after_tool.store(remaining - 1, Ordering::SeqCst);
-        self.log.see("hand", Seen::Fault { what: format!("{engine} dies after a tool call") });
+        self.log.record("hand", TrafficEvent::Fault { what: format!("{engine} dies after a tool call") });
         let kill_result = self.control(engine, Control::Kill);
         let (state, engine) = (self.clone(), engine.to_owned());
         std::thread::spawn(move || {
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 use comfy_table::{Cell, CellAlignment, ContentArrangement, Table, presets};
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 use serde_json::{Value, json};
 
 use crate::clients::RouteTally;
@@ -52,17 +52,17 @@
         let (mut orders_placed, mut faults) = (0, 0);
         for record in records {
             match &record.what {
-                Seen::Final { rid, outcome, .. } if outcome == "served" => {
+                TrafficEvent::Final { rid, outcome, .. } if outcome == "served" => {
                     served.insert(rid.as_str());
                 }
-                Seen::ToolRan { effect: true, .. } => orders_placed += 1,
-                Seen::Fault { .. } => faults += 1,
+                TrafficEvent::ToolRan { effect: true, .. } => orders_placed += 1,
+                TrafficEvent::Fault { .. } => faults += 1,
                 _ => {}
             }
         }
         let (mut total_work, mut wasted_work) = (0.0, 0.0);
         for record in records {
-            if let Seen::Received { rid, work: amount, .. } = &record.what {
+            if let TrafficEvent::Received { rid, work: amount, .. } = &record.what {
                 total_work += amount;
                 wasted_work += if served.contains(client_request_id(rid)) { 0.0 } else { *amount };
             }
--- a/crates/rehearsal/src/rules/answered.rs
+++ b/crates/rehearsal/src/rules/answered.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 use super::{Figures, Verdict, client_request_id, kill_times};
 
@@ -33,22 +33,22 @@
     let mut exit_times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
         match &record.what {
-            Seen::Sent { rid, front, total, .. } => {
+            TrafficEvent::Sent { rid, front, total, .. } => {
                 let request =
                     Request { front, sent_at: record.at, answer_timeout: *total, ..Request::default() };
                 requests.insert(rid, request);
             }
-            Seen::Final { rid, .. } => {
+            TrafficEvent::Final { rid, .. } => {
                 requests.entry(rid).or_default().final_answers.push(record.at);
             }
-            Seen::Left { rid } => requests.entry(rid).or_default().left_at = Some(record.at),
-            Seen::Lost { rid } => requests.entry(rid).or_default().lost_at = Some(record.at),
-            Seen::Received { rid, .. } | Seen::ToolReceived { rid, .. } => {
+            TrafficEvent::Left { rid } => requests.entry(rid).or_default().left_at = Some(record.at),
+            TrafficEvent::Lost { rid } => requests.entry(rid).or_default().lost_at = Some(record.at),
+            TrafficEvent::Received { rid, .. } | TrafficEvent::ToolReceived { rid, .. } => {
                 if let Some(request) = requests.get_mut(client_request_id(rid)) {
                     request.last_received_at = Some(record.at);
                 }
             }
-            Seen::Front { front, what } if what == "ended" => {
+            TrafficEvent::Front { front, what } if what == "ended" => {
                 exit_times.entry(front).or_default().push(record.at)
             }
             _ => {}
--- a/crates/rehearsal/src/rules/cold.rs
+++ b/crates/rehearsal/src/rules/cold.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 use super::{Figures, Verdict};
 
@@ -35,7 +35,13 @@
     for record in records {
         let source = record.who.as_str();
         match &record.what {
-            Seen::Up { cold: true, cold_from, cold_for, fall_multiple, tip_after } => {
+            TrafficEvent::Up {
+                cold: true,
+                cold_start_share: cold_from,
+                cold_duration: cold_for,
+                overload_multiple: fall_multiple,
+                overload_window: tip_after,
+            } => {
                 verdict.cases_judged += 1;
                 let server = ColdServer {
                     started_at: record.at,
@@ -49,10 +55,10 @@
                 };
                 cold_servers.insert(source, server);
             }
-            Seen::Up { cold: false, .. } | Seen::Down => {
+            TrafficEvent::Up { cold: false, .. } | TrafficEvent::Down => {
                 cold_servers.remove(source);
             }
-            Seen::Listed { servers } => {
+            TrafficEvent::Listed { servers } => {
                 for (name, state) in servers {
                     if let Some(server) = cold_servers.get_mut(name.as_str())
                         && state == "running"
@@ -61,8 +67,8 @@
                     }
                 }
             }
-            Seen::FellOver => verdict.add_violation(record.at, source, "the server fell over"),
-            Seen::Received { work, .. } => {
+            TrafficEvent::FellOver => verdict.add_violation(record.at, source, "the server fell over"),
+            TrafficEvent::Received { work, .. } => {
                 let Some(server) = cold_servers.get_mut(source) else { continue };
                 let age = record.at.saturating_sub(server.started_at);
                 if age > server.warmup_us {
--- a/crates/rehearsal/src/rules/drains.rs
+++ b/crates/rehearsal/src/rules/drains.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 use super::{Figures, Verdict};
 
@@ -14,7 +14,7 @@
     let mut closed_since: BTreeMap<&str, u64> = BTreeMap::new();
     for record in records {
         match &record.what {
-            Seen::Listed { servers } => {
+            TrafficEvent::Listed { servers } => {
                 for (server, state) in servers {
                     if state == "running" {
                         closed_since.remove(server.as_str());
@@ -24,7 +24,7 @@
                     }
                 }
             }
-            Seen::Received { rid, .. } => {
+            TrafficEvent::Received { rid, .. } => {
                 if let Some(since) = closed_since.get(record.who.as_str())
                     && record.at > since + figures.drain_grace_us
                 {
--- a/crates/rehearsal/src/rules/effects.rs
+++ b/crates/rehearsal/src/rules/effects.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 use super::{Figures, RepeatPolicy, Verdict, client_request_id, proves_not_run, turn_id};
 
@@ -32,43 +32,43 @@
     let mut received_ids: BTreeSet<&str> = BTreeSet::new();
     for record in records {
         // An attempt is sent once, whatever the number of servers and addresses that it could go to.
-        if let Seen::Received { rid, .. } = &record.what
+        if let TrafficEvent::Received { rid, .. } = &record.what
             && !received_ids.insert(rid)
         {
             verdict.add_violation(record.at, rid, "one attempt was received twice");
         }
         match &record.what {
-            Seen::Sent { rid, class, .. } => {
+            TrafficEvent::Sent { rid, class, .. } => {
                 policies.insert(rid, figures.classes.get(class).copied().unwrap_or(RepeatPolicy::Unsafe));
             }
-            Seen::Received { rid, task, .. } if task != "read" => {
+            TrafficEvent::Received { rid, task, .. } if task != "read" => {
                 turns.entry(turn_id(rid)).or_default().attempts.push((record.at, rid.clone(), false));
             }
-            Seen::Answered { rid, how } if proves_not_run(how) => {
+            TrafficEvent::Answered { rid, how } if proves_not_run(how) => {
                 if let Some(turn) = turns.get_mut(turn_id(rid))
                     && let Some(attempt) = turn.attempts.iter_mut().rev().find(|(_, id, _)| id == rid)
                 {
                     attempt.2 = true;
                 }
             }
-            Seen::ToolReceived { rid, effect: true, .. } => {
+            TrafficEvent::ToolReceived { rid, effect: true, .. } => {
                 call_attempts.entry(tool_call_id(rid)).or_default().push((record.at, rid.clone(), false));
             }
-            Seen::ToolAnswered { rid, how } if how == TOOL_NOT_RUN => {
+            TrafficEvent::ToolAnswered { rid, how } if how == TOOL_NOT_RUN => {
                 if let Some(attempts) = call_attempts.get_mut(tool_call_id(rid))
                     && let Some(attempt) = attempts.iter_mut().rev().find(|(_, id, _)| id == rid)
                 {
                     attempt.2 = true;
                 }
             }
-            Seen::ToolRan { rid, effect: true, .. } => {
+            TrafficEvent::ToolRan { rid, effect: true, .. } => {
                 *effect_counts.entry(tool_call_id(rid)).or_default() += 1;
                 requests_with_effect.insert(client_request_id(rid));
                 if effect_counts.get(tool_call_id(rid)).is_some_and(|count| *count > 1) {
                     verdict.add_violation(record.at, rid, "a tool call had its effect twice");
                 }
             }
-            Seen::Final { rid, outcome, .. } if outcome == "refused" => {
+            TrafficEvent::Final { rid, outcome, .. } if outcome == "refused" => {
                 refused_at.insert(rid, record.at);
             }
             _ => {}
--- a/crates/rehearsal/src/rules/mod.rs
+++ b/crates/rehearsal/src/rules/mod.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 /// Whether a request of a class may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,7 +107,7 @@
 pub(crate) fn kill_times(records: &[Record]) -> BTreeMap<&str, Vec<u64>> {
     let mut kill_times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
-        if let Seen::Front { front, what } = &record.what
+        if let TrafficEvent::Front { front, what } = &record.what
             && what == "killed"
         {
             kill_times.entry(front).or_default().push(record.at);
@@ -120,7 +120,7 @@
 pub(crate) fn fronts_by_request(records: &[Record]) -> BTreeMap<&str, (&str, u64)> {
     let mut fronts = BTreeMap::new();
     for record in records {
-        if let Seen::Sent { rid, front, .. } = &record.what {
+        if let TrafficEvent::Sent { rid, front, .. } = &record.what {
             fronts.insert(rid.as_str(), (front.as_str(), record.at));
         }
     }
--- a/crates/rehearsal/src/rules/pinned.rs
+++ b/crates/rehearsal/src/rules/pinned.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 use super::{Figures, Verdict, client_request_id, fronts_by_request, kill_times, turn_id};
 
@@ -41,7 +41,7 @@
     };
     for record in records {
         match &record.what {
-            Seen::Received { rid, task, .. } if task != "read" => {
+            TrafficEvent::Received { rid, task, .. } if task != "read" => {
                 in_flight.entry(turn_id(rid)).or_default().insert(rid);
                 // The attempt ends the current idle time of the turn's states.
                 let waiting: Vec<&str> =
@@ -56,7 +56,7 @@
                     }
                 }
             }
-            Seen::Answered { rid, .. } => {
+            TrafficEvent::Answered { rid, .. } => {
                 let has_attempts = in_flight.get_mut(turn_id(rid)).is_some_and(|attempts| {
                     attempts.remove(rid.as_str());
                     !attempts.is_empty()
@@ -69,15 +69,15 @@
                     }
                 }
             }
-            Seen::StateHeld { rid } => {
+            TrafficEvent::StateHeld { rid } => {
                 let idle_since =
                     in_flight.get(turn_id(rid)).is_none_or(BTreeSet::is_empty).then_some(record.at);
                 held_states.insert(rid, HeldState { held_since: record.at, idle_since });
             }
-            Seen::StateTaken { rid }
-            | Seen::StateReleased { rid }
-            | Seen::ReleaseAsked { rid }
-            | Seen::StateLost { rid } => {
+            TrafficEvent::StateTaken { rid }
+            | TrafficEvent::StateReleased { rid }
+            | TrafficEvent::ReleaseAsked { rid }
+            | TrafficEvent::StateLost { rid } => {
                 if let Some(state) = held_states.remove(rid.as_str()) {
                     judge_state(rid, state, record.at);
                 }
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use elderstage_rehearsal::rules::{Figures, RepeatPolicy, judge};
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 const MS: u64 = 1_000;
 
@@ -23,49 +23,54 @@
     }
 }
 
-fn record(at_ms: u64, who: &str, what: Seen) -> Record {
+fn record(at_ms: u64, who: &str, what: TrafficEvent) -> Record {
     Record { at: at_ms * MS, who: who.into(), what }
 }
 
 fn sent(at_ms: u64, rid: &str, class: &str) -> Record {
-    let what = Seen::Sent { rid: rid.into(), class: class.into(), front: "f0".into(), total: 1_000 * MS };
+    let what =
+        TrafficEvent::Sent { rid: rid.into(), class: class.into(), front: "f0".into(), total: 1_000 * MS };
     record(at_ms, "clients", what)
 }
 
 fn final_answer(at_ms: u64, rid: &str, outcome: &str) -> Record {
-    record(at_ms, "clients", Seen::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms: None })
+    record(
+        at_ms,
+        "clients",
+        TrafficEvent::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms: None },
+    )
 }
 
 fn received(at_ms: u64, who: &str, rid: &str, task: &str, work: f64) -> Record {
     let (front, class) = ("f0".into(), "order".into());
-    record(at_ms, who, Seen::Received { rid: rid.into(), front, class, task: task.into(), work })
+    record(at_ms, who, TrafficEvent::Received { rid: rid.into(), front, class, task: task.into(), work })
 }
 
 fn answered(at_ms: u64, who: &str, rid: &str, how: &str) -> Record {
-    record(at_ms, who, Seen::Answered { rid: rid.into(), how: how.into() })
+    record(at_ms, who, TrafficEvent::Answered { rid: rid.into(), how: how.into() })
 }
 
 fn tool_call(at_ms: u64, rid: &str) -> [Record; 2] {
-    let received = Seen::ToolReceived { rid: rid.into(), tool: "place_order".into(), effect: true };
-    let ran = Seen::ToolRan { rid: rid.into(), tool: "place_order".into(), effect: true };
+    let received = TrafficEvent::ToolReceived { rid: rid.into(), tool: "place_order".into(), effect: true };
+    let ran = TrafficEvent::ToolRan { rid: rid.into(), tool: "place_order".into(), effect: true };
     [record(at_ms, "tools", received), record(at_ms, "tools", ran)]
 }
 
 fn state_held(at_ms: u64, rid: &str) -> Record {
-    record(at_ms, "r1", Seen::StateHeld { rid: rid.into() })
+    record(at_ms, "r1", TrafficEvent::StateHeld { rid: rid.into() })
 }
 
 fn listed(at_ms: u64, state: &str) -> Record {
-    record(at_ms, "hand", Seen::Listed { servers: BTreeMap::from([("w1".into(), state.into())]) })
+    record(at_ms, "hand", TrafficEvent::Listed { servers: BTreeMap::from([("w1".into(), state.into())]) })
 }
 
 fn cold_start(at_ms: u64) -> Record {
-    let what = Seen::Up {
+    let what = TrafficEvent::Up {
         cold: true,
-        cold_from: 0.5,
-        cold_for: 10_000 * MS,
-        fall_multiple: 2.0,
-        tip_after: 1_000 * MS,
+        cold_start_share: 0.5,
+        cold_duration: 10_000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 1_000 * MS,
     };
     record(at_ms, "w1", what)
 }
@@ -110,8 +115,9 @@
 
 #[test]
 fn a_lost_connection_is_allowed_only_if_the_front_was_killed() {
-    let lost = record(50, "clients", Seen::Lost { rid: "c1".into() });
-    let front = |what: &str| record(40, "hand", Seen::Front { front: "f0".into(), what: what.into() });
+    let lost = record(50, "clients", TrafficEvent::Lost { rid: "c1".into() });
+    let front =
+        |what: &str| record(40, "hand", TrafficEvent::Front { front: "f0".into(), what: what.into() });
     let work = received(10, "r1", "c1/1/0", "read", 0.0);
     assert_no_violation(&[sent(0, "c1", "ask"), work.clone(), front("killed"), lost.clone()]);
     assert_breaks_only(
@@ -168,7 +174,7 @@
 fn a_keyed_request_repeated_after_the_key_is_forgotten_is_reported() {
     let trace = |ms| {
         let mut request = sent(0, "c1", "keyed");
-        if let Seen::Sent { total, .. } = &mut request.what {
+        if let TrafficEvent::Sent { total, .. } = &mut request.what {
             *total = 9_000 * MS;
         }
         vec![
@@ -208,7 +214,7 @@
     assert_no_violation(&[vec![cold_start(0)], burst(200)].concat());
     assert_no_violation(&[informed.clone(), burst(200)[..9].to_vec(), burst(1_300)[..9].to_vec()].concat());
     assert_breaks_only(
-        &[informed, vec![record(300, "w1", Seen::FellOver)]].concat(),
+        &[informed, vec![record(300, "w1", TrafficEvent::FellOver)]].concat(),
         "no cold server pushed over",
         "fell over",
     );
@@ -217,7 +223,7 @@
 #[test]
 fn states_held_too_long_are_reported() {
     let first = [sent(0, "c1", "order"), state_held(10, "c1/1/0")];
-    let released = |at_ms| [record(at_ms, "r1", Seen::StateReleased { rid: "c1/1/0".into() })];
+    let released = |at_ms| [record(at_ms, "r1", TrafficEvent::StateReleased { rid: "c1/1/0".into() })];
     let end = [final_answer(900, "c1", "failed")];
     assert_no_violation(&[&first[..], &released(400), &end].concat());
     assert_breaks_only(
@@ -231,7 +237,7 @@
     assert_no_violation(
         &[&first[..], &attempt, &released(800), &[final_answer(810, "c1", "failed")]].concat(),
     );
-    let left = [record(710, "clients", Seen::Left { rid: "c1".into() })];
+    let left = [record(710, "clients", TrafficEvent::Left { rid: "c1".into() })];
     assert_breaks_only(
         &[&first[..], &attempt, &left, &released(1_300)].concat(),
         "nothing left pinned",
@@ -243,5 +249,5 @@
 fn records_are_read_back_as_they_were_written() {
     let records = vec![sent(1, "c1", "ask"), state_held(2, "c1/1/0"), listed(3, "gone"), cold_start(4)];
     let lines: Vec<String> = records.iter().map(|r| serde_json::to_string(r).unwrap()).collect();
-    assert_eq!(elderstage_standin::traffic::read(&lines.join("\n")).unwrap(), records);
+    assert_eq!(elderstage_standin::traffic::parse_records(&lines.join("\n")).unwrap(), records);
 }
--- a/crates/standin/src/host/door.rs
+++ b/crates/standin/src/host/door.rs
@@ -19,7 +19,7 @@
 
 /// A fault of a listen address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DoorFault {
+pub enum AddressFault {
     #[default]
     None,
     /// Connects are refused because nothing listens. The file of a Unix socket remains, as after a crash.
@@ -49,13 +49,13 @@
     Unexpected,
 }
 
-/// Delay before a new connection is served under [`DoorFault::Slow`].
+/// Delay before a new connection is served under [`AddressFault::Slow`].
 pub(super) const SLOW_HANDSHAKE: Duration = Duration::from_millis(120);
 
 /// A listen address, its fault and its listener.
 pub(super) struct ListenAddress {
     endpoint: Endpoint,
-    fault: DoorFault,
+    fault: AddressFault,
     /// A listener bound before the engine starts, so that its port is known.
     prebound: Option<Listener>,
     listener_stop: Option<ListenerHandle>,
@@ -68,7 +68,7 @@
         let endpoint = listener.endpoint().clone();
         ListenAddress {
             endpoint,
-            fault: DoorFault::None,
+            fault: AddressFault::None,
             prebound: Some(listener),
             listener_stop: None,
             backlog_fill: None,
@@ -79,7 +79,7 @@
         &self.endpoint
     }
 
-    pub fn fault(&self) -> DoorFault {
+    pub fn fault(&self) -> AddressFault {
         self.fault
     }
 
@@ -95,25 +95,25 @@
     pub fn listen(&mut self, shared: &Arc<Shared>, index: usize) -> std::io::Result<()> {
         self.stop_listening();
         match self.fault {
-            DoorFault::Refuses => {
+            AddressFault::Refuses => {
                 if let Endpoint::Unix(path) = &self.endpoint {
                     leave_stale_socket_file(path)?;
                 }
                 Ok(())
             }
-            DoorFault::Missing => {
+            AddressFault::Missing => {
                 if let Endpoint::Unix(path) = &self.endpoint {
                     remove_socket_file(path)?;
                 }
                 Ok(())
             }
-            DoorFault::Silent => self.fill_backlog(),
+            AddressFault::Silent => self.fill_backlog(),
             _ => {
                 let listener = match self.prebound.take() {
                     Some(listener) => listener,
                     None => bind_listener(&self.endpoint)?,
                 };
-                if let (DoorFault::Denied, Endpoint::Unix(path)) = (self.fault, &self.endpoint) {
+                if let (AddressFault::Denied, Endpoint::Unix(path)) = (self.fault, &self.endpoint) {
                     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o000))?;
                 }
                 self.listener_stop = Some(listener.handle());
@@ -128,7 +128,7 @@
         &mut self,
         shared: &Arc<Shared>,
         index: usize,
-        fault: DoorFault,
+        fault: AddressFault,
         is_running: bool,
     ) -> std::io::Result<()> {
         if self.fault == fault {
@@ -138,7 +138,7 @@
         self.prebound = None;
         // Idle connections are closed if the fault also refuses new ones; otherwise the fault applies to
         // their next request. Requests in progress continue, because the engine itself has no fault.
-        if matches!(fault, DoorFault::Refuses | DoorFault::Missing | DoorFault::Closes) {
+        if matches!(fault, AddressFault::Refuses | AddressFault::Missing | AddressFault::Closes) {
             for connection in lock(&shared.connections).values() {
                 if connection.address_index == index && !connection.is_busy.load(Ordering::SeqCst) {
                     connection.socket.shutdown();
--- a/crates/standin/src/host/machine.rs
+++ b/crates/standin/src/host/machine.rs
@@ -8,8 +8,8 @@
 use elderstage_net::channel::Sender;
 use elderstage_net::owner::{self, Micros};
 
-use crate::model::{Ail, Engine, EngineEvent, Job, JobId, Load, RejectReason, Task};
-use crate::traffic::{Log, Seen};
+use crate::model::{Engine, EngineEvent, EngineFault, Job, JobId, Load, RejectReason, Task};
+use crate::traffic::{Log, TrafficEvent};
 
 /// A held state that nobody takes or releases is dropped after this time, for example because its front died.
 const STATE_EXPIRY: Micros = 10_000_000;
@@ -62,7 +62,7 @@
     Load {
         reply: Sender<(Load, bool)>,
     },
-    SetFault(Option<Ail>),
+    SetFault(Option<EngineFault>),
     ClearPrefixCache,
     Restart {
         cold: bool,
@@ -105,8 +105,8 @@
         }
     }
 
-    fn log_event(&self, event: Seen) {
-        self.log.see(&self.name, event);
+    fn log_event(&self, event: TrafficEvent) {
+        self.log.record(&self.name, event);
     }
 
     /// Drops states whose expiry time has passed.
@@ -115,7 +115,7 @@
             let Some((_, rid, id)) = self.state_expiries.pop_front() else { return };
             if self.engine.release_state(id) {
                 self.reads_by_request.remove(&rid);
-                self.log_event(Seen::StateLost { rid });
+                self.log_event(TrafficEvent::StateLost { rid });
             }
         }
     }
@@ -130,7 +130,7 @@
                 EngineEvent::FetchState { id } => self.send_update(id, JobUpdate::FetchState),
                 EngineEvent::ReadDone { id, cached_tokens } => {
                     if let Some(job) = self.jobs.get(&id) {
-                        self.log_event(Seen::StateHeld { rid: job.rid.clone() });
+                        self.log_event(TrafficEvent::StateHeld { rid: job.rid.clone() });
                         self.state_expiries.push_back((now + STATE_EXPIRY, job.rid.clone(), id));
                     }
                     self.send_last_update(id, JobUpdate::ReadDone { cached_tokens });
@@ -139,7 +139,7 @@
                     if index == 0
                         && let Some(job) = self.jobs.get(&id)
                     {
-                        self.log_event(Seen::Ran { rid: job.rid.clone() });
+                        self.log_event(TrafficEvent::Ran { rid: job.rid.clone() });
                     }
                     self.send_update(id, JobUpdate::Token(index));
                 }
@@ -147,7 +147,7 @@
                     self.send_last_update(id, JobUpdate::AnswerDone { cached_tokens })
                 }
                 EngineEvent::Crashed => {
-                    self.log_event(Seen::FellOver);
+                    self.log_event(TrafficEvent::FellOver);
                     self.discard_jobs_and_states();
                 }
             }
@@ -176,7 +176,7 @@
         self.jobs.clear();
         for (rid, (id, _)) in self.reads_by_request.drain() {
             if self.engine.holds_state(id) {
-                self.log.see(&self.name, Seen::StateLost { rid });
+                self.log.record(&self.name, TrafficEvent::StateLost { rid });
             }
         }
     }
@@ -196,7 +196,7 @@
             return false;
         };
         if self.engine.release_state(id) {
-            self.log_event(Seen::StateReleased { rid: rid.to_owned() });
+            self.log_event(TrafficEvent::StateReleased { rid: rid.to_owned() });
         } else {
             self.cancel_job(now, id);
         }
@@ -250,7 +250,7 @@
                     self.reads_by_request.get(&rid).is_some_and(|(id, _)| self.engine.release_state(*id));
                 if is_taken {
                     self.reads_by_request.remove(&rid);
-                    self.log_event(Seen::StateTaken { rid });
+                    self.log_event(TrafficEvent::StateTaken { rid });
                 }
                 let _ = reply.send(is_taken);
             }
--- a/crates/standin/src/host/mod.rs
+++ b/crates/standin/src/host/mod.rs
@@ -17,9 +17,9 @@
 use elderstage_net::{Endpoint, Listener, ShutdownHandle};
 use elderstage_protocol::orca;
 
-use crate::model::{Ail, Engine, Spec};
-use crate::traffic::{Log, Seen, unix_us};
-pub use door::DoorFault;
+use crate::model::{Engine, EngineFault, EngineSpec};
+use crate::traffic::{Log, TrafficEvent, unix_us};
+pub use door::AddressFault;
 use door::ListenAddress;
 use machine::{Command, EngineDriver};
 
@@ -28,54 +28,54 @@
 
 /// The identity, capacity and location of an engine.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct HostOptions {
     pub name: String,
-    pub spec: Spec,
+    pub spec: EngineSpec,
     /// Port 0 lets the operating system choose a port; the port stays the same across restarts.
     pub listen: SocketAddr,
     /// Additional addresses to listen on.
-    pub also: Vec<Endpoint>,
+    pub additional_endpoints: Vec<Endpoint>,
     pub zone: String,
     pub cell: u32,
     /// Transfer rate of KV states in tokens per second: within the cell, between cells, between zones.
-    pub links: [f64; 3],
+    pub link_tokens_per_s: [f64; 3],
 }
 
 /// Faults of the sockets of an engine, independent of the fault of its model.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct SocketFaults {
     /// Every completion request is rejected with 429.
-    pub full: bool,
+    pub rejects_as_full: bool,
     /// Connections are closed right after they are accepted, as if the connection table were full.
-    pub table_full: bool,
+    pub closes_new_connections: bool,
     /// Load reports do not change.
-    pub frozen: bool,
+    pub reports_frozen: bool,
     /// Delay before a new connection is served.
-    pub handshake: Duration,
+    pub handshake_delay: Duration,
     /// Requests from fronts in these zones get no response.
-    pub cut: Vec<String>,
+    pub partitioned_zones: Vec<String>,
     /// Number of next streams that break, and the number of tokens after which each breaks.
-    pub break_next: u32,
-    pub break_after: u64,
+    pub streams_to_break: u32,
+    pub break_after_tokens: u64,
     /// KV state transfers are slower by this factor; a value below 1 counts as 1.
-    pub slow_links: f64,
+    pub link_slowdown: f64,
 }
 
 /// A change of the state or faults of a running host.
 #[derive(Clone, Debug)]
 pub enum Control {
     /// Sets or ends the fault of the engine model.
-    Ail(Option<Ail>),
+    EngineFault(Option<EngineFault>),
     /// Empties the prefix cache.
-    Flush,
+    ClearPrefixCache,
     /// The process dies: its connections, held states and prefix cache are lost.
     Kill,
     /// The process starts if it is not running.
     Start { cold: bool },
     /// Replaces the socket faults.
-    Faults(Faults),
-    /// Sets the fault of one listen address, by its index in [`Host::listen_endpoints`].
-    Door(usize, DoorFault),
+    SocketFaults(SocketFaults),
+    /// Sets the fault of one listen address, by its index in [`EngineHost::listen_endpoints`].
+    AddressFault(usize, AddressFault),
 }
 
 /// An open connection: the index of its listen address, and whether a request is in progress on it.
@@ -87,10 +87,10 @@
 
 /// State shared by the connections of a host and its control calls.
 pub(crate) struct Shared {
-    options: Options,
+    options: HostOptions,
     addr: SocketAddr,
     log: Log,
-    faults: Mutex<Faults>,
+    faults: Mutex<SocketFaults>,
     inbox: EventSender<Command>,
     connections: Mutex<HashMap<u64, OpenConnection>>,
     next_id: AtomicU64,
@@ -109,15 +109,15 @@
 }
 
 /// A running engine host.
-pub struct Host {
+pub struct EngineHost {
     shared: Arc<Shared>,
 }
 
-impl Host {
+impl EngineHost {
     /// Starts an engine and listens on all its addresses.
-    pub fn start(options: Options, cold: bool, log: Log) -> std::io::Result<Host> {
+    pub fn start(options: HostOptions, cold: bool, log: Log) -> std::io::Result<EngineHost> {
         let mut addresses = Vec::new();
-        for endpoint in [Endpoint::Tcp(options.listen)].iter().chain(&options.also) {
+        for endpoint in [Endpoint::Tcp(options.listen)].iter().chain(&options.additional_endpoints) {
             addresses.push(Mutex::new(ListenAddress::new(Listener::bind_endpoint(endpoint)?)));
         }
         let addr = match lock(&addresses[0]).endpoint() {
@@ -144,7 +144,7 @@
         owner::spawn_machine(&format!("engine-{}", shared.options.name), clock, commands, driver)?;
         shared.log_start(cold);
         start_listening(&shared)?;
-        Ok(Host { shared })
+        Ok(EngineHost { shared })
     }
 
     /// Number of open connections.
@@ -152,7 +152,7 @@
         lock(&self.shared.connections).len()
     }
 
-    /// The listen addresses; the TCP address of `Options::listen` comes first.
+    /// The listen addresses; the TCP address of `HostOptions::listen` comes first.
     pub fn listen_endpoints(&self) -> Vec<Endpoint> {
         self.shared.addresses.iter().map(|address| lock(address).endpoint().clone()).collect()
     }
@@ -163,7 +163,7 @@
     }
 
     /// The options that the host was started with.
-    pub fn options(&self) -> &Options {
+    pub fn options(&self) -> &HostOptions {
         &self.shared.options
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// The current socket faults.
-    pub fn faults(&self) -> Faults {
+    pub fn faults(&self) -> SocketFaults {
         lock(&self.shared.faults).clone()
     }
 
@@ -181,14 +181,14 @@
     pub fn control(&self, control: Control) -> std::io::Result<()> {
         let shared = &self.shared;
         match control {
-            Control::Ail(fault) => {
+            Control::EngineFault(fault) => {
                 shared.inbox.send(Command::SetFault(fault));
             }
-            Control::Flush => {
+            Control::ClearPrefixCache => {
                 shared.inbox.send(Command::ClearPrefixCache);
             }
-            Control::Faults(faults) => *lock(&shared.faults) = faults,
-            Control::Door(index, fault) => {
+            Control::SocketFaults(faults) => *lock(&shared.faults) = faults,
+            Control::AddressFault(index, fault) => {
                 let is_running = *lock(&shared.is_running);
                 if let Some(address) = shared.addresses.get(index) {
                     lock(address).set_fault(shared, index, fault, is_running)?;
@@ -201,7 +201,7 @@
                     for connection in lock(&shared.connections).drain() {
                         connection.1.socket.shutdown();
                     }
-                    shared.log.see(&shared.options.name, Seen::Down);
+                    shared.log.record(&shared.options.name, TrafficEvent::Down);
                 }
             }
             Control::Start { cold } => {
@@ -232,14 +232,14 @@
 impl Shared {
     fn log_start(&self, cold: bool) {
         let spec = &self.options.spec;
-        let start = Seen::Up {
+        let start = TrafficEvent::Up {
             cold,
-            cold_from: spec.cold_from,
-            cold_for: spec.cold_for,
-            fall_multiple: spec.fall_multiple,
-            tip_after: spec.tip_after,
+            cold_start_share: spec.cold_start_share,
+            cold_duration: spec.cold_duration,
+            overload_multiple: spec.overload_multiple,
+            overload_window: spec.overload_window,
         };
-        self.log.see(&self.options.name, start);
+        self.log.record(&self.options.name, start);
     }
 }
 
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -14,12 +14,12 @@
 use elderstage_protocol::{engine, http, orca, sse};
 use serde_json::{Value, json};
 
-use super::door::{DoorFault, SLOW_HANDSHAKE};
+use super::door::{AddressFault, SLOW_HANDSHAKE};
 use super::machine::{Command, JobUpdate};
-use super::{Faults, Shared, lock};
+use super::{Shared, SocketFaults, lock};
 use crate::model::{Job, JobId, Load, RejectReason, Task, block_hashes};
 use crate::script;
-use crate::traffic::Seen;
+use crate::traffic::TrafficEvent;
 
 /// A connection that sends no request for this time is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -27,7 +27,7 @@
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How often a connection that a fault holds checks whether the fault has ended.
 const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Tokens sent before a stream stalls under [`DoorFault::StallsInBody`].
+/// Tokens sent before a stream stalls under [`AddressFault::StallsInBody`].
 const TOKENS_BEFORE_STALL: u64 = 2;
 /// Timeout of a request to another engine about a KV state.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
@@ -45,7 +45,7 @@
 
 /// Receives and sends nothing until the peer closes or the fault of the listen address ends, then closes the
 /// connection.
-fn hold_until_fault_ends(shared: &Shared, conn: &Conn, address_index: usize, fault: DoorFault) {
+fn hold_until_fault_ends(shared: &Shared, conn: &Conn, address_index: usize, fault: AddressFault) {
     while !conn.is_closed() && lock(&shared.addresses[address_index]).fault() == fault {
         sleep(FAULT_CHECK_INTERVAL);
     }
@@ -61,17 +61,17 @@
 ) {
     let fault = lock(&shared.addresses[address_index]).fault();
     match fault {
-        DoorFault::Closes => return conn.socket().shutdown(),
-        DoorFault::Slow => sleep(SLOW_HANDSHAKE),
+        AddressFault::Closes => return conn.socket().shutdown(),
+        AddressFault::Slow => sleep(SLOW_HANDSHAKE),
         _ => {}
     }
     let faults = lock(&shared.faults).clone();
-    if faults.table_full {
+    if faults.closes_new_connections {
         conn.socket().shutdown();
         return;
     }
-    if !faults.handshake.is_zero() {
-        sleep(faults.handshake);
+    if !faults.handshake_delay.is_zero() {
+        sleep(faults.handshake_delay);
     }
     conn.set_write_timeout(Some(SOCKET_WRITE_TIMEOUT));
     loop {
@@ -92,24 +92,26 @@
         let fault = lock(&shared.addresses[address_index]).fault();
         let expects_continue = head.headers.get("expect").is_some();
         match fault {
-            DoorFault::Unexpected if expects_continue => {
+            AddressFault::Unexpected if expects_continue => {
                 if send_response(&mut conn, 417, &[], b"").is_err() {
                     return;
                 }
                 continue;
             }
-            DoorFault::Stalls | DoorFault::Silent => {
+            AddressFault::Stalls | AddressFault::Silent => {
                 // A request whose body was sent is logged as received, because the rules check what was sent.
                 let is_body_sent = head.target == engine::COMPLETIONS_PATH && !expects_continue;
                 let body = if is_body_sent { conn.receive_body(head.framing).ok() } else { None };
                 let rid = body.map(|body| shared.log_request(&head, &body));
                 hold_until_fault_ends(shared, &conn, address_index, fault);
                 if let Some(rid) = rid {
-                    shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
+                    shared
+                        .log
+                        .record(&shared.options.name, TrafficEvent::Answered { rid, how: "stalled".into() });
                 }
                 return;
             }
-            DoorFault::ClosesOnRequest => return conn.socket().shutdown(),
+            AddressFault::ClosesOnRequest => return conn.socket().shutdown(),
             _ => {}
         }
         if conn.send_continue(&head).is_err() {
@@ -117,24 +119,24 @@
         }
         let Ok(body) = conn.receive_body(head.framing) else { return };
         let is_completion = head.target == engine::COMPLETIONS_PATH;
-        if fault == DoorFault::StallsAfterContinue && is_completion {
+        if fault == AddressFault::StallsAfterContinue && is_completion {
             // Logged as received: the body was sent, and the rules check what was sent.
             let rid = shared.log_request(&head, &body);
             hold_until_fault_ends(shared, &conn, address_index, fault);
-            shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
+            shared.log.record(&shared.options.name, TrafficEvent::Answered { rid, how: "stalled".into() });
             return;
         }
-        if fault == DoorFault::StallsAfterHead && is_completion {
+        if fault == AddressFault::StallsAfterHead && is_completion {
             let rid = shared.log_request(&head, &body);
             let mut out = Vec::new();
             http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
             let _ = conn.write(&out);
             hold_until_fault_ends(shared, &conn, address_index, fault);
-            shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
+            shared.log.record(&shared.options.name, TrafficEvent::Answered { rid, how: "stalled".into() });
             return;
         }
         let keep_alive = head.keep_alive;
-        let stalls_in_body = fault == DoorFault::StallsInBody && is_completion;
+        let stalls_in_body = fault == AddressFault::StallsInBody && is_completion;
         let request = EngineRequest {
             head: &head,
             body: &body,
@@ -190,7 +192,7 @@
     let EngineRequest { head, body, .. } = *request;
     let faults = lock(&shared.faults).clone();
     let (front, zone) = parse_via(head);
-    if faults.cut.contains(&zone) {
+    if faults.partitioned_zones.contains(&zone) {
         // The zones are partitioned: the peer gets no response and gives up by itself. Its request is logged
         // nevertheless, because the rules check what was sent.
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
@@ -203,7 +205,7 @@
             sleep(PEER_CHECK_INTERVAL);
         }
         if head.target == engine::COMPLETIONS_PATH {
-            shared.log.see(&shared.options.name, Seen::Answered { rid, how: "cut".into() });
+            shared.log.record(&shared.options.name, TrafficEvent::Answered { rid, how: "cut".into() });
         }
         return Ok(AfterRequest::Close);
     }
@@ -274,8 +276,8 @@
 }
 
 /// Returns the formatted load report: the current one, or the last one while reports are frozen.
-fn current_report(shared: &Shared, faults: &Faults) -> String {
-    if !faults.frozen {
+fn current_report(shared: &Shared, faults: &SocketFaults) -> String {
+    if !faults.reports_frozen {
         let (reply, replies) = channel();
         shared.inbox.send(Command::Load { reply });
         if let Ok((load, _)) = replies.recv() {
@@ -306,7 +308,7 @@
     conn: &mut Conn,
     request: &EngineRequest<'_>,
     front: &str,
-    faults: &Faults,
+    faults: &SocketFaults,
 ) -> Result<AfterRequest, NetError> {
     let EngineRequest { head, body, stall_address } = *request;
     let json_headers = [("content-type", "application/json")];
@@ -341,9 +343,9 @@
         Task::Write => "write",
         Task::ReadAndWrite => "whole",
     };
-    shared.log.see(
+    shared.log.record(
         name,
-        Seen::Received {
+        TrafficEvent::Received {
             rid: rid.clone(),
             front: front.into(),
             class: completion_request.model.clone(),
@@ -351,9 +353,10 @@
             work,
         },
     );
-    let log_outcome =
-        |outcome: &str| shared.log.see(name, Seen::Answered { rid: rid.clone(), how: outcome.into() });
-    if faults.full {
+    let log_outcome = |outcome: &str| {
+        shared.log.record(name, TrafficEvent::Answered { rid: rid.clone(), how: outcome.into() })
+    };
+    if faults.rejects_as_full {
         log_outcome("full");
         send_response(
             conn,
@@ -442,7 +445,7 @@
     fn run(
         &mut self,
         params: &engine::KvParams,
-        faults: &Faults,
+        faults: &SocketFaults,
     ) -> (&'static str, Result<AfterRequest, NetError>) {
         loop {
             match self.next_update() {
@@ -489,13 +492,13 @@
     fn stream_answer(
         &mut self,
         first_index: u64,
-        faults: &Faults,
+        faults: &SocketFaults,
     ) -> (&'static str, Result<AfterRequest, NetError>) {
         let break_at = {
             let mut faults = lock(&self.shared.faults);
-            let breaks = faults.break_next > 0;
-            faults.break_next = faults.break_next.saturating_sub(1);
-            breaks.then_some(faults.break_after)
+            let breaks = faults.streams_to_break > 0;
+            faults.streams_to_break = faults.streams_to_break.saturating_sub(1);
+            breaks.then_some(faults.break_after_tokens)
         };
         let report = current_report(self.shared, faults);
         let (mut out, mut event) = (Vec::with_capacity(1024), Vec::with_capacity(256));
@@ -511,7 +514,12 @@
                 Some(JobUpdate::Token(index)) => {
                     if let Some(address_index) = self.stall_address.filter(|_| index == TOKENS_BEFORE_STALL) {
                         let _ = self.conn.write(&out);
-                        hold_until_fault_ends(self.shared, self.conn, address_index, DoorFault::StallsInBody);
+                        hold_until_fault_ends(
+                            self.shared,
+                            self.conn,
+                            address_index,
+                            AddressFault::StallsInBody,
+                        );
                         return ("stalled", Ok(AfterRequest::Close));
                     }
                     if break_at == Some(index) {
@@ -608,7 +616,7 @@
     else {
         return false;
     };
-    let slowdown = lock(&shared.faults).slow_links.max(1.0);
+    let slowdown = lock(&shared.faults).link_slowdown.max(1.0);
     let tokens_per_s = shared.link_tokens_per_s(params.remote_engine_id.as_deref().unwrap_or_default());
     sleep(Duration::from_secs_f64(tokens / tokens_per_s.max(1.0) * slowdown));
     post_to_reader(TAKEN_PATH).is_ok_and(|response| response.head.status == 200)
@@ -620,7 +628,10 @@
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
         let (front, _) = parse_via(head);
         let (class, task) = ("?".into(), task_name(body).into());
-        self.log.see(&self.options.name, Seen::Received { rid: rid.clone(), front, class, task, work: 0.0 });
+        self.log.record(
+            &self.options.name,
+            TrafficEvent::Received { rid: rid.clone(), front, class, task, work: 0.0 },
+        );
         rid
     }
 
@@ -628,13 +639,13 @@
     fn log_release(&self, body: &[u8]) {
         let json_body: Value = serde_json::from_slice(body).unwrap_or_default();
         if let Some(rid) = json_body.get("rid").and_then(Value::as_str) {
-            self.log.see(&self.options.name, Seen::ReleaseAsked { rid: rid.to_owned() });
+            self.log.record(&self.options.name, TrafficEvent::ReleaseAsked { rid: rid.to_owned() });
         }
     }
 
     /// Transfer rate in tokens per second from an engine, by the location in its id `zone.cell.name`.
     fn link_tokens_per_s(&self, reader_id: &str) -> f64 {
-        let [within_cell, within_zone, between_zones] = self.options.links;
+        let [within_cell, within_zone, between_zones] = self.options.link_tokens_per_s;
         let mut parts = reader_id.split('.');
         let same_zone = parts.next() == Some(self.options.zone.as_str());
         let same_cell = parts.next() == Some(self.options.cell.to_string().as_str());
--- a/crates/standin/src/model/engine.rs
+++ b/crates/standin/src/model/engine.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::kept::PrefixCache;
-use super::{Ail, Job, JobId, Load, Micros, Role, Spec, Task};
+use super::{EngineFault, EngineSpec, Job, JobId, Load, Micros, Role, Task};
 
 /// Weight of the newest sample in the moving average of the latency.
 const LATENCY_SMOOTHING: f64 = 0.2;
@@ -71,7 +71,7 @@
 /// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    spec: Spec,
+    spec: EngineSpec,
     started_at: Micros,
     /// The engine started cold; `false` means that it is treated as having run for a long time.
     started_cold: bool,
@@ -103,10 +103,10 @@
 }
 
 impl Engine {
-    /// Creates an engine that starts at `now`. A cold engine starts slow and warms up over `Spec::cold_for`.
-    pub fn new(spec: Spec, now: Micros, cold: bool) -> Engine {
+    /// Creates an engine that starts at `now`. A cold engine starts slow and warms up over `EngineSpec::cold_duration`.
+    pub fn new(spec: EngineSpec, now: Micros, cold: bool) -> Engine {
         Engine {
-            prefix_cache: PrefixCache::new(spec.kept_tokens),
+            prefix_cache: PrefixCache::new(spec.prefix_cache_tokens),
             spec,
             started_at: now,
             started_cold: cold,
@@ -125,7 +125,7 @@
     }
 
     /// The configured capacity of the engine.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
 
@@ -139,8 +139,8 @@
         if !self.started_cold {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started_at) as f64 / self.spec.cold_for.max(1) as f64;
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(self.started_at) as f64 / self.spec.cold_duration.max(1) as f64;
+        (self.spec.cold_start_share + (1.0 - self.spec.cold_start_share) * age).min(1.0)
     }
 
     /// The load as an engine reports it.
@@ -153,7 +153,7 @@
         Load {
             running: self.running.len(),
             waiting: self.waiting.len(),
-            slot_usage: self.running.len() as f64 / self.spec.slots.max(1) as f64,
+            slot_usage: self.running.len() as f64 / self.spec.max_running.max(1) as f64,
             kv_usage: self.used_tokens as f64 / self.spec.kv_tokens.max(1) as f64,
             pending_tokens: pending_tokens.sum(),
             recent_latency: self.recent_latency as Micros,
@@ -163,13 +163,13 @@
     // ---- Faults ----
 
     /// Sets the fault of the engine and ends any earlier one; `None` only ends it.
-    pub fn set_fault(&mut self, now: Micros, fault: Option<Ail>) {
+    pub fn set_fault(&mut self, now: Micros, fault: Option<EngineFault>) {
         (self.is_hung, self.slowdown, self.unanswered_class) = (false, 1.0, None);
         match fault {
             None => {}
-            Some(Ail::Hang) => self.is_hung = true,
-            Some(Ail::Slow(factor)) => self.slowdown = factor.max(0.01),
-            Some(Ail::ClassUnanswered(class)) => self.unanswered_class = Some(class),
+            Some(EngineFault::Hang) => self.is_hung = true,
+            Some(EngineFault::Slow(factor)) => self.slowdown = factor.max(0.01),
+            Some(EngineFault::ClassUnanswered(class)) => self.unanswered_class = Some(class),
         }
         if self.is_hung {
             self.current_step = None;
@@ -206,7 +206,7 @@
             && self.spec.role != Role::Mixed
         {
             Some(RejectReason::WrongRole)
-        } else if self.running.len() + self.waiting.len() >= self.spec.slots + self.spec.queue
+        } else if self.running.len() + self.waiting.len() >= self.spec.max_running + self.spec.max_waiting
             || job.prompt_tokens > self.spec.kv_tokens
         {
             Some(RejectReason::Full)
@@ -239,12 +239,16 @@
             return false;
         }
         self.cold_arrivals.push_back((now, work));
-        while self.cold_arrivals.front().is_some_and(|(arrived_at, _)| arrived_at + self.spec.tip_after < now)
+        while self
+            .cold_arrivals
+            .front()
+            .is_some_and(|(arrived_at, _)| arrived_at + self.spec.overload_window < now)
         {
             self.cold_arrivals.pop_front();
         }
         let arrived_work: f64 = self.cold_arrivals.iter().map(|(_, work)| work).sum();
-        let capacity = self.spec.fall_multiple * self.speed_fraction(now) * self.spec.tip_after as f64;
+        let capacity =
+            self.spec.overload_multiple * self.speed_fraction(now) * self.spec.overload_window as f64;
         if arrived_work <= capacity {
             return false;
         }
@@ -313,7 +317,7 @@
 
     /// Moves requests from the queue into slots in arrival order, while slots and memory suffice.
     fn admit_waiting(&mut self, events: &mut Vec<EngineEvent>) {
-        while self.running.len() < self.spec.slots {
+        while self.running.len() < self.spec.max_running {
             let Some(next) = self.waiting.front() else { return };
             let needed_tokens = next.job.prompt_tokens + next.written_tokens;
             if self.used_tokens + needed_tokens > self.spec.kv_tokens {
@@ -342,7 +346,7 @@
             return;
         }
         let is_served = |r: &&JobProgress| self.serves_class(&r.job.class);
-        let mut chunk_left = self.spec.chunk;
+        let mut chunk_left = self.spec.max_tokens_per_step;
         let mut reads = Vec::new();
         for running in self.running.iter().filter(is_served).filter(|r| r.is_reading()) {
             let tokens = running.unread_tokens.min(chunk_left);
@@ -361,10 +365,10 @@
         }
         let tokens = reads.iter().map(|(_, tokens)| *tokens as f64).sum::<f64>();
         // The fixed step cost applies only when answers are written.
-        let base_time = if writes.is_empty() { 0.0 } else { self.spec.step as f64 };
+        let base_time = if writes.is_empty() { 0.0 } else { self.spec.step_time_us as f64 };
         let warm_time = base_time
-            + self.spec.step_per_answer as f64 * writes.len() as f64
-            + tokens / self.spec.read_per_s * 1e6;
+            + self.spec.step_time_per_answer_us as f64 * writes.len() as f64
+            + tokens / self.spec.read_tokens_per_s * 1e6;
         let step_time = (warm_time * self.slowdown / self.speed_fraction(now)).max(1.0);
         self.current_step = Some(Step { ends_at: now + step_time as Micros, reads, writes });
     }
--- a/crates/standin/src/model/mod.rs
+++ b/crates/standin/src/model/mod.rs
@@ -26,56 +26,58 @@
 
 /// The capacity of an engine. Speeds are those of a warm engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct EngineSpec {
     pub role: Role,
     /// Requests served at once, and requests that may wait in the queue.
-    pub slots: usize,
-    pub queue: usize,
+    pub max_running: usize,
+    pub max_waiting: usize,
     /// KV memory and capacity of the prefix cache, in tokens.
     pub kv_tokens: u64,
-    pub kept_tokens: u64,
+    pub prefix_cache_tokens: u64,
     /// Prompt tokens per second that an engine reads if it does nothing else.
-    pub read_per_s: f64,
+    pub read_tokens_per_s: f64,
     /// Fixed time of a step that writes, and the time that each running answer adds.
-    pub step: Micros,
-    pub step_per_answer: Micros,
+    pub step_time_us: Micros,
+    pub step_time_per_answer_us: Micros,
     /// Most prompt tokens read in one step.
-    pub chunk: u64,
+    pub max_tokens_per_step: u64,
     /// Fraction of the full speed at a cold start, and the time until the engine is warm.
-    pub cold_from: f64,
-    pub cold_for: Micros,
+    pub cold_start_share: f64,
+    pub cold_duration: Micros,
     /// A cold engine crashes if the work that arrives within `tip_after` exceeds this multiple of its current
     /// capacity.
-    pub fall_multiple: f64,
-    pub tip_after: Micros,
+    pub overload_multiple: f64,
+    pub overload_window: Micros,
 }
 
-impl Default for Spec {
+impl Default for EngineSpec {
     /// A small mixed engine: 20,000 prompt tokens and about 2,000 answer tokens per second.
-    fn default() -> Spec {
-        Spec {
+    fn default() -> EngineSpec {
+        EngineSpec {
             role: Role::Mixed,
-            slots: 64,
-            queue: 32,
+            max_running: 64,
+            max_waiting: 32,
             kv_tokens: 200_000,
-            kept_tokens: 60_000,
-            read_per_s: 20_000.0,
-            step: 8_000,
-            step_per_answer: 200,
-            chunk: 2_048,
-            cold_from: 0.3,
-            cold_for: 12_000_000,
-            fall_multiple: 4.0,
-            tip_after: 2_000_000,
+            prefix_cache_tokens: 60_000,
+            read_tokens_per_s: 20_000.0,
+            step_time_us: 8_000,
+            step_time_per_answer_us: 200,
+            max_tokens_per_step: 2_048,
+            cold_start_share: 0.3,
+            cold_duration: 12_000_000,
+            overload_multiple: 4.0,
+            overload_window: 2_000_000,
         }
     }
 }
 
-impl Spec {
+impl EngineSpec {
     /// Cost of a request, in microseconds of a warm engine with all slots in use.
     pub fn work(&self, unread_tokens: u64, answer_tokens: u64) -> f64 {
-        let full_step = self.step as f64 + self.step_per_answer as f64 * self.slots as f64;
-        unread_tokens as f64 / self.read_per_s * 1e6 + answer_tokens as f64 * full_step / self.slots as f64
+        let full_step =
+            self.step_time_us as f64 + self.step_time_per_answer_us as f64 * self.max_running as f64;
+        unread_tokens as f64 / self.read_tokens_per_s * 1e6
+            + answer_tokens as f64 * full_step / self.max_running as f64
     }
 }
 
@@ -107,10 +109,10 @@
     pub answer_tokens: u64,
 }
 
-/// A fault in the work of an engine. Faults of its sockets are separate: [`crate::host::DoorFault`] and
-/// [`crate::host::Faults`].
+/// A fault in the work of an engine. Faults of its sockets are separate: [`crate::host::AddressFault`] and
+/// [`crate::host::SocketFaults`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ail {
+pub enum EngineFault {
     /// Accepts requests and makes no progress.
     Hang,
     /// Works slower by this factor.
--- a/crates/standin/src/peer.rs
+++ b/crates/standin/src/peer.rs
@@ -11,7 +11,7 @@
 
 /// What the peer does once it has received a request.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct PeerScript {
     /// The bytes to send.
     pub bytes: Vec<u8>,
     /// Closes the connection after the bytes; otherwise it stays open and nothing more is sent.
@@ -19,15 +19,15 @@
 }
 
 /// A running scripted peer; it stops listening when dropped.
-pub struct Peer {
+pub struct ScriptedPeer {
     addr: SocketAddr,
     stop: ListenerHandle,
-    script: Arc<Mutex<Script>>,
+    script: Arc<Mutex<PeerScript>>,
 }
 
-impl Peer {
+impl ScriptedPeer {
     /// Starts a peer at this address.
-    pub fn start(listen: SocketAddr, script: Script) -> std::io::Result<Peer> {
+    pub fn start(listen: SocketAddr, script: PeerScript) -> std::io::Result<ScriptedPeer> {
         let listener = Listener::bind(listen)?;
         let (addr, stop) = (listener.addr(), listener.handle());
         let script = Arc::new(Mutex::new(script));
@@ -49,7 +49,7 @@
             };
             listener.serve(on_connection, |_| {});
         });
-        Ok(Peer { addr, stop, script })
+        Ok(ScriptedPeer { addr, stop, script })
     }
 
     /// The address that it listens on.
@@ -58,12 +58,12 @@
     }
 
     /// Replaces the script for new connections.
-    pub fn script(&self, script: Script) {
+    pub fn script(&self, script: PeerScript) {
         *lock(&self.script) = script;
     }
 }
 
-impl Drop for Peer {
+impl Drop for ScriptedPeer {
     fn drop(&mut self) {
         self.stop.stop();
     }
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -28,7 +28,7 @@
     sent_versions: Vec<u64>,
 }
 
-/// A mock discovery agent on one address. Clones and agents from [`Discovery::beside`] share the list.
+/// A mock discovery agent on one address. Clones and agents from [`Discovery::start_replica`] share the list.
 #[derive(Clone)]
 pub struct Discovery {
     pub addr: SocketAddr,
@@ -42,7 +42,7 @@
     }
 
     /// Starts another agent with the same list at another address.
-    pub fn beside(&self) -> std::io::Result<Discovery> {
+    pub fn start_replica(&self) -> std::io::Result<Discovery> {
         Discovery::open(self.inner.clone())
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Adds a change of these hosts, given as the entries of a list, and sends it on the watches.
-    pub fn change(&self, hosts: Vec<Value>) {
+    pub fn publish_change(&self, hosts: Vec<Value>) {
         let mut inner = self.lock();
         inner.seq += 1;
         let seq = inner.seq;
@@ -143,12 +143,12 @@
     }
 
     /// Sends an incomplete JSON line on the watches as the change of a new version.
-    pub fn garble(&self) {
-        self.inject("{\"seq\":");
+    pub fn send_malformed_line(&self) {
+        self.send_line("{\"seq\":");
     }
 
     /// Sends any line on the watches as the change of a new version.
-    pub fn inject(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         let mut inner = self.lock();
         inner.seq += 1;
         let seq = inner.seq;
@@ -156,7 +156,7 @@
     }
 
     /// Makes the agent silent, or ends its silence. Closes the connections left unanswered.
-    pub fn silence(&self, is_silent: bool) {
+    pub fn set_silent(&self, is_silent: bool) {
         let mut inner = self.lock();
         inner.is_silent = is_silent;
         for connection in inner.unanswered.drain(..) {
@@ -165,13 +165,13 @@
     }
 
     /// Returns the number of watches that were sent the newest version, ended watches included.
-    pub fn told(&self) -> usize {
+    pub fn up_to_date_watches(&self) -> usize {
         let inner = self.lock();
         inner.sent_versions.iter().filter(|version| **version >= inner.seq).count()
     }
 
     /// Returns the targets of the requests received.
-    pub fn asked(&self) -> Vec<String> {
+    pub fn request_targets(&self) -> Vec<String> {
         self.lock().request_targets.clone()
     }
 }
--- a/crates/standin/src/platform/engine.rs
+++ b/crates/standin/src/platform/engine.rs
@@ -11,7 +11,7 @@
 
 use elderstage_protocol::http::{self, Limits, Request};
 
-use super::{How, Pass, Traffic};
+use super::{AttemptEnd, EngineEvent, Traffic};
 
 /// Number of content events in an answer, and the pause after each.
 const ANSWER_EVENTS: usize = 6;
@@ -115,22 +115,22 @@
     fn serve_request(&self, stream: &mut TcpStream, connection_id: u64, head: &Request, body: &[u8]) -> bool {
         if let Some(trace) = head.target.strip_prefix("/kv/leases/").filter(|_| head.method == "DELETE") {
             self.traffic.release_state(trace);
-            self.traffic.record(&self.name, self.role, Pass::Released { trace: trace.to_owned() });
+            self.traffic.record(&self.name, self.role, EngineEvent::Released { trace: trace.to_owned() });
             return EngineHandler::send_response(stream, 204, &[], b"");
         }
         if head.method == "GET" && head.target == "/-/load" {
-            self.traffic.record(&self.name, self.role, Pass::Probed);
+            self.traffic.record(&self.name, self.role, EngineEvent::Probed);
             return EngineHandler::send_response(stream, 200, &[], b"TEXT lat_ms=10.5, x0=0.1, x1=0");
         }
         let trace = head.headers.get("x-trace-id").unwrap_or_default().to_owned();
         if head.target != "/v1/chat/completions" || trace.is_empty() || !body.starts_with(b"{") {
             let what = format!("{} {} with {} bytes, id {trace:?}", head.method, head.target, body.len());
-            self.traffic.record(&self.name, self.role, Pass::Unknown { what });
+            self.traffic.record(&self.name, self.role, EngineEvent::Unknown { what });
             return EngineHandler::send_response(stream, 400, &[], b"");
         }
         let expires_ms = head.headers.get("x-expires-in-ms").and_then(|text| text.parse().ok());
         let is_second = self.traffic.begin_request(&trace, connection_id, stream);
-        let pass = Pass::Begun {
+        let pass = EngineEvent::Begun {
             trace: trace.clone(),
             connection: connection_id,
             body: body.len(),
@@ -141,14 +141,24 @@
         let attempt = self.traffic.count_attempt(&trace, self.role);
         let (how, keep_open) = self.run_case(stream, connection_id, &trace, attempt);
         self.traffic.end_request(&trace, connection_id);
-        self.traffic.record(&self.name, self.role, Pass::Ended { trace, connection: connection_id, how });
+        self.traffic.record(
+            &self.name,
+            self.role,
+            EngineEvent::Ended { trace, connection: connection_id, how },
+        );
         keep_open
     }
 
     /// Runs the case that the request id names. A case that ends in `-first` applies only to the first
     /// attempt; later attempts are served normally. Returns how the attempt ended and whether the connection
     /// stays open.
-    fn run_case(&self, stream: &mut TcpStream, connection_id: u64, trace: &str, attempt: u32) -> (How, bool) {
+    fn run_case(
+        &self,
+        stream: &mut TcpStream,
+        connection_id: u64,
+        trace: &str,
+        attempt: u32,
+    ) -> (AttemptEnd, bool) {
         // The request is recorded as ended before its last byte is sent, because the peer may send the next
         // attempt before this thread continues.
         let send_final = |stream: &mut TcpStream, status: u16, headers: &[(&str, &str)], body: &[u8]| {
@@ -163,32 +173,38 @@
         };
         if self.role == Role::Reader {
             return match case {
-                "reader-500" => (How::MayHaveRun, send_final(stream, 500, &[], b"")),
-                "reader-full" => (How::NeverRan, send_final(stream, 503, &[("x-never-ran", "1")], b"")),
+                "reader-500" => (AttemptEnd::MayHaveRun, send_final(stream, 500, &[], b"")),
+                "reader-full" => {
+                    (AttemptEnd::NeverRan, send_final(stream, 503, &[("x-never-ran", "1")], b""))
+                }
                 // The prompt read succeeds but the connection breaks: the state is held nevertheless.
                 "reader-breaks" => {
                     self.traffic.hold_state(&self.name, trace);
-                    (How::MayHaveRun, false)
+                    (AttemptEnd::MayHaveRun, false)
                 }
                 "reader-silent" => {
                     self.traffic.hold_state(&self.name, trace);
-                    (How::MayHaveRun, wait_for_close(stream))
+                    (AttemptEnd::MayHaveRun, wait_for_close(stream))
                 }
                 _ => {
                     self.traffic.hold_state(&self.name, trace);
-                    (How::Read, send_final(stream, 202, &[], b"{\"cached_tokens\":96}"))
+                    (AttemptEnd::Read, send_final(stream, 202, &[], b"{\"cached_tokens\":96}"))
                 }
             };
         }
         match case {
-            "writer-500" => return (How::MayHaveRun, send_final(stream, 500, &[], b"oops")),
-            "writer-full" => return (How::NeverRan, send_final(stream, 503, &[("x-never-ran", "1")], b"")),
-            "writer-gone" => return (How::NeverRan, send_final(stream, 410, &[("x-never-ran", "1")], b"")),
+            "writer-500" => return (AttemptEnd::MayHaveRun, send_final(stream, 500, &[], b"oops")),
+            "writer-full" => {
+                return (AttemptEnd::NeverRan, send_final(stream, 503, &[("x-never-ran", "1")], b""));
+            }
+            "writer-gone" => {
+                return (AttemptEnd::NeverRan, send_final(stream, 410, &[("x-never-ran", "1")], b""));
+            }
             "writer-503" => {
-                return (How::MayHaveRun, send_final(stream, 503, &[("retry-after", "0.2")], b""));
+                return (AttemptEnd::MayHaveRun, send_final(stream, 503, &[("retry-after", "0.2")], b""));
             }
-            "writer-breaks" => return (How::MayHaveRun, false),
-            "writer-silent" => return (How::MayHaveRun, wait_for_close(stream)),
+            "writer-breaks" => return (AttemptEnd::MayHaveRun, false),
+            "writer-silent" => return (AttemptEnd::MayHaveRun, wait_for_close(stream)),
             "spoilt-noise" => return send_malformed(stream, b"\x00\x16\x03noise that is no answer\r\n\r\n"),
             "spoilt-head" => return send_malformed(stream, b"HTTP/1.1 200 OK\r\nbad header line\r\n\r\n"),
             "spoilt-endless-head" => return send_endless_head(stream),
@@ -211,13 +227,13 @@
         for n in 0..ANSWER_EVENTS {
             http::write_chunk(event_text(n).as_bytes(), &mut out);
             if stream.write_all(&out).is_err() {
-                return (How::MayHaveRun, false);
+                return (AttemptEnd::MayHaveRun, false);
             }
             out.clear();
             std::thread::sleep(EVENT_INTERVAL);
             if n == ANSWER_EVENTS / 2 {
                 match case {
-                    "late-breaks" => return (How::MayHaveRun, false),
+                    "late-breaks" => return (AttemptEnd::MayHaveRun, false),
                     "late-size" => return send_malformed(stream, b"xyz\r\ndata: {\"noise\":1}\n\n\r\n"),
                     "late-misfit" => {
                         return send_malformed(stream, b"5\r\ndata: {\"noise\":1}\n\n\r\n0\r\n\r\n");
@@ -251,12 +267,12 @@
                 handler.traffic.record(
                     &handler.name,
                     handler.role,
-                    Pass::SecondAnswer { after: first_answer_at.elapsed() },
+                    EngineEvent::SecondAnswer { after: first_answer_at.elapsed() },
                 );
                 written
             });
         }
-        (if sent { How::Served } else { How::MayHaveRun }, sent)
+        (if sent { AttemptEnd::Served } else { AttemptEnd::MayHaveRun }, sent)
     }
 }
 
@@ -275,24 +291,24 @@
 }
 
 /// Sends bytes that are not valid HTTP and leaves the connection open until the peer closes it.
-fn send_malformed(stream: &mut TcpStream, bytes: &[u8]) -> (How, bool) {
+fn send_malformed(stream: &mut TcpStream, bytes: &[u8]) -> (AttemptEnd, bool) {
     let _ = stream.write_all(bytes);
-    (How::MayHaveRun, wait_for_close(stream))
+    (AttemptEnd::MayHaveRun, wait_for_close(stream))
 }
 
 /// Sends a response head that does not end.
-fn send_endless_head(stream: &mut TcpStream) -> (How, bool) {
+fn send_endless_head(stream: &mut TcpStream) -> (AttemptEnd, bool) {
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n");
     for n in 0..ENDLESS_BYTES / 32 {
         if stream.write_all(format!("x-filler-{n}: aaaaaaaaaaaaaaa\r\n").as_bytes()).is_err() {
             break;
         }
     }
-    (How::MayHaveRun, false)
+    (AttemptEnd::MayHaveRun, false)
 }
 
 /// Sends the start of a chunk that claims a size of 3 GiB.
-fn send_huge_chunk(stream: &mut TcpStream) -> (How, bool) {
+fn send_huge_chunk(stream: &mut TcpStream) -> (AttemptEnd, bool) {
     let _ = stream.write_all(b"c0000000\r\n");
     let piece = [b'x'; 4096];
     for _ in 0..ENDLESS_BYTES / piece.len() {
@@ -300,7 +316,7 @@
             break;
         }
     }
-    (How::MayHaveRun, false)
+    (AttemptEnd::MayHaveRun, false)
 }
 
 /// Waits until the peer closes or [`SILENT_TIMEOUT`] passes. Always returns `false`: the connection is done.
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -22,12 +22,12 @@
 
 /// An event at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum EngineEvent {
     /// A request was received completely. `second`: another attempt of the same request is in progress on a
     /// connection that is still open.
     Begun { trace: String, connection: u64, body: usize, expires_ms: Option<u64>, second: bool },
     /// The attempt ended: its answer was sent completely or malformed, or its connection ended.
-    Ended { trace: String, connection: u64, how: How },
+    Ended { trace: String, connection: u64, how: AttemptEnd },
     /// A release of a state was received.
     Released { trace: String },
     /// A load probe was received.
@@ -40,7 +40,7 @@
 
 /// How an attempt ended at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum AttemptEnd {
     /// The prompt was read and its state is held.
     Read,
     /// The answer was sent completely.
@@ -53,11 +53,11 @@
 
 /// An event with its time and engine.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RecordedEvent {
     pub at: Instant,
     pub engine: String,
     pub role: Role,
-    pub pass: Pass,
+    pub pass: EngineEvent,
 }
 
 /// `MSG_PEEK | MSG_DONTWAIT` on Linux: looks at received bytes without consuming them or blocking.
@@ -75,7 +75,7 @@
 
 #[derive(Default)]
 struct Inner {
-    seen: Vec<Seen>,
+    seen: Vec<RecordedEvent>,
     /// Readers that hold a state, by request.
     held_states: BTreeMap<String, BTreeSet<String>>,
     /// Connections on which a request is in progress, by its id.
@@ -89,8 +89,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn record(&self, engine: &str, role: Role, pass: Pass) {
-        self.lock().seen.push(Seen { at: Instant::now(), engine: engine.to_owned(), role, pass });
+    fn record(&self, engine: &str, role: Role, pass: EngineEvent) {
+        self.lock().seen.push(RecordedEvent { at: Instant::now(), engine: engine.to_owned(), role, pass });
     }
 
     /// Records that a request is in progress on a connection. Returns whether it is also in progress on
@@ -134,19 +134,19 @@
     }
 
     /// Returns all events so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn events(&self) -> Vec<RecordedEvent> {
         self.lock().seen.clone()
     }
 
     /// Returns the requests whose state is held.
-    pub fn held(&self) -> Vec<String> {
+    pub fn held_states(&self) -> Vec<String> {
         self.lock().held_states.keys().cloned().collect()
     }
 
     /// Returns how the attempts of a request at writers ended, in order.
-    pub fn attempts(&self, trace: &str) -> Vec<How> {
-        let how_ended = |seen: &Seen| match &seen.pass {
-            Pass::Ended { trace: ended, how, .. } if ended == trace && seen.role == Role::Writer => {
+    pub fn attempts(&self, trace: &str) -> Vec<AttemptEnd> {
+        let how_ended = |seen: &RecordedEvent| match &seen.pass {
+            EngineEvent::Ended { trace: ended, how, .. } if ended == trace && seen.role == Role::Writer => {
                 Some(*how)
             }
             _ => None,
@@ -157,11 +157,11 @@
     /// Checks the traffic and returns the violations: two attempts of one request in progress together, or a
     /// request sent again after it may have run although it must not be repeated. `is_once` tells whether an
     /// id must not be repeated.
-    pub fn judge(&self, is_once: impl Fn(&str) -> bool) -> Vec<String> {
+    pub fn violations(&self, is_once: impl Fn(&str) -> bool) -> Vec<String> {
         let (mut may_have_run, mut violations) = (BTreeSet::new(), Vec::new());
-        for seen in self.seen() {
+        for seen in self.events() {
             match seen.pass {
-                Pass::Begun { trace, connection, second, .. } => {
+                EngineEvent::Begun { trace, connection, second, .. } => {
                     if second {
                         violations.push(format!(
                             "{trace}: sent on connection {connection} while another attempt is in progress"
@@ -171,14 +171,15 @@
                         violations.push(format!("{trace}: sent again after it may have run"));
                     }
                 }
-                Pass::Ended { trace, how, .. } => {
+                EngineEvent::Ended { trace, how, .. } => {
                     // An attempt at a reader has no effect, however it ends.
-                    if seen.role == Role::Writer && matches!(how, How::Served | How::MayHaveRun) {
+                    if seen.role == Role::Writer && matches!(how, AttemptEnd::Served | AttemptEnd::MayHaveRun)
+                    {
                         may_have_run.insert(trace);
                     }
                 }
-                Pass::Unknown { what } => violations.push(format!("an engine received {what}")),
-                Pass::Released { .. } | Pass::Probed | Pass::SecondAnswer { .. } => {}
+                EngineEvent::Unknown { what } => violations.push(format!("an engine received {what}")),
+                EngineEvent::Released { .. } | EngineEvent::Probed | EngineEvent::SecondAnswer { .. } => {}
             }
         }
         violations
@@ -203,13 +204,13 @@
         for n in 0..writers {
             engines.push(Engine::start(&format!("writer-{n}"), Role::Writer, &traffic)?);
         }
-        let discovery = Discovery::start(Platform::list(&engines, |_| "SERVING"))?;
+        let discovery = Discovery::start(Platform::host_list(&engines, |_| "SERVING"))?;
         Ok(Platform { traffic, engines, discovery })
     }
 
     /// Returns the engines as hosts of a discovery list, each with the health that `health` returns for its
     /// name.
-    pub fn list(engines: &[Engine], health: impl Fn(&str) -> &'static str) -> Vec<Value> {
+    pub fn host_list(engines: &[Engine], health: impl Fn(&str) -> &'static str) -> Vec<Value> {
         let host = |engine: &Engine| {
             json!({"host": engine.name, "dial": engine.addr.to_string(), "site": "here",
                 "class": if engine.role == Role::Reader { "reads" } else { "writes" },
@@ -221,7 +222,8 @@
     /// Returns a node configuration. Requests of class `plain` may be repeated, those of class `once` may
     /// not. With `lists_servers` the configuration lists the engines already.
     pub fn config(&self, listen: SocketAddr, discovery: SocketAddr, lists_servers: bool) -> Value {
-        let hosts = if lists_servers { Platform::list(&self.engines, |_| "SERVING") } else { Vec::new() };
+        let hosts =
+            if lists_servers { Platform::host_list(&self.engines, |_| "SERVING") } else { Vec::new() };
         let class = |name: &str, semantics: &str| {
             json!({"name": name, "semantics": semantics, "aim-us": 1_000_000, "give-up-us": 4_000_000,
                 "late-value": 0.1, "worth": 1.0, "streamed": true})
@@ -245,7 +247,7 @@
     }
 
     /// Waits until the condition holds, at most for `timeout`. Returns whether it held.
-    pub fn until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
         let deadline = Instant::now() + timeout;
         while !condition() {
             if Instant::now() >= deadline {
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use crate::host::lock;
-use crate::traffic::{Log, Seen};
+use crate::traffic::{Log, TrafficEvent};
 
 /// A connection that sends no request for this time is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -85,12 +85,12 @@
     }
 
     /// Number of orders placed so far.
-    pub fn orders(&self) -> u64 {
+    pub fn order_count(&self) -> u64 {
         self.shared.order_count.load(Ordering::SeqCst)
     }
 
     /// Sets the fault; it applies to later calls.
-    pub fn fault(&self, fault: ToolFault) {
+    pub fn set_fault(&self, fault: ToolFault) {
         *lock(&self.shared.fault) = fault;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Listens again at the same address if it was killed.
-    pub fn revive(&self) -> std::io::Result<()> {
+    pub fn restart(&self) -> std::io::Result<()> {
         if lock(&self.shared.listener_stop).is_none() {
             start_listening(&self.shared, Listener::bind(self.shared.addr)?);
         }
@@ -233,9 +233,10 @@
         send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
         return Ok(true);
     };
-    let log_event = |event| shared.log.see(&shared.name, event);
-    let log_outcome = |outcome: &str| log_event(Seen::ToolAnswered { rid: rid.clone(), how: outcome.into() });
-    log_event(Seen::ToolReceived { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
+    let log_event = |event| shared.log.record(&shared.name, event);
+    let log_outcome =
+        |outcome: &str| log_event(TrafficEvent::ToolAnswered { rid: rid.clone(), how: outcome.into() });
+    log_event(TrafficEvent::ToolReceived { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
     let fault = lock(&shared.fault).clone();
     match fault {
         ToolFault::Hang => {
@@ -253,7 +254,7 @@
         }
         _ => {}
     }
-    log_event(Seen::ToolRan { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
+    log_event(TrafficEvent::ToolRan { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
     let result_text = if has_effect {
         format!("order {} placed", shared.order_count.fetch_add(1, Ordering::SeqCst) + 1)
     } else {
--- a/crates/standin/src/traffic.rs
+++ b/crates/standin/src/traffic.rs
@@ -29,16 +29,26 @@
     /// Name of the engine, tool server, client driver or operator script that saw it.
     pub who: String,
     #[serde(flatten)]
-    pub what: Seen,
+    pub what: TrafficEvent,
 }
 
 /// What was seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum TrafficEvent {
     // ---- Engines ----
     /// The process of an engine has started.
-    Up { cold: bool, cold_from: f64, cold_for: u64, fall_multiple: f64, tip_after: u64 },
+    Up {
+        cold: bool,
+        #[serde(rename = "cold_from")]
+        cold_start_share: f64,
+        #[serde(rename = "cold_for")]
+        cold_duration: u64,
+        #[serde(rename = "fall_multiple")]
+        overload_multiple: f64,
+        #[serde(rename = "tip_after")]
+        overload_window: u64,
+    },
     /// The process of an engine has ended.
     Down,
     /// A cold engine has crashed under too much work.
@@ -97,7 +107,7 @@
 pub struct Log(Option<Sender<LogMessage>>);
 
 /// Owner of the thread that collects and writes the records.
-pub struct Writer {
+pub struct LogWriter {
     sender: Sender<LogMessage>,
     thread: JoinHandle<std::io::Result<Vec<Record>>>,
 }
@@ -110,19 +120,19 @@
 
     /// Starts a log that collects the records, writes them to the file at `path` if given and sends a copy of
     /// each to `tap` if given.
-    pub fn start(path: Option<&Path>, tap: Option<Sender<Record>>) -> std::io::Result<(Log, Writer)> {
+    pub fn start(path: Option<&Path>, tap: Option<Sender<Record>>) -> std::io::Result<(Log, LogWriter)> {
         let file = path.map(std::fs::File::create).transpose()?;
         let (sender, receiver) = unbounded();
         let thread = std::thread::Builder::new()
             .name("traffic".into())
             .spawn(move || run_writer(&receiver, file.map(BufWriter::new), tap.as_ref()))?;
-        Ok((Log(Some(sender.clone())), Writer { sender, thread }))
+        Ok((Log(Some(sender.clone())), LogWriter { sender, thread }))
     }
 
     /// Records an event seen by `who`.
-    pub fn see(&self, who: &str, event: Seen) {
+    pub fn record(&self, who: &str, event: TrafficEvent) {
         if let Some(sender) = &self.0 {
-            // The send fails only after `Writer::finish`; by then nothing records any more.
+            // The send fails only after `LogWriter::finish`; by then nothing records any more.
             let _ = sender.send(LogMessage::Record(Box::new(Record {
                 at: unix_us(),
                 who: who.into(),
@@ -132,7 +142,7 @@
     }
 }
 
-impl Writer {
+impl LogWriter {
     /// Ends the log and returns the records, ordered by time.
     pub fn finish(self) -> std::io::Result<Vec<Record>> {
         let _ = self.sender.send(LogMessage::Stop);
@@ -181,6 +191,6 @@
 }
 
 /// Parses records from JSON lines.
-pub fn read(text: &str) -> Result<Vec<Record>, serde_json::Error> {
+pub fn parse_records(text: &str) -> Result<Vec<Record>, serde_json::Error> {
     text.lines().filter(|line| !line.trim().is_empty()).map(serde_json::from_str).collect()
 }
--- a/crates/standin/tests/model.rs
+++ b/crates/standin/tests/model.rs
@@ -1,7 +1,8 @@
 //! Tests of the engine model in simulated time.
 
 use elderstage_standin::model::{
-    Ail, BLOCK_TOKENS, Engine, EngineEvent, Job, JobId, RejectReason, Role, Spec, Task, block_hashes,
+    BLOCK_TOKENS, Engine, EngineEvent, EngineFault, EngineSpec, Job, JobId, RejectReason, Role, Task,
+    block_hashes,
 };
 
 const MS: u64 = 1_000;
@@ -12,21 +13,21 @@
     events: Vec<(u64, EngineEvent)>,
 }
 
-fn spec(role: Role) -> Spec {
-    Spec {
+fn spec(role: Role) -> EngineSpec {
+    EngineSpec {
         role,
-        slots: 2,
-        queue: 2,
+        max_running: 2,
+        max_waiting: 2,
         kv_tokens: 10_000,
-        kept_tokens: 4_000,
-        read_per_s: 10_000.0,
-        step: 10 * MS,
-        step_per_answer: MS,
-        chunk: 1_000,
-        cold_from: 0.5,
-        cold_for: 10_000 * MS,
-        fall_multiple: 2.0,
-        tip_after: 1_000 * MS,
+        prefix_cache_tokens: 4_000,
+        read_tokens_per_s: 10_000.0,
+        step_time_us: 10 * MS,
+        step_time_per_answer_us: MS,
+        max_tokens_per_step: 1_000,
+        cold_start_share: 0.5,
+        cold_duration: 10_000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 1_000 * MS,
     }
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl Simulation {
-    fn new(spec: Spec, cold: bool) -> Simulation {
+    fn new(spec: EngineSpec, cold: bool) -> Simulation {
         Simulation { engine: Engine::new(spec, 1, cold), now: 1, events: Vec::new() }
     }
 
@@ -156,7 +157,7 @@
 
 #[test]
 fn a_preempted_answer_is_read_again_and_repeats_no_token() {
-    let mut sim = Simulation::new(Spec { kv_tokens: 1_030, ..spec(Role::Mixed) }, false);
+    let mut sim = Simulation::new(EngineSpec { kv_tokens: 1_030, ..spec(Role::Mixed) }, false);
     sim.start(job(1, Task::ReadAndWrite, 500, 40));
     sim.run(60 * MS);
     sim.start(job(2, Task::ReadAndWrite, 500, 40));
@@ -176,15 +177,15 @@
 #[test]
 fn work_resumes_after_an_engine_fault_ends() {
     let mut sim = Simulation::new(spec(Role::Mixed), false);
-    sim.engine.set_fault(sim.now, Some(Ail::Hang));
+    sim.engine.set_fault(sim.now, Some(EngineFault::Hang));
     sim.start(job(1, Task::ReadAndWrite, 100, 2));
     sim.run(5_000 * MS);
     assert!(sim.events.is_empty());
-    sim.engine.set_fault(sim.now, Some(Ail::ClassUnanswered("ask".into())));
+    sim.engine.set_fault(sim.now, Some(EngineFault::ClassUnanswered("ask".into())));
     sim.start(Job { class: "order".into(), ..job(2, Task::ReadAndWrite, 100, 2) });
     sim.run(1_000 * MS);
     assert_eq!((sim.tokens(1).len(), sim.tokens(2).len()), (0, 2));
-    sim.engine.set_fault(sim.now, Some(Ail::Slow(10.0)));
+    sim.engine.set_fault(sim.now, Some(EngineFault::Slow(10.0)));
     let begun = sim.now;
     sim.run(5_000 * MS);
     let first = sim.time_of(|event| matches!(event, EngineEvent::Token { id: JobId(1), index: 0 })).unwrap();
