--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use elderstage_front::Front;
-use elderstage_rehearsal::fleet::{Fleet, demo as demo_site};
+use elderstage_rehearsal::fleet::{Fleet, demo_site};
 use elderstage_standin::traffic::Log;
 
 /// Runs the demo with a front that listens on `listen`, until a signal stops it.
@@ -17,8 +17,8 @@
     let write = |name: &str, text: String| {
         std::fs::write(dir.join(name), text).map_err(|error| format!("{name}: {error}"))
     };
-    let text = fleet.config(&format!("    listen {listen}\n    zone a"), "servers.conf");
-    write("servers.conf", fleet.servers(&fleet.listed))?;
+    let text = fleet.front_config_text(&format!("    listen {listen}\n    zone a"), "servers.conf");
+    write("servers.conf", fleet.server_list_text(&fleet.initial_states))?;
     write("front.conf", text.clone())?;
     let config = elderstage_config::parse("front.conf", &text).map_err(|errors| errors.to_string())?;
     let front = Front::start(config, &dir, 1).map_err(|error| error.to_string())?;
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -77,8 +77,8 @@
         }
         MeasureCommand::Open { streams } => measure::open_streams(&program, *streams),
         MeasureCommand::Decisions { servers, requests } => Ok(measure::decisions(*servers, *requests)),
-        MeasureCommand::Addresses { seed } => Ok(paths::by_fault(*seed)),
-        MeasureCommand::Outage { servers, seed } => Ok(paths::outages(*servers, *seed)),
+        MeasureCommand::Addresses { seed } => Ok(paths::delay_table(*seed)),
+        MeasureCommand::Outage { servers, seed } => Ok(paths::outage_table(*servers, *seed)),
         MeasureCommand::Connect { rounds } => measure::connects(*rounds),
         MeasureCommand::RelayProcess { target, addr_file } => {
             measure::relay(*target, addr_file).map(|()| serde_json::Value::Null)
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use elderstage_rehearsal::day;
-use elderstage_rehearsal::play::{Options, play};
+use elderstage_rehearsal::play::{RunOptions, run_script};
 use indicatif::{ProgressBar, ProgressStyle};
 
 /// Plays `script`, prints the report, and writes it as JSON to `json` if given. The files of the run stay in `keep`, or
@@ -32,8 +32,9 @@
         progress_bar.set_style(style);
     }
     progress_bar.set_message(day.name.clone());
-    let options = Options { program: &program, dir, progress: &|started| progress_bar.set_position(started) };
-    let report = play(&day, &options).map_err(|error| error.to_string());
+    let options =
+        RunOptions { program: &program, dir, progress: &|started| progress_bar.set_position(started) };
+    let report = run_script(&day, &options).map_err(|error| error.to_string());
     progress_bar.finish_and_clear();
     if keep.is_none() {
         // The directory contains only the files of this run.
@@ -45,5 +46,5 @@
         let text = format!("{:#}\n", report.json());
         std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))?;
     }
-    Ok(if report.good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if report.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use elderstage_net::{EndpointPath, connect, exchange};
-use elderstage_rehearsal::fleet::{Fleet, demo};
+use elderstage_rehearsal::fleet::{Fleet, demo_site};
 use elderstage_standin::traffic::Log;
 
 /// Time limit of each wait.
@@ -39,9 +39,9 @@
 /// runs before it.
 fn start_front(name: &str, fleet: &Fleet, setup: &str) -> RunningFront {
     let dir = temporary_dir(name);
-    std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed)).unwrap();
+    std::fs::write(dir.join("servers.conf"), fleet.server_list_text(&fleet.initial_states)).unwrap();
     let config = dir.join("front.conf");
-    std::fs::write(&config, fleet.config("listen 127.0.0.1:0\nzone a", "servers.conf")).unwrap();
+    std::fs::write(&config, fleet.front_config_text("listen 127.0.0.1:0\nzone a", "servers.conf")).unwrap();
     let addr_file = dir.join("addr");
     let shell_command = format!(
         "{setup} exec {PROGRAM} --log json serve --config {} --addr-file {}",
@@ -70,7 +70,7 @@
 /// Starts the stand-in engines and the tool server of the demo.
 fn start_fleet() -> Fleet {
     elderstage_net::init(2);
-    Fleet::start(demo(), &Log::none()).unwrap()
+    Fleet::start(demo_site(), &Log::none()).unwrap()
 }
 
 /// Calls the tool `ask` for an answer of `words` words, and returns the body of the response.
--- a/crates/front/tests/addresses.rs
+++ b/crates/front/tests/addresses.rs
@@ -14,7 +14,7 @@
 const ALL_FAMILIES: [AddressFamily; 3] = [AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
 
 fn set_families(families: &'static [AddressFamily]) -> impl Fn(&mut Site) {
-    move |site| site.engines.iter_mut().for_each(|engine| engine.ways = families.to_vec())
+    move |site| site.engines.iter_mut().for_each(|engine| engine.address_families = families.to_vec())
 }
 
 const ORDER: &str = "[words 3] [call place_order]";
@@ -107,7 +107,7 @@
     {
         let short_give_up = |site: &mut Site| {
             set_families(&[AddressFamily::V6, AddressFamily::V4])(site);
-            site.rest = site.rest.replace("give-up 12s", "give-up 3s");
+            site.extra_directives = site.extra_directives.replace("give-up 12s", "give-up 3s");
         };
         let cluster = TestCluster::start(short_give_up, "stall 1s", "");
         for writer in ["w1", "w2", "m1"] {
@@ -171,10 +171,10 @@
     serve_orders(&cluster, 3);
     let open = || ["w1", "w2"].map(|name| cluster.host(name).connections());
     assert!(open().iter().sum::<usize>() > 0);
-    let list = cluster.fleet.servers(
+    let list = cluster.fleet.server_list_text(
         &cluster
             .fleet
-            .listed
+            .initial_states
             .iter()
             .map(|(name, state)| (name.clone(), if name.starts_with('w') { "gone" } else { *state }))
             .collect(),
@@ -193,7 +193,7 @@
 #[test]
 fn addresses_may_change_during_attempts_and_one_engine_may_have_two_names() {
     let cluster = TestCluster::start(set_families(&[AddressFamily::V6, AddressFamily::V4]), "", "");
-    let original = cluster.fleet.servers(&cluster.fleet.listed);
+    let original = cluster.fleet.server_list_text(&cluster.fleet.initial_states);
     let reversed: String = original
         .lines()
         .map(|line| match line.trim().strip_prefix("address ").and_then(|list| list.split_once(' ')) {
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -12,9 +12,9 @@
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::place::AddressFamily;
 use elderstage_protocol::{mcp, sse};
-use elderstage_rehearsal::fleet::{Fleet, Site, demo};
-use elderstage_rehearsal::play::figures;
-use elderstage_rehearsal::rules::{Figures, judge};
+use elderstage_rehearsal::fleet::{Fleet, Site, demo_site};
+use elderstage_rehearsal::play::rule_limits;
+use elderstage_rehearsal::rules::{RuleLimits, check_rules};
 use elderstage_standin::host::AddressFault;
 use elderstage_standin::traffic::{Log, LogWriter, Record};
 use serde_json::{Value, json};
@@ -28,7 +28,7 @@
     pub front: Option<Front>,
     pub addr: SocketAddr,
     pub dir: PathBuf,
-    figures: Figures,
+    figures: RuleLimits,
     writer: Option<LogWriter>,
 }
 
@@ -56,18 +56,18 @@
         edit: impl Fn(String, &Fleet) -> String,
     ) -> TestCluster {
         elderstage_net::init(2);
-        let mut site = demo();
+        let mut site = demo_site();
         change(&mut site);
-        site.rest.push_str(&format!("rules {{\n{rules}\n}}\n"));
+        site.extra_directives.push_str(&format!("rules {{\n{rules}\n}}\n"));
         let (log, writer) = Log::start(None, None).unwrap();
         let fleet = Fleet::start(site, &log).unwrap();
         let dir = create_temp_dir();
-        std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed)).unwrap();
+        std::fs::write(dir.join("servers.conf"), fleet.server_list_text(&fleet.initial_states)).unwrap();
         let section = format!("listen 127.0.0.1:0\nzone a\n{front}");
-        let text = edit(fleet.config(&section, "servers.conf"), &fleet);
+        let text = edit(fleet.front_config_text(&section, "servers.conf"), &fleet);
         let config =
             elderstage_config::parse("front.conf", &text).unwrap_or_else(|errors| panic!("{errors}"));
-        let figures = figures(&config);
+        let figures = rule_limits(&config);
         let front = Front::start(config, &dir, 1).unwrap();
         let addr = front.addr();
         TestCluster { fleet, front: Some(front), addr, dir, figures, writer: Some(writer) }
@@ -107,8 +107,8 @@
         self.front.take().unwrap().finish(&AtomicBool::new(false));
         self.fleet.stop();
         let records = self.writer.take().unwrap().finish().unwrap();
-        for verdict in judge(&records, &self.figures) {
-            assert!(verdict.broken.is_empty(), "{}: {:?}", verdict.rule, verdict.broken);
+        for verdict in check_rules(&records, &self.figures) {
+            assert!(verdict.violations.is_empty(), "{}: {:?}", verdict.rule, verdict.violations);
         }
         std::fs::remove_dir_all(&self.dir).unwrap();
         records
@@ -140,7 +140,7 @@
 
     /// Sets the fault of one engine's addresses of a family, or of all engines'.
     pub fn set_fault(&self, engine: Option<&str>, family: AddressFamily, fault: AddressFault) {
-        self.fleet.fault(engine, family, fault).unwrap();
+        self.fleet.set_address_fault(engine, family, fault).unwrap();
     }
 
     /// Opens an MCP session and returns its id.
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -76,8 +76,8 @@
     }
     // While the request is held because no server accepts it.
     let cluster = TestCluster::start_default();
-    let list = cluster.fleet.listed.keys().map(|name| (name.clone(), "draining")).collect();
-    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.servers(&list)).unwrap();
+    let list = cluster.fleet.initial_states.keys().map(|name| (name.clone(), "draining")).collect();
+    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.server_list_text(&list)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
     let call = cluster.call("order", ORDER);
     cluster.wait_until("request held", |status| status.held == 1);
@@ -280,12 +280,12 @@
 #[test]
 fn draining_and_dead_servers_are_avoided() {
     let cluster = TestCluster::start_default();
-    let mut list = cluster.fleet.listed.clone();
+    let mut list = cluster.fleet.initial_states.clone();
     list.insert("r1".into(), "draining");
     std::fs::write(cluster.dir.join("servers.conf"), "server half {").unwrap();
     std::thread::sleep(Duration::from_millis(250));
     cluster.call("ask", "Still there? [words 3]").expect_served();
-    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.servers(&list)).unwrap();
+    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.server_list_text(&list)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
     let attempts_before = cluster.status().counters.attempts;
     for _ in 0..6 {
--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -13,7 +13,7 @@
 use elderstage_standin::model::{EngineSpec, Role};
 use elderstage_standin::tool::ToolFault;
 
-use crate::fleet::{CLASSES, Engine, Kind, Site};
+use crate::fleet::{DEFAULT_CLASSES, Engine, Kind, Site};
 
 /// Shortest period of a flapping fault. A listener takes some milliseconds to close and to open again.
 const MIN_FLAP_PERIOD_US: u64 = 50_000;
@@ -523,7 +523,7 @@
                 let cell = if directive.values.len() > 3 { p.number(directive, 3) as u32 } else { 0 };
                 let ways = p.address_families(directive);
                 match kinds.iter().position(|kind| kind.name == kind_name) {
-                    Some(kind) => engines.push(Engine { name, kind, zone, cell, ways }),
+                    Some(kind) => engines.push(Engine { name, kind, zone, cell, address_families: ways }),
                     None => p.add_error(
                         directive.position,
                         format!("engine {name}: kind {kind_name} is not defined above"),
@@ -539,7 +539,7 @@
         }
     }
     if !all.iter().any(|directive| directive.name == "class") {
-        extra_directives.push_str(CLASSES);
+        extra_directives.push_str(DEFAULT_CLASSES);
     }
     for (expected, is_missing) in
         [("an engine", engines.is_empty()), ("a front", fronts.is_empty()), ("a load", load.is_none())]
@@ -565,7 +565,7 @@
         Some(load) if parser.errors.is_empty() => Ok(Day {
             name,
             seed,
-            site: Site { zones, kinds, engines, rest: extra_directives, link_tokens_per_s },
+            site: Site { zones, kinds, engines, extra_directives: extra_directives, link_tokens_per_s },
             fronts,
             load,
             outcome_limits,
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -37,7 +37,7 @@
     /// Its cell within the zone.
     pub cell: u32,
     /// Kinds of its addresses, in the order of preference.
-    pub ways: Vec<AddressFamily>,
+    pub address_families: Vec<AddressFamily>,
 }
 
 /// The description of a fleet, from which it is started and its fronts are configured.
@@ -50,7 +50,7 @@
     /// Engines to start.
     pub engines: Vec<Engine>,
     /// Further directives of the configuration: classes, rules and routes. The tools' directives are added to them.
-    pub rest: String,
+    pub extra_directives: String,
     /// Tokens of state that move a second: inside a cell, between cells of a zone, and between zones.
     pub link_tokens_per_s: [f64; 3],
 }
@@ -64,7 +64,7 @@
     /// The tool server.
     pub tools: ToolServer,
     /// State of each server in the first server list.
-    pub listed: BTreeMap<String, &'static str>,
+    pub initial_states: BTreeMap<String, &'static str>,
     /// Directory of the Unix sockets.
     dir: PathBuf,
 }
@@ -85,7 +85,7 @@
 /// through it.
 fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Endpoint>> {
     let mut endpoints = Vec::new();
-    for family in &engine.ways {
+    for family in &engine.address_families {
         match family {
             AddressFamily::V4 => {}
             AddressFamily::V6 => endpoints.push(Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
@@ -114,16 +114,16 @@
         }
         let tools = ToolServer::start("tools", ANY_PORT, true, log.clone())?;
         let listed = hosts.keys().map(|name| (name.clone(), "running")).collect();
-        Ok(Fleet { site, hosts, tools, listed, dir })
+        Ok(Fleet { site, hosts, tools, initial_states: listed, dir })
     }
 
     /// Index of the engine's first place of this family, as [`Control::AddressFault`] takes it.
-    pub fn place_index(&self, engine: &str, family: AddressFamily) -> Option<usize> {
+    pub fn endpoint_index(&self, engine: &str, family: AddressFamily) -> Option<usize> {
         self.hosts.get(engine)?.listen_endpoints().iter().position(|endpoint| endpoint.family() == family)
     }
 
     /// Sets the fault of one kind of address, at one engine or at all engines that have it.
-    pub fn fault(
+    pub fn set_address_fault(
         &self,
         engine: Option<&str>,
         family: AddressFamily,
@@ -131,7 +131,7 @@
     ) -> std::io::Result<()> {
         for (name, host) in &self.hosts {
             if engine.is_none_or(|engine| engine == name)
-                && let Some(index) = self.place_index(name, family)
+                && let Some(index) = self.endpoint_index(name, family)
             {
                 host.control(Control::AddressFault(index, fault))?;
             }
@@ -145,11 +145,11 @@
         let address = |family: &AddressFamily| {
             endpoints.iter().find(|endpoint| endpoint.family() == *family).map(ToString::to_string)
         };
-        engine.ways.iter().filter_map(address).collect::<Vec<_>>().join(" ")
+        engine.address_families.iter().filter_map(address).collect::<Vec<_>>().join(" ")
     }
 
     /// The text of the server list with these states. A server without a state is listed as gone.
-    pub fn servers(&self, listed: &BTreeMap<String, &'static str>) -> String {
+    pub fn server_list_text(&self, listed: &BTreeMap<String, &'static str>) -> String {
         let mut text = String::new();
         for engine in &self.site.engines {
             let Some(host) = self.hosts.get(&engine.name) else { continue };
@@ -171,7 +171,7 @@
     }
 
     /// The text of a front's configuration. `front_section` holds the directives of its `front` section.
-    pub fn config(&self, front_section: &str, servers_file: &str) -> String {
+    pub fn front_config_text(&self, front_section: &str, servers_file: &str) -> String {
         let mut text = format!("zones {}\n", self.site.zones.join(" "));
         let _ = writeln!(text, "front {{\n{front_section}\n}}");
         for kind in &self.site.kinds {
@@ -193,7 +193,7 @@
                 self.tools.addr()
             );
         }
-        let _ = writeln!(text, "{}\nservers {servers_file}", self.site.rest);
+        let _ = writeln!(text, "{}\nservers {servers_file}", self.site.extra_directives);
         text
     }
 
@@ -207,7 +207,7 @@
 }
 
 /// Directives of two classes and their routes: `ask`, which is safe to repeat, and `order`, which must not run twice.
-pub const CLASSES: &str = r#"
+pub const DEFAULT_CLASSES: &str = r#"
 class ask {
     repeat safe
     first-token 1200ms
@@ -239,14 +239,14 @@
 "#;
 
 /// The site of `elderstage demo`: one zone with two readers, two writers and a mixed engine.
-pub fn demo() -> Site {
+pub fn demo_site() -> Site {
     let kind = |name: &str, spec| Kind { name: name.into(), spec };
     let engine = |name: &str, kind| Engine {
         name: name.into(),
         kind,
         zone: "a".into(),
         cell: 0,
-        ways: vec![AddressFamily::V4],
+        address_families: vec![AddressFamily::V4],
     };
     Site {
         zones: vec!["a".into()],
@@ -267,7 +267,7 @@
             ),
         ],
         engines: vec![engine("r1", 0), engine("r2", 0), engine("w1", 1), engine("w2", 1), engine("m1", 2)],
-        rest: CLASSES.into(),
+        extra_directives: DEFAULT_CLASSES.into(),
         link_tokens_per_s: [300_000.0, 150_000.0, 60_000.0],
     }
 }
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -26,7 +26,7 @@
 use serde_json::{Value, json};
 
 use crate::clients::lock;
-use crate::fleet::{ANY_PORT, CLASSES, Engine, Fleet, Kind, Site};
+use crate::fleet::{ANY_PORT, DEFAULT_CLASSES, Engine, Fleet, Kind, Site};
 
 /// Longest wait for a connection, an answer or the end of all clients.
 const TIMEOUT: Duration = Duration::from_secs(60);
@@ -82,9 +82,12 @@
 /// Starts a front that uses a fleet.
 fn start_front(program: &Path, fleet: &Fleet) -> std::io::Result<ChildProcess> {
     let dir = create_temp_dir()?;
-    std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed))?;
+    std::fs::write(dir.join("servers.conf"), fleet.server_list_text(&fleet.initial_states))?;
     let config = dir.join("front.conf");
-    std::fs::write(&config, fleet.config("listen 127.0.0.1:0\nzone a\nstall 60s", "servers.conf"))?;
+    std::fs::write(
+        &config,
+        fleet.front_config_text("listen 127.0.0.1:0\nzone a\nstall 60s", "servers.conf"),
+    )?;
     let path = config.display().to_string();
     spawn_process(program, &["serve", "--log-level", "warn", "--config", &path], dir)
 }
@@ -95,7 +98,7 @@
         zones: vec!["a".into()],
         kinds: Vec::new(),
         engines: Vec::new(),
-        rest: extra_directives,
+        extra_directives: extra_directives,
         link_tokens_per_s: [50_000_000.0; 3],
     };
     for (kind, (role, count, spec)) in kinds.into_iter().enumerate() {
@@ -105,7 +108,7 @@
             kind,
             zone: "a".into(),
             cell: 0,
-            ways: vec![AddressFamily::V4],
+            address_families: vec![AddressFamily::V4],
         };
         site.engines.extend((0..count).map(engine));
     }
@@ -203,7 +206,7 @@
     let reader = EngineSpec { max_running: 64, max_waiting: 512, ..fast.clone() };
     let writer = EngineSpec { max_running: 512, max_waiting: 512, ..fast };
     let fleet = Fleet::start(
-        build_site(vec![(Role::Prefill, 4, reader), (Role::Decode, 4, writer)], CLASSES.into()),
+        build_site(vec![(Role::Prefill, 4, reader), (Role::Decode, 4, writer)], DEFAULT_CLASSES.into()),
         &Log::none(),
     )?;
     let front = start_front(program, &fleet)?;
@@ -443,7 +446,7 @@
     let target = source.to_string();
     let relay = spawn_process(program, &["measure", "relay-process", "--target", &target], relay_dir)?;
     let fleet = Fleet::start(
-        build_site(vec![(Role::Mixed, 1, EngineSpec::default())], CLASSES.into()),
+        build_site(vec![(Role::Mixed, 1, EngineSpec::default())], DEFAULT_CLASSES.into()),
         &Log::none(),
     )?;
     let dir = create_temp_dir()?;
@@ -452,7 +455,7 @@
     std::fs::write(dir.join("servers.conf"), (0..streams).map(entry).collect::<String>())?;
     let config = dir.join("front.conf");
     let section = "listen 127.0.0.1:0\nzone a\nstall 60s\nanswer 64M";
-    std::fs::write(&config, fleet.config(section, "servers.conf"))?;
+    std::fs::write(&config, fleet.front_config_text(section, "servers.conf"))?;
     let path = config.display().to_string();
     let front = spawn_process(program, &["serve", "--log-level", "warn", "--config", &path], dir)?;
     let io_error = |error: NetError| std::io::Error::other(error.to_string());
@@ -508,7 +511,7 @@
     let kinds = vec![(Role::Prefill, 6, reader), (Role::Decode, 8, spec)];
     // Only memory is measured. The limits on the first token are long, so that nothing is refused.
     let long_classes =
-        CLASSES.replace("first-token 1200ms", "first-token 10s").replace("give-up 6s", "give-up 20s");
+        DEFAULT_CLASSES.replace("first-token 1200ms", "first-token 10s").replace("give-up 6s", "give-up 20s");
     let fleet =
         Fleet::start(build_site(kinds, long_classes.replace("total 30s", "total 60s")), &Log::none())?;
     let front = start_front(program, &fleet)?;
@@ -657,8 +660,8 @@
 /// of address. Both connections take turns in each round; figures are medians.
 pub fn connects(rounds: u32) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let mut site = build_site(vec![(Role::Mixed, 1, EngineSpec::default())], CLASSES.into());
-    site.engines[0].ways = vec![AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
+    let mut site = build_site(vec![(Role::Mixed, 1, EngineSpec::default())], DEFAULT_CLASSES.into());
+    site.engines[0].address_families = vec![AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
     let fleet = Fleet::start(site, &Log::none())?;
     let endpoints = fleet
         .hosts
--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -576,7 +576,7 @@
 }
 
 /// The outage, and a restart of half the servers, for several numbers of fronts, as JSON.
-pub fn outages(servers: usize, seed: u64) -> Value {
+pub fn outage_table(servers: usize, seed: u64) -> Value {
     let rows = [1, 4, 16, 64].map(|fronts| {
         let summary = outage(fronts, servers, seed);
         json!({
@@ -623,7 +623,7 @@
 
 /// One server with two addresses, of which the preferred one has a fault: the time until the body is sent, for each
 /// fault and policy, as JSON.
-pub fn by_fault(seed: u64) -> Value {
+pub fn delay_table(seed: u64) -> Value {
     let mut rows = Vec::new();
     let faults = [
         ("refuses", AddressBehavior::Refuses, 0),
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -23,7 +23,7 @@
 use crate::day::{Day, Front, Step};
 use crate::fleet::Fleet;
 use crate::report::Report;
-use crate::rules::{Figures, RepeatPolicy, judge};
+use crate::rules::{RepeatPolicy, RuleLimits, check_rules};
 
 /// Longest time that a front takes to start.
 const FRONT_START_TIMEOUT: Duration = Duration::from_secs(10);
@@ -65,7 +65,7 @@
 }
 
 /// Options of a run.
-pub struct Options<'a> {
+pub struct RunOptions<'a> {
     /// The `elderstage` program, which is run for each front.
     pub program: &'a Path,
     /// Directory for the files of the run.
@@ -100,17 +100,17 @@
 }
 
 /// Runs a day to its end and reports on it.
-pub fn play(day: &Day, options: &Options<'_>) -> Result<Report, PlayError> {
+pub fn run_script(day: &Day, options: &RunOptions<'_>) -> Result<Report, PlayError> {
     elderstage_net::init(2);
     let (record_sender, records_seen) = unbounded();
     let traffic = options.dir.join("traffic.jsonl");
     let (log, writer) =
         Log::start(Some(&traffic), Some(record_sender)).map_err(io(traffic.display().to_string()))?;
     let fleet = Fleet::start(day.site.clone(), &log).map_err(io("stand-ins"))?;
-    let text = fleet.config(&format!("    zone {}", day.fronts[0].zone), "servers.conf");
+    let text = fleet.front_config_text(&format!("    zone {}", day.fronts[0].zone), "servers.conf");
     let config = elderstage_config::parse("front.conf", &text).map_err(PlayError::Config)?;
     let state = Arc::new(RunState {
-        listed: Mutex::new(fleet.listed.clone()),
+        listed: Mutex::new(fleet.initial_states.clone()),
         clients: Clients::new(log.clone(), route_timeouts(&config), day.load.retries),
         log,
         dir: options.dir.to_owned(),
@@ -133,14 +133,14 @@
     let records = writer.finish().map_err(io("traffic"))?;
     result?;
     let tallies = lock(&state.clients.tallies).clone();
-    let verdicts = judge(&records, &figures(&config));
+    let verdicts = check_rules(&records, &rule_limits(&config));
     Ok(Report::new(day, &records, tallies, verdicts, state.is_clean.load(Ordering::SeqCst)))
 }
 
 /// Starts the fronts, applies the steps, runs all requests and ends the fronts.
 fn run_day(
     day: &Day,
-    options: &Options<'_>,
+    options: &RunOptions<'_>,
     state: &Arc<RunState>,
     records_seen: Receiver<Record>,
 ) -> Result<(), PlayError> {
@@ -220,13 +220,13 @@
 }
 
 /// The limits for the rules, from the fronts' configuration.
-pub fn figures(config: &Config) -> Figures {
+pub fn rule_limits(config: &Config) -> RuleLimits {
     let policy = |repeat| match repeat {
         RepeatName::Safe => RepeatPolicy::Safe,
         RepeatName::Unsafe => RepeatPolicy::Unsafe,
         RepeatName::Keyed { memory, .. } => RepeatPolicy::Keyed { memory_us: memory },
     };
-    Figures {
+    RuleLimits {
         classes: config.classes.iter().map(|class| (class.name.clone(), policy(class.repeat))).collect(),
         answer_slack_us: config.rules.answer_slack,
         drain_grace_us: config.rules.drain_grace,
@@ -240,7 +240,7 @@
     /// Writes the server list that the fronts follow. The file is replaced in one step.
     fn write_list(&self) -> Result<(), PlayError> {
         let listed = lock(&self.listed);
-        let text = self.fleet.servers(&listed);
+        let text = self.fleet.server_list_text(&listed);
         let path = self.dir.join("servers.conf");
         let part = self.dir.join("servers.part");
         std::fs::write(&part, text)
@@ -262,7 +262,7 @@
             self.fronts.len()
         );
         let path = self.dir.join(format!("{name}.conf"));
-        std::fs::write(&path, self.fleet.config(&section, "servers.conf"))
+        std::fs::write(&path, self.fleet.front_config_text(&section, "servers.conf"))
             .map_err(io(path.display().to_string()))?;
         let addr_file = self.dir.join(format!("{name}.addr"));
         // An earlier process of this front may have left the file.
@@ -395,7 +395,7 @@
                 self.change_faults(engine, |faults| faults.handshake_delay = *time)
             }
             Step::Address { engine, way, fault } => {
-                self.fleet.fault(engine.as_deref(), *way, *fault).map_err(io("address"))
+                self.fleet.set_address_fault(engine.as_deref(), *way, *fault).map_err(io("address"))
             }
             Step::Cut(zone, on) => {
                 for engine in &self.fleet.site.engines {
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -12,7 +12,7 @@
 
 use crate::clients::RouteTally;
 use crate::day::{Day, LimitedOutcome};
-use crate::rules::{Verdict, client_request_id};
+use crate::rules::{RuleResult, client_request_id};
 
 /// Number of violations that the printed report shows for each rule.
 const MAX_VIOLATIONS_SHOWN: usize = 5;
@@ -26,7 +26,7 @@
     /// Counts and latencies by route.
     pub tallies: BTreeMap<String, RouteTally>,
     /// The result of each rule's check.
-    pub verdicts: [Verdict; 5],
+    pub verdicts: [RuleResult; 5],
     /// Orders that the tool server placed.
     pub orders_placed: u64,
     /// Faults that began or ended.
@@ -45,7 +45,7 @@
         day: &Day,
         records: &[Record],
         tallies: BTreeMap<String, RouteTally>,
-        verdicts: [Verdict; 5],
+        verdicts: [RuleResult; 5],
         is_clean: bool,
     ) -> Report {
         let mut served = BTreeSet::new();
@@ -92,13 +92,13 @@
     }
 
     /// Whether no rule was broken, no answer is missing, the script's limits were kept and the run was clean.
-    pub fn good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         let has_missing = self.tallies.values().any(|tally| tally.missing > 0);
         let limits_kept = self.outcome_limits.iter().all(|(_, limit, count)| count <= limit);
         self.is_clean
             && !has_missing
             && limits_kept
-            && self.verdicts.iter().all(|verdict| verdict.broken.is_empty())
+            && self.verdicts.iter().all(|verdict| verdict.violations.is_empty())
     }
 
     /// The report as JSON.
@@ -116,7 +116,7 @@
             (route.clone(), value)
         });
         let rules = self.verdicts.iter().map(|verdict| {
-            let broken = verdict.broken.iter().map(|violation| {
+            let broken = verdict.violations.iter().map(|violation| {
                 json!({"at_us": violation.at_us, "of": violation.subject, "how": violation.description})
             });
             json!({"rule": verdict.rule, "judged": verdict.cases_judged, "broken": broken.collect::<Vec<_>>()})
@@ -134,7 +134,7 @@
                 json!({"end": format!("{outcome:?}").to_lowercase(), "at_most": limit, "seen": count})
             }).collect::<Vec<_>>(),
             "clean": self.is_clean,
-            "good": self.good(),
+            "good": self.passed(),
         })
     }
 }
@@ -188,18 +188,21 @@
         writeln!(f, "{requests}\n")?;
         let mut rules = table(&["rule", "judged", "broken", "verdict"]);
         for verdict in &self.verdicts {
-            let result = match (verdict.broken.is_empty(), verdict.cases_judged) {
+            let result = match (verdict.violations.is_empty(), verdict.cases_judged) {
                 (true, 0) => "not tried",
                 (true, _) => "kept",
                 (false, _) => "BROKEN",
             };
-            let cells =
-                [right_aligned(verdict.cases_judged), right_aligned(verdict.broken.len()), Cell::new(result)];
+            let cells = [
+                right_aligned(verdict.cases_judged),
+                right_aligned(verdict.violations.len()),
+                Cell::new(result),
+            ];
             rules.add_row([Cell::new(verdict.rule)].into_iter().chain(cells));
         }
         writeln!(f, "{rules}")?;
         for verdict in &self.verdicts {
-            for violation in verdict.broken.iter().take(MAX_VIOLATIONS_SHOWN) {
+            for violation in verdict.violations.iter().take(MAX_VIOLATIONS_SHOWN) {
                 writeln!(f, "  {}: {}: {}", verdict.rule, violation.subject, violation.description)?;
             }
         }
--- a/crates/rehearsal/src/rules/answered.rs
+++ b/crates/rehearsal/src/rules/answered.rs
@@ -8,7 +8,7 @@
 
 use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict, client_request_id, kill_times};
+use super::{RuleLimits, RuleResult, client_request_id, kill_times};
 
 /// A front that exits may close a connection on which a client has just written a request. A connection that is lost
 /// within this time of the exit is not a violation, as long as no attempt was sent for the request.
@@ -26,8 +26,8 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("answered once");
+pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("answered once");
     let kill_times = kill_times(records);
     let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
     let mut exit_times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
--- a/crates/rehearsal/src/rules/cold.rs
+++ b/crates/rehearsal/src/rules/cold.rs
@@ -7,7 +7,7 @@
 
 use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict};
+use super::{RuleLimits, RuleResult};
 
 /// Arrivals are random: the work in a window may exceed its budget by this share.
 const BUDGET_TOLERANCE: f64 = 0.1;
@@ -29,8 +29,8 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("no cold server pushed over");
+pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("no cold server pushed over");
     let mut cold_servers: BTreeMap<&str, ColdServer> = BTreeMap::new();
     for record in records {
         let source = record.who.as_str();
--- a/crates/rehearsal/src/rules/drains.rs
+++ b/crates/rehearsal/src/rules/drains.rs
@@ -5,11 +5,11 @@
 
 use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict};
+use super::{RuleLimits, RuleResult};
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("drains kept");
+pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("drains kept");
     // By server: since when it is listed as draining or gone.
     let mut closed_since: BTreeMap<&str, u64> = BTreeMap::new();
     for record in records {
--- a/crates/rehearsal/src/rules/effects.rs
+++ b/crates/rehearsal/src/rules/effects.rs
@@ -8,7 +8,7 @@
 
 use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, RepeatPolicy, Verdict, client_request_id, proves_not_run, turn_id};
+use super::{RepeatPolicy, RuleLimits, RuleResult, client_request_id, proves_not_run, turn_id};
 
 /// The answer of a tool server that proves that a call did not run. The stand-in never gives it yet.
 const TOOL_NOT_RUN: &str = "not-run";
@@ -20,8 +20,8 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("no effect twice");
+pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("no effect twice");
     let mut policies: BTreeMap<&str, RepeatPolicy> = BTreeMap::new();
     let mut turns: BTreeMap<&str, Turn> = BTreeMap::new();
     // By tool call with an effect: its attempts, as in `Turn::attempts`, and the number of effects that it had.
--- a/crates/rehearsal/src/rules/mod.rs
+++ b/crates/rehearsal/src/rules/mod.rs
@@ -30,7 +30,7 @@
 
 /// The configured limits that the rules are checked against. Times are in microseconds.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleLimits {
     /// Repeat policy of each class, by the class's name.
     pub classes: BTreeMap<String, RepeatPolicy>,
     /// How much later than the class's timeout an answer may come.
@@ -58,27 +58,27 @@
 
 /// The result of the check of one rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RuleResult {
     /// The rule's name in reports.
     pub rule: &'static str,
     /// Number of cases that the check applied to. With 0 cases, the absence of violations proves nothing.
     pub cases_judged: u64,
     /// All violations, in no particular order.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
-impl Verdict {
-    fn new(rule: &'static str) -> Verdict {
-        Verdict { rule, cases_judged: 0, broken: Vec::new() }
+impl RuleResult {
+    fn new(rule: &'static str) -> RuleResult {
+        RuleResult { rule, cases_judged: 0, violations: Vec::new() }
     }
 
     fn add_violation(&mut self, at_us: u64, subject: &str, description: impl Into<String>) {
-        self.broken.push(Violation { at_us, subject: subject.into(), description: description.into() });
+        self.violations.push(Violation { at_us, subject: subject.into(), description: description.into() });
     }
 }
 
 /// Checks all five rules. The records must be ordered by time.
-pub fn judge(records: &[Record], figures: &Figures) -> [Verdict; 5] {
+pub fn check_rules(records: &[Record], figures: &RuleLimits) -> [RuleResult; 5] {
     [
         answered::judge(records, figures),
         effects::judge(records, figures),
--- a/crates/rehearsal/src/rules/pinned.rs
+++ b/crates/rehearsal/src/rules/pinned.rs
@@ -8,7 +8,7 @@
 
 use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict, client_request_id, fronts_by_request, kill_times, turn_id};
+use super::{RuleLimits, RuleResult, client_request_id, fronts_by_request, kill_times, turn_id};
 
 struct HeldState {
     held_since: u64,
@@ -17,8 +17,8 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("nothing left pinned");
+pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("nothing left pinned");
     let (kill_times, fronts) = (kill_times(records), fronts_by_request(records));
     // A front that was killed cannot release what it held.
     let is_exempt = |rid: &str, at: u64| {
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -3,13 +3,13 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_rehearsal::rules::{Figures, RepeatPolicy, judge};
+use elderstage_rehearsal::rules::{RepeatPolicy, RuleLimits, check_rules};
 use elderstage_standin::traffic::{Record, TrafficEvent};
 
 const MS: u64 = 1_000;
 
-fn figures() -> Figures {
-    Figures {
+fn figures() -> RuleLimits {
+    RuleLimits {
         classes: BTreeMap::from([
             ("ask".into(), RepeatPolicy::Safe),
             ("order".into(), RepeatPolicy::Unsafe),
@@ -77,8 +77,11 @@
 
 /// The violations in a trace: the rule's name and the description of each.
 fn violations(records: &[Record]) -> Vec<(&'static str, String)> {
-    let verdicts = judge(records, &figures());
-    verdicts.into_iter().flat_map(|v| v.broken.into_iter().map(move |b| (v.rule, b.description))).collect()
+    let verdicts = check_rules(records, &figures());
+    verdicts
+        .into_iter()
+        .flat_map(|v| v.violations.into_iter().map(move |b| (v.rule, b.description)))
+        .collect()
 }
 
 /// Asserts that all violations in a trace are of this rule and contain this text, and that there is one.
