--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `elderstage demo`: runs stand-in engines, a tool server and a front in one process, and prints an example request.
+//! `elderstage demo`: runs mock engines, a tool server and a front in one process, and prints an example request.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `elderstage rehearse`: plays a scripted day against stand-ins and reports which rules hold.
+//! `elderstage rehearse`: plays a scripted day against mock servers and reports which rules hold.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Keepers, agents, fronts and stand-in engines as processes on loopback, with a faulty link between each pair. The
+//! Keepers, agents, fronts and mock engines as processes on loopback, with a faulty link between each pair. The
 //! tests assert invariants and counts, never times.
 
 mod links;
--- a/crates/cli/tests/fleet/processes.rs
+++ b/crates/cli/tests/fleet/processes.rs
@@ -299,7 +299,7 @@
     }
 }
 
-/// A front node beside its agent, with stand-in engines.
+/// A front node beside its agent, with mock engines.
 pub struct Front {
     pub process: Process,
     pub addr: SocketAddr,
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// Whether the answer is the complete stream of a stand-in engine.
+/// Whether the answer is the complete stream of a mock engine.
 pub fn is_served(answer: &Answer) -> bool {
     answer.status == 200 && answer.is_complete && answer.body == whole_answer()
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -67,7 +67,7 @@
     assert!(status.success());
 }
 
-/// Starts the stand-in engines and the tool server of the demo.
+/// Starts the mock engines and the tool server of the demo.
 fn start_fleet() -> Fleet {
     elderstage_net::init(2);
     Fleet::start(demo_site(), &Log::none()).unwrap()
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -20,7 +20,7 @@
 const ANSWER_TOKENS: u64 = 20;
 /// Time of a scripted engine for each token of an answer.
 const TOKEN_TIME: Time = 10 * MS;
-/// Average bytes of a token, as in the stand-in engines.
+/// Average bytes of a token, as in the mock engines.
 const BYTES_PER_TOKEN: f64 = 4.0;
 /// Duration of a refusal, a failed connect or a probe.
 const QUICK_REPLY_TIME: Time = MS;
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -72,7 +72,7 @@
     pub draining: bool,
 }
 
-/// How often a release is tried. One without an answer is sent again, over another address if the server has one.
+/// How often a release is tried. One without an answer is retried, over another address if the server has one.
 const MAX_RELEASE_TRIES: u64 = 3;
 
 /// A request whose coroutine runs.
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -1,4 +1,4 @@
-//! Converts the configuration and the list of servers into the types of the core and of the routing module.
+//! Converts the configuration and the list of servers into the types of the core and of the router.
 //!
 //! It reads no files and checks nothing: the configuration was checked when it was parsed.
 
@@ -16,11 +16,11 @@
 use elderstage_core::{ClassPlan, Limits, Plan, RoutePlan, ToolPlan};
 use elderstage_protocol::{mcp, orca};
 
-/// Shortest interval between two checks of the held requests; the resolution of the routing module's timers. In
+/// Shortest interval between two checks of the held requests; the resolution of the router's timers. In
 /// microseconds.
 const TICK_US: Time = 2_000;
 
-/// Order of the values of a load report in the routing module's settings; [`load_values`] follows it.
+/// Order of the values of a load report in the router's settings; [`load_values`] follows it.
 const REPORT_FIELDS: [ReportField; 4] =
     [ReportField::Busy, ReportField::Queue, ReportField::MemoryShare, ReportField::PendingThousands];
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Converts the configuration to the plan of the core, including the settings of the routing module.
+/// Converts the configuration to the plan of the core, including the settings of the router.
 pub fn plan(config: &Config) -> Plan {
     let rules = &config.rules;
     let zone = config.zones.iter().position(|zone| *zone == config.front.zone).unwrap_or(0) as u32;
@@ -180,7 +180,7 @@
         proofs.get(server).copied().unwrap_or(Proof::None)
     }
 
-    /// Replaces the list of servers and returns the entries for the routing module.
+    /// Replaces the list of servers and returns the entries for the router.
     pub fn update_servers(
         &self,
         config: &Config,
@@ -202,7 +202,7 @@
     }
 }
 
-/// Converts a list of servers to the entries of the routing module. `front_time` maps Unix times to the front's
+/// Converts a list of servers to the entries of the router. `front_time` maps Unix times to the front's
 /// clock.
 pub fn entries(
     config: &Config,
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -28,7 +28,7 @@
         (ServerId(server.name.as_str().into()), server.endpoints.clone(), is_leaving)
     };
     let tool_addresses = shared.tools.iter().map(|tool| (tool.server.clone(), vec![tool.address()], false));
-    // The pool gets the addresses before the routing module gets the servers, so that every server it chooses has
+    // The pool gets the addresses before the router gets the servers, so that every server it chooses has
     // addresses.
     shared.pool.set_servers(servers.iter().map(server_addresses).chain(tool_addresses).collect());
     tracing::info!(target: "servers", servers = entries.len(), "list of servers applied");
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -152,7 +152,7 @@
         ("500", b"HTTP/1.1 500 X\r\ncontent-length: 0\r\n\r\n".to_vec(), true),
     ];
     for (what, bytes, close) in scripts {
-        // Each case has its own front, because a failure suspends the only engine for a while.
+        // Each case has its own front, because a failure ejects the only engine for a while.
         let (cluster, _peer) = start_with_engine_peer(PeerScript { bytes, close });
         let end = cluster.call("order", "x").wait_for_end();
         assert!(matches!(end, CallEnd::Failed(_)), "{what}: {end:?}");
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front in this process with a fleet of stand-in servers, and a client that sends raw HTTP.
+//! A front in this process with a fleet of mock servers, and a client that sends raw HTTP.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 /// Longest wait in a test. It is far longer than any wait takes, so that a busy machine does not make a test fail.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// A running front with its fleet of stand-in servers.
+/// A running front with its fleet of mock servers.
 pub struct TestCluster {
     pub fleet: Fleet,
     pub front: Option<Front>,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Coroutine sockets for fronts, nodes, stand-ins and scripted clients: spawning coroutines, and HTTP/1.1
+//! Coroutine sockets for fronts, nodes, mock servers and scripted clients: spawning coroutines, and HTTP/1.1
 //! over a connection.
 //!
 //! This crate makes no decisions: callers get bytes, message heads and errors. A coroutine's stack is small
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -73,7 +73,7 @@
 /// How an attempt ended.
 struct AttemptEnd {
     outcome: Outcome,
-    /// Detail of the outcome for the routing module, such as the number of cached prompt tokens.
+    /// Detail of the outcome for the router, such as the number of cached prompt tokens.
     note: u64,
     /// The engine's load report.
     report: Option<String>,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop. It is the only owner of the [`Hub`], and with it of the routing module, so neither needs a
+//! The event loop. It is the only owner of the [`Hub`], and with it of the router, so neither needs a
 //! lock.
 //!
 //! It takes events from all coroutines and threads, passes them to the hub and executes the hub's commands.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A front node of the platform on real sockets: `elderstage node`.
 //!
 //! This crate does the socket I/O and handles signals, limits and configuration reloads. It makes no routing
-//! decisions: coroutines report events to one event loop, which owns the hub and with it the routing module,
+//! decisions: coroutines report events to one event loop, which owns the hub and with it the router,
 //! and execute the hub's commands. A request that the node has accepted is answered before the process ends,
 //! within the time that the platform leaves it.
 
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,4 +1,4 @@
-//! Parses clients' requests into arrivals for the decision module, or into a refusal with a status. It reads no socket. A
+//! Parses clients' requests into arrivals for the router, or into a refusal with a status. It reads no socket. A
 //! request is refused by its head alone wherever possible, before its body is read.
 
 use elderstage::settings::SettingNames;
@@ -86,13 +86,13 @@
     Ready,
 }
 
-/// A client's request: the id that the client gave it, and its arrival for the module. The number in the arrival is
+/// A client's request: the id that the client gave it, and its arrival for the router. The number in the arrival is
 /// assigned by the node.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Id that the client gave the request.
     pub request_id: Box<str>,
-    /// The arrival for the module.
+    /// The arrival for the router.
     pub arrival: Arrival,
 }
 
--- a/crates/platform/src/hub/mod.rs
+++ b/crates/platform/src/hub/mod.rs
@@ -1,5 +1,5 @@
-//! The state of a front node. The hub translates what happened on sockets into events of the decision module, and the
-//! module's actions into commands for sockets.
+//! The state of a front node. The hub translates what happened on sockets into events of the router, and the
+//! router's actions into commands for sockets.
 //!
 //! It does no I/O, reads no clock and starts no threads: one owner calls it with the current time. It forgets a request
 //! once the request is finished and has no attempt in flight.
@@ -83,7 +83,7 @@
 }
 
 impl Hub {
-    /// Creates the hub of a node. `seed` seeds the random choices of the module.
+    /// Creates the hub of a node. `seed` seeds the random choices of the router.
     pub fn new(settings: Settings, seed: u64) -> Hub {
         Hub {
             report_fields: settings.report_fields.clone(),
@@ -132,7 +132,7 @@
         (self.open_requests.len(), self.leases.len())
     }
 
-    /// Returns the number of servers that the module's passes over the list have examined since the start.
+    /// Returns the number of servers that the router's passes over the list have examined since the start.
     pub fn examined_servers(&self) -> u64 {
         self.router.examined_servers()
     }
@@ -147,7 +147,7 @@
         self.directory.len()
     }
 
-    /// Returns the number of attempts that the module counts at each address. The node compares it with its open sockets.
+    /// Returns the number of attempts that the router counts at each address. The node compares it with its open sockets.
     pub fn attempts_by_address(&self) -> BTreeMap<SocketAddr, usize> {
         let mut by_address = BTreeMap::new();
         for address in self.open_requests.values().filter_map(|request| request.in_flight.as_ref()?.address) {
@@ -231,7 +231,7 @@
         self.process_events(now, commands);
     }
 
-    /// Applies a list from discovery to the directory and passes it on to the module.
+    /// Applies a list from discovery to the directory and passes it on to the router.
     fn apply_list(&mut self, now: Time, mut list: List, restored: bool, commands: &mut Vec<Command>) {
         for Host { entry, .. } in &mut list.hosts {
             entry.ready_at = self.engine_starts.to_node_clock(&entry.server, entry.ready_at, now);
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Passes queued events to the module and executes its actions until no event is left.
+    /// Passes queued events to the router and executes its actions until no event is left.
     fn process_events(&mut self, now: Time, commands: &mut Vec<Command>) {
         while let Some(event) = self.events.pop_front() {
             let request_id = match &event {
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Turns an action of the module into commands.
+    /// Turns an action of the router into commands.
     fn execute_action(&mut self, now: Time, action: Action, commands: &mut Vec<Command>) {
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(now, id, server, timeout, commands),
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -76,7 +76,7 @@
         self.events.push_back(Event::Streaming { id, attempt, server, took });
     }
 
-    /// Handles the end of an attempt: settles the request if it is finished and reports the outcome to the module.
+    /// Handles the end of an attempt: settles the request if it is finished and reports the outcome to the router.
     pub(super) fn handle_attempt_end(&mut self, now: Time, end: AttemptEnd) {
         let AttemptEnd { id, attempt, outcome, note, report, events } = end;
         let Some(request) = self.open_requests.get_mut(&id) else { return };
--- a/crates/platform/src/leases.rs
+++ b/crates/platform/src/leases.rs
@@ -1,7 +1,7 @@
 //! Tracks which engines may hold KV state for which requests, and the releases of that state.
 //!
 //! A reader that has read a prompt holds its KV state until a writer fetches it or a release reaches an engine. The
-//! decision module decides when to release; this module tracks where state is held and repeats a release until an engine
+//! router decides when to release; this module tracks where state is held and retries a release until an engine
 //! has acknowledged it, because the time limit on held state keeps running while connections fail. A release names the
 //! request's id only, and every engine accepts it. The caller owns the sockets and the timers.
 //!
@@ -28,7 +28,7 @@
 const MAX_WAVE_INTERVAL: Time = 60_000;
 /// Shortest time between two timed waves, in microseconds.
 const MIN_WAVE_INTERVAL: Time = 5_000;
-/// Age after which a release is not repeated, in microseconds: the engines' own limits have taken effect by then.
+/// Age after which a release is not retried, in microseconds: the engines' own limits have taken effect by then.
 const MAX_RELEASE_AGE: Time = 10_000_000;
 
 /// Time between two waves of a release: all timed waves fit into the time that the settings give for a release.
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! Parses the lists of discovery into entries for the decision module, and keeps the directory of the listed servers with
+//! Parses the lists of discovery into entries for the router, and keeps the directory of the listed servers with
 //! their addresses. The directory holds no server that has left the list. Reading from discovery is up to the caller.
 
 use std::collections::{BTreeMap, HashMap};
@@ -62,7 +62,7 @@
 /// A server of a list and its address. A server that has left may have none.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// The entry for the module.
+    /// The entry for the router.
     pub entry: ServerEntry,
     /// The address of the server.
     pub address: Option<SocketAddr>,
@@ -100,7 +100,7 @@
         Directory::convert(serde_json::from_slice(text)?, names)
     }
 
-    /// Converts a list to entries for the module.
+    /// Converts a list to entries for the router.
     fn convert(list: WireList, names: &SettingNames) -> Result<List, ListError> {
         let position = |names: &[String], name: &str| {
             names.iter().position(|known| known == name).unwrap_or(UNNAMED_POSITION)
@@ -138,7 +138,7 @@
         Ok(List { version: list.seq, is_complete: list.whole, hosts })
     }
 
-    /// Applies a list and returns the entries for the module. `restored` marks the list that was known before a restart.
+    /// Applies a list and returns the entries for the router. `restored` marks the list that was known before a restart.
     pub fn apply(&mut self, list: List, restored: bool) -> (ListMode, Vec<ServerEntry>) {
         if list.is_complete {
             self.servers.clear();
--- a/crates/platform/src/reply.rs
+++ b/crates/platform/src/reply.rs
@@ -45,7 +45,7 @@
     Stream,
     /// The prompt has been read; the body gives the number of cached prompt tokens.
     Read,
-    /// The attempt ended with this outcome and a note for the module.
+    /// The attempt ended with this outcome and a note for the router.
     Ended(Outcome, u64),
 }
 
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -52,11 +52,11 @@
     pub listen: SocketAddr,
     /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of the module's random choices.
+    /// Seed of the router's random choices.
     pub seed: u64,
     /// Resources that the node may use.
     pub allowed: ResourceLimits,
-    /// Settings of the decision module.
+    /// Settings of the router.
     pub settings: Settings,
     /// Names in the settings, and limits that concern sockets.
     pub names: SettingNames,
--- a/crates/platform/tests/hub.rs
+++ b/crates/platform/tests/hub.rs
@@ -1,4 +1,4 @@
-//! Tests of the hub together with the decision module. The tests supply inputs and time. Times are in microseconds.
+//! Tests of the hub together with the router. The tests supply inputs and time. Times are in microseconds.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -251,7 +251,7 @@
     }
 }
 
-/// A release call that fails at once is repeated at other engines. The release is abandoned after a bounded number of calls.
+/// A release call that fails at once is retried at other engines. The release is abandoned after a bounded number of calls.
 #[test]
 fn a_release_is_repeated_until_an_engine_acknowledges_it() {
     let mut harness = Harness::new(example_settings());
@@ -342,7 +342,7 @@
     assert_eq!(harness.hub.next_timer(), None, "no timer is left when no request is open");
 }
 
-/// When the node shuts down, each move of the module becomes one command, and the moved stream is finished.
+/// When the node shuts down, each move of the router becomes one command, and the moved stream is finished.
 #[test]
 fn streams_are_moved_when_the_node_shuts_down() {
     let mut harness = Harness::new(Settings { may_resume: true, ..example_settings() });
@@ -362,7 +362,7 @@
     );
 }
 
-/// New settings, as after SIGHUP, reach the module.
+/// New settings, as after SIGHUP, reach the router.
 #[test]
 fn new_settings_reach_the_module() {
     let mut harness = Harness::new(example_settings());
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -61,7 +61,7 @@
     pub starts_at: Duration,
     /// Route that it calls as an MCP tool.
     pub route: String,
-    /// Text of the prompt, with the stand-ins' directives at its end.
+    /// Text of the prompt, with the mock engines' directives at its end.
     pub prompt: String,
     /// Conversation that it continues, if any.
     pub session: Option<String>,
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of stand-in engines and a tool server on loopback, and the configuration of a front that uses it.
+//! A fleet of mock engines and a tool server on loopback, and the configuration of a front that uses it.
 //!
 //! The fleet lives in this process. Fronts are started elsewhere, from the configuration and the server list that
 //! this module writes. All TCP ports are assigned by the operating system, so that fleets do not collide.
@@ -21,7 +21,7 @@
 pub struct Kind {
     /// Its name in the configuration.
     pub name: String,
-    /// Capacity and speed of the stand-in.
+    /// Capacity and speed of the mock engine.
     pub spec: EngineSpec,
 }
 
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,4 +1,4 @@
-//! Rehearsals: scripted days of load and faults against real fronts, with stand-in engines, and a check of the rules.
+//! Rehearsals: scripted days of load and faults against real fronts, with mock engines, and a check of the rules.
 //!
 //! - [`fleet`]: engines and a tool server on loopback, and the configuration of fronts that use them.
 //! - [`day`]: the script of a day: the fleet, the load, and the faults with their times.
@@ -9,7 +9,7 @@
 //! - [`measure`]: measures a front against a baseline in the same run.
 //! - [`paths`]: simulates servers of which some addresses fail.
 //!
-//! The stand-ins simulate engines and run no model.
+//! The mock servers simulate engines and run no model.
 
 pub mod clients;
 pub mod day;
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measures a front against a baseline in the same run, with stand-in engines on loopback.
+//! Measures a front against a baseline in the same run, with mock engines on loopback.
 //!
 //! Baseline and front take turns, by request or by round, because the load of a shared machine varies over time.
 //! Figures of rounds are medians. The functions return JSON for `elderstage measure`; nothing is judged here.
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -1,6 +1,6 @@
 //! Runs a day and reports on it.
 //!
-//! The stand-ins and the clients run in this process, each front in a process of its own. The steps of the script are
+//! The mock servers and the clients run in this process, each front in a process of its own. The steps of the script are
 //! applied at their times, while all traffic is logged. After the last request, the fronts are told to drain and the
 //! log is checked against the rules. No process is left behind, whatever fails.
 
@@ -42,10 +42,10 @@
 /// Why a day could not be played.
 #[derive(Debug, Error)]
 pub enum PlayError {
-    /// An operation on a file, a process or a stand-in failed.
+    /// An operation on a file, a process or a mock server failed.
     #[error("{what}: {error}")]
     Io {
-        /// What failed: a file, a process or a stand-in.
+        /// What failed: a file, a process or a mock server.
         what: String,
         /// The error of the operating system.
         error: std::io::Error,
--- a/crates/rehearsal/src/rules/effects.rs
+++ b/crates/rehearsal/src/rules/effects.rs
@@ -10,7 +10,7 @@
 
 use super::{RepeatPolicy, RuleLimits, RuleResult, client_request_id, proves_not_run, turn_id};
 
-/// The answer of a tool server that proves that a call did not run. The stand-in never gives it yet.
+/// The answer of a tool server that proves that a call did not run. The mock tool server never gives it yet.
 const TOOL_NOT_RUN: &str = "not-run";
 
 #[derive(Default)]
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: its settings, the events it takes and the actions it returns. Plain
+//! The interface of the router: its settings, the events it takes and the actions it returns. Plain
 //! data without decisions.
 //!
 //! All times are in microseconds on the caller's clock, which never goes backwards. Numbers of tokens are
@@ -69,7 +69,7 @@
     pub tpot_target: f64,
     /// Worth of an answer that meets its targets.
     pub worth: f64,
-    /// Worth of an answer that misses a target. Not used by the module.
+    /// Worth of an answer that misses a target. Not used by the router.
     pub late_worth: f64,
 }
 
@@ -86,7 +86,7 @@
     /// The host sends it without being asked.
     #[default]
     Pushed,
-    /// The module subscribes with [`Action::Subscribe`].
+    /// The router subscribes with [`Action::Subscribe`].
     Asked,
 }
 
@@ -114,7 +114,7 @@
 pub struct Settings {
     /// Number of this front.
     pub front_number: u32,
-    /// Zone of this front. Not used by the module.
+    /// Zone of this front. Not used by the router.
     pub zone: u32,
     /// Number of fronts of the deployment.
     pub front_count: u32,
@@ -124,7 +124,7 @@
     pub classes: Vec<Class>,
     /// Tenants, by number.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's quota. Not used by the module.
+    /// Worth of a request beyond its tenant's quota. Not used by the router.
     pub over_quota_worth: f64,
     /// Role of each kind of server, by the kind's number.
     pub roles: Vec<Role>,
@@ -132,7 +132,7 @@
     pub kv_tokens: Vec<f64>,
     /// Writers may read a prompt themselves if there is no KV state to fetch.
     pub writers_may_read: bool,
-    /// A place at a writer may be reserved ahead. Not used by the module.
+    /// A place at a writer may be reserved ahead. Not used by the router.
     pub may_reserve_places: bool,
     /// An interrupted stream can be resumed at another front.
     pub may_resume: bool,
@@ -144,7 +144,7 @@
     /// Meaning of each position in a load report.
     pub report_fields: Vec<ReportField>,
     /// Load reports arrive with outcomes. Otherwise they arrive with probes, if at all. Not used by the
-    /// module.
+    /// router.
     pub reports_in_answers: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
@@ -152,7 +152,7 @@
     pub may_probe: bool,
     /// Refusals may advise when to retry.
     pub may_advise: bool,
-    /// Several attempts of a request may run at once. Not used by the module.
+    /// Several attempts of a request may run at once. Not used by the router.
     pub may_duplicate: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
@@ -161,11 +161,11 @@
     /// Longest retry advice that clients follow.
     pub max_retry_after: Time,
     /// Margin after a request's deadline in which its final answer still counts as in time. Not used by the
-    /// module.
+    /// router.
     pub answer_slack: Time,
     /// Time allowed for repeating a failed subscription to the list of servers.
     pub resubscribe_within: Time,
-    /// Time after the news that a server drains in which attempts may still reach it. Not used by the module.
+    /// Time after the news that a server drains in which attempts may still reach it. Not used by the router.
     pub drain_grace: Time,
     /// Share of a warm server's work that a server can do right after its start.
     pub cold_start_share: f64,
@@ -173,7 +173,7 @@
     pub cold_duration: Time,
     /// A cold server falls over when it gets more than this multiple of the work it can do.
     pub overload_multiple: f64,
-    /// Window over which the work sent to a cold server is counted. Not used by the module.
+    /// Window over which the work sent to a cold server is counted. Not used by the router.
     pub overload_window: Time,
 }
 
@@ -240,9 +240,9 @@
     pub shared_tokens: f64,
     /// Maximum number of output tokens.
     pub max_output_tokens: f64,
-    /// The client marks the request as a repeat. Not used by the module.
+    /// The client marks the request as a repeat. Not used by the router.
     pub is_repeat: bool,
-    /// The client marks the request as one that comes again after an interruption. Not used by the module.
+    /// The client marks the request as one that comes again after an interruption. Not used by the router.
     pub is_resumed: bool,
 }
 
@@ -311,7 +311,7 @@
         /// Values by position, see [`Settings::report_fields`].
         load: Option<Vec<f64>>,
     },
-    /// A place at a server was reserved or lost. Ignored by the module.
+    /// A place at a server was reserved or lost. Ignored by the router.
     Place { id: RequestId, attempt: u32, server: ServerId, held: bool },
     /// A timer set with [`Action::Timer`] has expired.
     Timer { name: u64 },
--- a/src/bin/elderstage-simhost/main.rs
+++ b/src/bin/elderstage-simhost/main.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the decision module on the simulator's wire: reads lines of text from standard input,
+//! Hosts instances of the router on the simulator's wire: reads lines of text from standard input,
 //! passes them to the routers as events and writes the routers' actions to standard output. It takes no
 //! decisions itself.
 //!
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! The decision logic of the router: all state, rules, defaults and tuned values. The public interface is
 //! `src/api.rs`.
 //!
-//! The module does no I/O and reads no clock. The same events and the same seed give the same actions, and
+//! The router does no I/O and reads no clock. The same events and the same seed give the same actions, and
 //! every request gets at most one final answer.
 mod dispatcher;
 mod guards;
--- a/src/policy/monitor.rs
+++ b/src/policy/monitor.rs
@@ -1,7 +1,7 @@
 //! The monitor: the list of servers, load reports, latency predictions and the health of servers. It takes no
 //! decision about a request.
 //!
-//! Health is kept by class: a failure for one class suspends the server for the others only until it answers
+//! Health is kept by class: a failure for one class ejects the server for the others only until it answers
 //! them.
 use super::*;
 
@@ -163,15 +163,15 @@
         fit.add_sample(work_tokens, latency / (1.0 + *slowdown));
     }
 
-    /// Records a failure and suspends the server for a class. The suspension is long enough that all fronts
+    /// Records a failure and ejects the server for a class. The ejection is long enough that all fronts
     /// together send little to a server that answers nothing.
     pub(super) fn record_failure(&mut self, server: &ServerId, class: usize, now: Time) {
         let base =
-            (SUSPENSION_TARGETS * self.shortest_ttft_target()).max(self.mean_arrival_gap / MAX_TRIAL_SHARE);
+            (EJECTION_TARGETS * self.shortest_ttft_target()).max(self.mean_arrival_gap / MAX_TRIAL_SHARE);
         if let Some(health) = self.views.get_mut(server).map(|view| view.health.entry(class).or_default()) {
-            let suspension = base * f64::from(1u32 << health.failures.min(MAX_DOUBLINGS));
-            (health.failures, health.last_failure, health.suspended_until) =
-                (health.failures + 1, now, now + suspension as Time);
+            let ejection = base * f64::from(1u32 << health.failures.min(MAX_DOUBLINGS));
+            (health.failures, health.last_failure, health.ejected_until) =
+                (health.failures + 1, now, now + ejection as Time);
             self.failed_servers.insert(server.clone());
         }
     }
@@ -200,13 +200,13 @@
     pub(super) fn suspect_health(view: &ServerView, class: usize) -> Option<&ClassHealth> {
         let answered_at = view.health.get(&class).map_or(0, |health| health.answered_at);
         let is_current = |health: &&ClassHealth| health.failures > 0 && health.last_failure >= answered_at;
-        view.health.values().filter(is_current).max_by_key(|h| h.suspended_until)
+        view.health.values().filter(is_current).max_by_key(|h| h.ejected_until)
     }
 
     /// Whether a running server is no suspect, or is a suspect that is due for a single trial.
     pub(super) fn is_healthy(view: &ServerView, class: usize, now: Time) -> bool {
         let may_try = |health: &ClassHealth| {
-            now >= health.suspended_until && view.awaiting_first_token().next().is_none()
+            now >= health.ejected_until && view.awaiting_first_token().next().is_none()
         };
         view.entry.listed == ServerStatus::Running && Self::suspect_health(view, class).is_none_or(may_try)
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -112,7 +112,7 @@
             _ if is_state_missing => {}
             Outcome::Served | Outcome::NotSent | Outcome::Cancelled => {}
             // One broken connection says little about a server, and a server that has died refuses the next
-            // connection at once. Otherwise resets in the network would suspend one server after another.
+            // connection at once. Otherwise resets in the network would eject one server after another.
             Outcome::Broken if self.record_broken_connection(server, class) <= TOLERATED_BREAKS => {}
             _ => {
                 self.record_failure(server, class, now);
--- a/src/policy/tunables.rs
+++ b/src/policy/tunables.rs
@@ -30,9 +30,9 @@
 pub(super) const NOMINAL_TPOT_SHARE: f64 = 0.6;
 /// Longest time that a request is held before its first attempt, as a multiple of the TTFT target.
 pub(super) const MAX_HOLD_TARGETS: f64 = 0.38;
-/// First suspension after a failure, as a multiple of the shortest TTFT target.
-pub(super) const SUSPENSION_TARGETS: f64 = 0.5;
-/// How many times suspensions and time-outs double at most.
+/// First ejection after a failure, as a multiple of the shortest TTFT target.
+pub(super) const EJECTION_TARGETS: f64 = 0.5;
+/// How many times ejections and time-outs double at most.
 pub(super) const MAX_DOUBLINGS: u32 = 4;
 /// Upper bound of the share of this front's requests that are trials of one suspect.
 pub(super) const MAX_TRIAL_SHARE: f64 = 0.1;
--- a/src/policy/views.rs
+++ b/src/policy/views.rs
@@ -61,7 +61,7 @@
     /// Connections that broke since the server last answered the class.
     pub(super) broken_connections: u32,
     /// No attempts before this time, and afterwards a single trial at a time.
-    pub(super) suspended_until: Time,
+    pub(super) ejected_until: Time,
     /// When the last failure was recorded.
     pub(super) last_failure: Time,
     /// When the server last answered the class; 0 if never.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -30,8 +30,8 @@
 
 impl std::error::Error for SettingsError {}
 
-/// The names that the settings use, in the order of the positions that the module uses, and the limits for
-/// sockets and clients, which the module does not need.
+/// The names that the settings use, in the order of the positions that the router uses, and the limits for
+/// sockets and clients, which the router does not need.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingNames {
     /// Names of the zones.
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module through its public interface. Times are in microseconds.
+//! Tests of the router through its public interface. Times are in microseconds.
 
 use elderstage::*;
 
