--- a/crates/core/src/addresses/mod.rs
+++ b/crates/core/src/addresses/mod.rs
@@ -201,19 +201,19 @@
     // ---- One attempt ----
 
     /// Starts an attempt.
-    pub fn start_race(&mut self, now: Time, server: &ServerId, ask: ConnectionNeeds) -> Race {
+    pub fn start_race(&mut self, now: Time, server: &ServerId, needs: ConnectionNeeds) -> Race {
         let candidates = self.book.candidates(server, now);
         let has_several = candidates.len() > 1;
         let proof = |candidate: &Candidate| {
             // A proof costs a round trip. It is needed where the request must not run twice, or where the
             // server has another address and this one has not answered recently.
-            match ask.proof {
-                _ if !ask.must_not_repeat && (candidate.is_proven || !has_several) => Proof::None,
+            match needs.proof {
+                _ if !needs.must_not_repeat && (candidate.is_proven || !has_several) => Proof::None,
                 Proof::Continue if candidate.rejects_continue => Proof::Health,
                 proof => proof,
             }
         };
-        Race::new(server.clone(), now, now + ask.connect_limit.min(ask.attempt_limit), candidates, proof)
+        Race::new(server.clone(), now, now + needs.connect_limit.min(needs.attempt_limit), candidates, proof)
     }
 
     /// The next step of the attempt.
--- a/crates/core/src/addresses/tests.rs
+++ b/crates/core/src/addresses/tests.rs
@@ -17,7 +17,7 @@
     addresses
 }
 
-fn ask(once: bool) -> ConnectionNeeds {
+fn needs(once: bool) -> ConnectionNeeds {
     ConnectionNeeds {
         must_not_repeat: once,
         proof: Proof::Continue,
@@ -46,7 +46,7 @@
     let mut addresses = addresses();
     let proofs = |addresses: &mut Addresses<u32>, once| {
         let before = addresses.counts().proofs;
-        let mut race = addresses.start_race(S, &server("s"), ask(once));
+        let mut race = addresses.start_race(S, &server("s"), needs(once));
         let step = connect(addresses, &mut race, S);
         assert!(matches!(step, RaceStep::Send(0, _)), "{step:?}");
         addresses.return_connection(S, &endpoints()[0], 7, ConnectionAge::new(S));
@@ -57,20 +57,20 @@
     assert_eq!(proofs(&mut addresses, true), 1);
     // A server with one address leaves no alternative, so a request that may be repeated needs no proof.
     addresses.apply_list(S, [(server("s"), endpoints()[..1].to_vec(), false)]);
-    let mut race = addresses.start_race(60 * S, &server("s"), ask(false));
+    let mut race = addresses.start_race(60 * S, &server("s"), needs(false));
     assert!(matches!(connect(&mut addresses, &mut race, 60 * S), RaceStep::Send(0, RemainingRequest::Whole)));
 }
 
 #[test]
 fn an_address_that_rejects_the_expectation_is_proven_by_a_health_request_from_then_on() {
     let mut addresses = addresses();
-    let mut race = addresses.start_race(S, &server("s"), ask(true));
+    let mut race = addresses.start_race(S, &server("s"), needs(true));
     assert!(matches!(addresses.poll(S, &mut race), RaceStep::Dial(0, _)));
     race.record_connected(0);
     assert_eq!(addresses.poll(S, &mut race), RaceStep::Prove(0, Proof::Continue));
     addresses.record_expectation_failed(S, &mut race, 0, true);
     assert_eq!(addresses.poll(S, &mut race), RaceStep::Send(0, RemainingRequest::Whole));
-    let mut race = addresses.start_race(2 * S, &server("s"), ask(true));
+    let mut race = addresses.start_race(2 * S, &server("s"), needs(true));
     assert!(matches!(addresses.poll(2 * S, &mut race), RaceStep::Dial(0, _)));
     race.record_connected(0);
     assert_eq!(addresses.poll(2 * S, &mut race), RaceStep::Prove(0, Proof::Health));
@@ -80,7 +80,7 @@
 fn idle_connections_make_room_and_attempts_beyond_the_limit_are_denied() {
     let mut addresses = addresses();
     let begin = |addresses: &mut Addresses<u32>, now| {
-        let mut race = addresses.start_race(now, &server("s"), ask(false));
+        let mut race = addresses.start_race(now, &server("s"), needs(false));
         connect(addresses, &mut race, now)
     };
     assert!(matches!(begin(&mut addresses, S), RaceStep::Send(0, _)));
@@ -115,7 +115,7 @@
     let pair = |n| vec![endpoint("[::1]", n), endpoint("127.0.0.1", n)];
     addresses.apply_list(0, (0..5).map(|n| (server(&format!("s{n}")), pair(n), false)));
     for n in 0..3 {
-        let mut race = addresses.start_race(S, &server(&format!("s{n}")), ask(false));
+        let mut race = addresses.start_race(S, &server(&format!("s{n}")), needs(false));
         assert!(matches!(addresses.poll(S, &mut race), RaceStep::Dial(0, _)));
         addresses.record_dial(S, race.endpoint(0), S, false);
         race.record_failure(0);
@@ -124,7 +124,7 @@
     assert_eq!(addresses.run_maintenance(S, 250 * MS).families, [(AddressFamily::V6, true)]);
     assert_eq!(addresses.run_maintenance(S, 250 * MS).families, []);
     // The other servers are dialed by IPv4 at once.
-    let mut race = addresses.start_race(S, &server("s4"), ask(false));
+    let mut race = addresses.start_race(S, &server("s4"), needs(false));
     assert!(matches!(addresses.poll(S, &mut race), RaceStep::Dial(0, _)));
     assert_eq!(race.endpoint(0).family(), AddressFamily::V4);
     let trials = addresses.run_maintenance(3 * S, 250 * MS).trials;
@@ -150,7 +150,7 @@
         "a trial finds out whether the other address works"
     );
     assert_eq!((&tended.trials[0].endpoint, tended.trials[0].time_limit), (&working_place, 100 * MS));
-    let next = addresses.start_race(S + 250 * MS, &server("s"), ask(false));
+    let next = addresses.start_race(S + 250 * MS, &server("s"), needs(false));
     assert_eq!(*next.endpoint(0), working_place, "the next request uses the other address");
     let trials = addresses.run_maintenance(S + 255 * MS, 250 * MS).trials;
     assert!(
@@ -208,7 +208,7 @@
     }
     let proofs = |addresses: &mut Addresses<u32>| {
         let before = addresses.counts().proofs;
-        let mut race = addresses.start_race(S, &server("t"), ask(false));
+        let mut race = addresses.start_race(S, &server("t"), needs(false));
         connect(addresses, &mut race, S);
         addresses.counts().proofs - before
     };
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use elderstage::{
-    Action, Arrival, CacheKey, Event as RouterEvent, ListMode, Outcome, RepeatPolicy, RequestId, Role,
-    Router, ServerEntry, ServerId, Time,
+    Action, Arrival, Event as RouterEvent, ListMode, Outcome, RepeatPolicy, RequestId, Role, Router,
+    ServerEntry, ServerId, TextKey, Time,
 };
 
 use crate::admission::{self, Rejection};
@@ -175,7 +175,7 @@
     chains: HashMap<ChainId, Chain>,
     chain_by_leg: HashMap<RequestId, ChainId>,
     /// Session key, prefix key and tenant of each chain.
-    routing_keys: HashMap<ChainId, (Option<CacheKey>, Option<CacheKey>, usize)>,
+    routing_keys: HashMap<ChainId, (Option<TextKey>, Option<TextKey>, usize)>,
     /// One for each route.
     estimates: Vec<Estimate>,
     timers: Timers,
@@ -302,7 +302,7 @@
         let deadline = now + plan.request_limit;
         self.timers.set(deadline, TimerPurpose::Chain(chain));
         let shared_bytes = submit.shared_prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
-        let key = |text: String| CacheKey(text.into());
+        let key = |text: String| TextKey(text.into());
         let prefix = submit.shared_prefix.map(|(name, _)| key(name));
         // A request on a route with tools gets a session of its own if it names none: the router then reads
         // its next leg on the server that keeps the first.
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -90,7 +90,7 @@
     if let Some(key) = &attempt.idempotency_key {
         headers.push(("idempotency-key", key.as_str()));
     }
-    let ask = ConnectionNeeds {
+    let needs = ConnectionNeeds {
         must_not_repeat: attempt.is_at_most_once,
         proof: shared.catalog.proof_for(attempt.server),
         connect_limit: shared.config.rules.connect_timeout,
@@ -98,7 +98,7 @@
     };
     let connect_request = ConnectRequest {
         server: attempt.server,
-        ask,
+        needs,
         path: engine::COMPLETIONS_PATH,
         headers: &headers,
         body_bytes: attempt.body.len(),
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -71,7 +71,7 @@
 /// The request that a connection is needed for.
 pub(crate) struct ConnectRequest<'a> {
     pub server: &'a ServerId,
-    pub ask: ConnectionNeeds,
+    pub needs: ConnectionNeeds,
     /// Path and headers of the request, for a proof that sends its head (`Expect: 100-continue`).
     pub path: &'a str,
     pub headers: &'a [(&'a str, &'a str)],
@@ -221,7 +221,7 @@
     /// Gets a connection for a request, proven if the core asks for that.
     pub fn connect(self: &Arc<Self>, request: &ConnectRequest<'_>) -> ConnectOutcome {
         let mut race =
-            self.with_addresses(|addresses, now| addresses.start_race(now, request.server, request.ask));
+            self.with_addresses(|addresses, now| addresses.start_race(now, request.server, request.needs));
         let mut runner = RaceRunner {
             pool: self,
             request,
@@ -258,13 +258,13 @@
         let time = timeout.as_micros() as Time;
         // An address that is not proven at present is proven by a health request. Every server that `exchange` is
         // used with serves that path.
-        let ask = ConnectionNeeds {
+        let needs = ConnectionNeeds {
             must_not_repeat: false,
             proof: Proof::Health,
             connect_limit: self.connect_timeout_us,
             attempt_limit: time,
         };
-        let request = ConnectRequest { server, ask, path, headers, body_bytes: body.len(), slot: None };
+        let request = ConnectRequest { server, needs, path, headers, body_bytes: body.len(), slot: None };
         let ConnectOutcome::Connected(mut pooled, _) = self.connect(&request) else {
             return Err(ExchangeError::NotConnected);
         };
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -107,7 +107,7 @@
     fn send_call(&self, shared: &Shared, call: &ToolCall<'_>, deadline: Instant) -> CallOutcome {
         let time_left = || deadline.saturating_duration_since(Instant::now());
         let time = time_left().as_micros() as u64;
-        let ask = ConnectionNeeds {
+        let needs = ConnectionNeeds {
             must_not_repeat: false,
             proof: Proof::None,
             connect_limit: self.connect_timeout_us,
@@ -115,7 +115,7 @@
         };
         let connect_request = ConnectRequest {
             server: &self.server,
-            ask,
+            needs,
             path: &self.endpoint_path.path,
             headers: &[],
             body_bytes: 0,
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -28,7 +28,7 @@
     pub front: Option<Front>,
     pub addr: SocketAddr,
     pub dir: PathBuf,
-    figures: RuleLimits,
+    rule_limits: RuleLimits,
     writer: Option<LogWriter>,
 }
 
@@ -67,10 +67,10 @@
         let text = edit(fleet.front_config_text(&section, "servers.conf"), &fleet);
         let config =
             elderstage_config::parse("front.conf", &text).unwrap_or_else(|errors| panic!("{errors}"));
-        let figures = rule_limits(&config);
+        let rule_limits = rule_limits(&config);
         let front = Front::start(config, &dir, 1).unwrap();
         let addr = front.addr();
-        TestCluster { fleet, front: Some(front), addr, dir, figures, writer: Some(writer) }
+        TestCluster { fleet, front: Some(front), addr, dir, rule_limits, writer: Some(writer) }
     }
 
     /// Starts a front with the demo's fleet as it is.
@@ -107,7 +107,7 @@
         self.front.take().unwrap().finish(&AtomicBool::new(false));
         self.fleet.stop();
         let records = self.writer.take().unwrap().finish().unwrap();
-        for verdict in check_rules(&records, &self.figures) {
+        for verdict in check_rules(&records, &self.rule_limits) {
             assert!(verdict.violations.is_empty(), "{}: {:?}", verdict.rule, verdict.violations);
         }
         std::fs::remove_dir_all(&self.dir).unwrap();
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -282,8 +282,8 @@
     let keep_alive = head.keep_alive;
     let longest_wait = shared.longest_wait.load(Ordering::SeqCst);
     let parsed = ClientRequest::parse(&head, body.len(), &shared.names, longest_wait);
-    let ask = match parsed {
-        Ok(ask) if ask::is_object(&body) => ask,
+    let client_request = match parsed {
+        Ok(client_request) if ask::is_object(&body) => client_request,
         other => {
             let error = other.err().unwrap_or(ask::Refusal::Body);
             let keep_alive = keep_alive && may_keep_open(shared, conn);
@@ -295,7 +295,7 @@
     let header_lines = forward::fields(&head);
     let Request { method, target, .. } = head;
     let request = ForwardedRequest {
-        trace: ask.request_id.clone(),
+        trace: client_request.request_id.clone(),
         method,
         target,
         header_lines,
@@ -304,7 +304,7 @@
     };
     let channel = ResponseChannel::new(request, conn.waker());
     let id = RequestId(shared.next_id.fetch_add(1, Ordering::Relaxed));
-    shared.submit(Event::RequestReceived { id, ask, channel: channel.clone(), received_at });
+    shared.submit(Event::RequestReceived { id, client_request, channel: channel.clone(), received_at });
     let result = relay_response(shared, conn, &channel, id, keep_alive);
     channel.close();
     result
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -25,7 +25,7 @@
     /// A client's request was received completely.
     RequestReceived {
         id: RequestId,
-        ask: ClientRequest,
+        client_request: ClientRequest,
         channel: Arc<ResponseChannel>,
         /// When its last byte had arrived. The request's time limit runs from then.
         received_at: Instant,
@@ -195,15 +195,15 @@
     fn handle(&mut self, now: Micros, submitted: SubmittedEvent) -> bool {
         self.queue_wait.record(submitted.at.elapsed(), self.shared.inbox.queued_len());
         match submitted.event {
-            Event::RequestReceived { id, mut ask, channel, received_at } => {
+            Event::RequestReceived { id, mut client_request, channel, received_at } => {
                 let waited_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
-                ask.arrival.time_left = ask.arrival.time_left.saturating_sub(waited_us);
+                client_request.arrival.time_left = client_request.arrival.time_left.saturating_sub(waited_us);
                 tracing::debug!(
-                    target: "taken", trace = %ask.request_id, class = ask.arrival.class, left_ms = ask.arrival.time_left / 1000,
-                    prompt = ask.arrival.prompt_tokens, session = ?ask.arrival.session, again = ask.arrival.is_resumed,
+                    target: "taken", trace = %client_request.request_id, class = client_request.arrival.class, left_ms = client_request.arrival.time_left / 1000,
+                    prompt = client_request.arrival.prompt_tokens, session = ?client_request.arrival.session, again = client_request.arrival.is_resumed,
                 );
                 self.channels.insert(id, channel);
-                self.hub.handle(now, Input::Arrived { id, ask }, &mut self.commands);
+                self.hub.handle(now, Input::Arrived { id, client_request }, &mut self.commands);
             }
             Event::HubInput(input) => self.hub.handle(now, input, &mut self.commands),
             Event::LogState => self.log_state(),
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -2,7 +2,7 @@
 //! request is refused by its head alone wherever possible, before its body is read.
 
 use elderstage::settings::SettingNames;
-use elderstage::{Arrival, CacheKey, RequestId, Time};
+use elderstage::{Arrival, RequestId, TextKey, Time};
 use elderstage_protocol::http::{Framing, Request};
 use thiserror::Error;
 
@@ -131,11 +131,11 @@
 }
 
 /// Parses the name of a session or a prefix; an empty name is none.
-fn parse_key(value: &str, name: &'static str) -> Result<Option<CacheKey>, Refusal> {
+fn parse_key(value: &str, name: &'static str) -> Result<Option<TextKey>, Refusal> {
     match value {
         "" => Ok(None),
         long if long.len() > MAX_KEY_BYTES => Err(Refusal::Unreadable(name)),
-        value => Ok(Some(CacheKey(value.into()))),
+        value => Ok(Some(TextKey(value.into()))),
     }
 }
 
--- a/crates/platform/src/hub/messages.rs
+++ b/crates/platform/src/hub/messages.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub enum Input {
     /// A client's request was received completely. An id is never reused.
-    Arrived { id: RequestId, ask: ClientRequest },
+    Arrived { id: RequestId, client_request: ClientRequest },
     /// The client disconnected.
     ClientDisconnected { id: RequestId },
     /// The first event of an attempt's stream is being forwarded to the client.
--- a/crates/platform/src/hub/mod.rs
+++ b/crates/platform/src/hub/mod.rs
@@ -187,7 +187,7 @@
     /// Handles an input and appends the commands that follow from it.
     pub fn handle(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
         match input {
-            Input::Arrived { id, ask } => self.handle_arrival(now, id, ask, commands),
+            Input::Arrived { id, client_request } => self.handle_arrival(now, id, client_request, commands),
             Input::ClientDisconnected { id } => {
                 if let Some(request) = self.open_requests.get_mut(&id).filter(|request| !request.is_finished)
                 {
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -33,22 +33,28 @@
         &mut self,
         now: Time,
         id: RequestId,
-        ask: ClientRequest,
+        client_request: ClientRequest,
         commands: &mut Vec<Command>,
     ) {
-        if self.ids_by_trace.contains_key(&ask.request_id) {
+        if self.ids_by_trace.contains_key(&client_request.request_id) {
             commands.push(Command::Answer { id, last: FinalAnswer::Open, attempts: 0, last_outcome: None });
             commands.push(Command::RemoveRequest { id });
             return;
         }
         self.counts.taken += 1;
         if let Some(counting) = &mut self.counting {
-            counting.record_arrival(now, id, ask.arrival.class, ask.arrival.prompt_tokens);
+            counting.record_arrival(
+                now,
+                id,
+                client_request.arrival.class,
+                client_request.arrival.prompt_tokens,
+            );
         }
-        self.ids_by_trace.insert(ask.request_id.clone(), id);
-        let is_repeatable = self.repeatable_classes.get(ask.arrival.class).copied().unwrap_or(false);
+        self.ids_by_trace.insert(client_request.request_id.clone(), id);
+        let is_repeatable =
+            self.repeatable_classes.get(client_request.arrival.class).copied().unwrap_or(false);
         let request = OpenRequest {
-            trace: ask.request_id,
+            trace: client_request.request_id,
             is_repeatable,
             attempts: 0,
             last_outcome: None,
@@ -57,7 +63,7 @@
             is_finished: false,
         };
         self.open_requests.insert(id, request);
-        self.events.push_back(Event::Arrived(Arrival { id, ..ask.arrival }));
+        self.events.push_back(Event::Arrived(Arrival { id, ..client_request.arrival }));
     }
 
     /// Handles the first stream event of an attempt: from here on the request is bound to it.
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -53,15 +53,18 @@
     let head = request_head(VALID_HEAD);
     assert_eq!(ask::classify_head(&head), Ok(RequestKind::Chat));
     let read = ClientRequest::parse(&head, 2, &names(), LONGEST_WAIT).unwrap();
-    let ask = read.arrival;
+    let arrival = read.arrival;
     assert_eq!(
-        (&*read.request_id, ask.class, ask.time_left, ask.output_time_hint),
+        (&*read.request_id, arrival.class, arrival.time_left, arrival.output_time_hint),
         ("9b1f03aa", 1, 4_800_000, 90_000)
     );
-    assert_eq!((ask.prompt_tokens, ask.shared_tokens, ask.max_output_tokens), (5120.0, 2048.0, 800.0));
-    assert_eq!(ask.session.unwrap().0.as_ref(), "talk-1");
-    assert_eq!(ask.prefix.unwrap().0.as_ref(), "opening-1");
-    assert!(!ask.is_repeat && !ask.is_resumed);
+    assert_eq!(
+        (arrival.prompt_tokens, arrival.shared_tokens, arrival.max_output_tokens),
+        (5120.0, 2048.0, 800.0)
+    );
+    assert_eq!(arrival.session.unwrap().0.as_ref(), "talk-1");
+    assert_eq!(arrival.prefix.unwrap().0.as_ref(), "opening-1");
+    assert!(!arrival.is_repeat && !arrival.is_resumed);
     assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: again").unwrap().arrival.is_resumed);
     assert!(ask_with_change("X-Size-Hint: 90000", "X-Second-Try: 1").unwrap().arrival.is_repeat);
     // Where the client gives no prompt length, the length of the body counts: four characters for each token.
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -76,7 +76,11 @@
         max_output_tokens: 100.0,
         ..Arrival::default()
     };
-    hub.handle(now, Input::Arrived { id, ask: ClientRequest { request_id: "a".into(), arrival } }, &mut out);
+    hub.handle(
+        now,
+        Input::Arrived { id, client_request: ClientRequest { request_id: "a".into(), arrival } },
+        &mut out,
+    );
     let mut events: BinaryHeap<Reverse<(Time, SimulatedEvent)>> = BinaryHeap::new();
     let (mut held_since, mut has_arrived, mut longest) = (None, false, 0);
     loop {
--- a/crates/platform/tests/hub.rs
+++ b/crates/platform/tests/hub.rs
@@ -30,7 +30,7 @@
     Host { entry, address: Some(addr(port)) }
 }
 
-fn ask(trace: &str) -> ClientRequest {
+fn client_request(trace: &str) -> ClientRequest {
     let arrival = Arrival {
         id: RequestId(0),
         class: 0,
@@ -79,7 +79,7 @@
     }
 
     fn arrive(&mut self, id: u32, trace: &str) -> Vec<Command> {
-        self.handle(Input::Arrived { id: RequestId(id), ask: ask(trace) })
+        self.handle(Input::Arrived { id: RequestId(id), client_request: client_request(trace) })
     }
 
     /// Ends an attempt.
@@ -346,9 +346,10 @@
 #[test]
 fn streams_are_moved_when_the_node_shuts_down() {
     let mut harness = Harness::new(Settings { may_resume: true, ..example_settings() });
-    let mut long = ask("a");
+    let mut long = client_request("a");
     long.arrival.output_time_hint = 60_000 * MS;
-    let (attempt, _) = sent_attempt(&harness.handle(Input::Arrived { id: RequestId(1), ask: long })).unwrap();
+    let (attempt, _) =
+        sent_attempt(&harness.handle(Input::Arrived { id: RequestId(1), client_request: long })).unwrap();
     harness.end_attempt(1, attempt, Outcome::Read);
     harness.handle(Input::FirstEvent { id: RequestId(1), attempt: 1 });
     harness.handle(Input::ShuttingDown { within: 2_000 * MS });
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -81,7 +81,11 @@
         max_output_tokens: 100.0,
         ..Arrival::default()
     };
-    hub.handle(now, Input::Arrived { id, ask: ClientRequest { request_id: "a".into(), arrival } }, &mut out);
+    hub.handle(
+        now,
+        Input::Arrived { id, client_request: ClientRequest { request_id: "a".into(), arrival } },
+        &mut out,
+    );
     assert!(out.iter().any(|command| matches!(command, Command::Send { .. })), "{out:?}");
     hub.handle(now, Input::ClientDisconnected { id }, &mut out);
     out.clear();
--- a/crates/rehearsal/src/rules/answered.rs
+++ b/crates/rehearsal/src/rules/answered.rs
@@ -26,7 +26,7 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
     let mut verdict = RuleResult::new("answered once");
     let kill_times = kill_times(records);
     let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
@@ -56,7 +56,7 @@
     }
     for (rid, request) in &requests {
         verdict.cases_judged += 1;
-        let deadline = request.sent_at + request.answer_timeout + figures.answer_slack_us;
+        let deadline = request.sent_at + request.answer_timeout + rule_limits.answer_slack_us;
         match (request.final_answers.as_slice(), request.left_at, request.lost_at) {
             ([], Some(_), _) => {}
             ([], None, Some(lost_at)) => {
@@ -81,7 +81,7 @@
                     );
                 }
                 if let Some(received_at) =
-                    request.last_received_at.filter(|at| *at > answered_at + figures.answer_slack_us)
+                    request.last_received_at.filter(|at| *at > answered_at + rule_limits.answer_slack_us)
                 {
                     verdict.add_violation(
                         received_at,
--- a/crates/rehearsal/src/rules/cold.rs
+++ b/crates/rehearsal/src/rules/cold.rs
@@ -29,7 +29,7 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
     let mut verdict = RuleResult::new("no cold server pushed over");
     let mut cold_servers: BTreeMap<&str, ColdServer> = BTreeMap::new();
     for record in records {
@@ -63,7 +63,7 @@
                     if let Some(server) = cold_servers.get_mut(name.as_str())
                         && state == "running"
                     {
-                        server.informed_at.get_or_insert(record.at + figures.list_delay_us);
+                        server.informed_at.get_or_insert(record.at + rule_limits.list_delay_us);
                     }
                 }
             }
--- a/crates/rehearsal/src/rules/drains.rs
+++ b/crates/rehearsal/src/rules/drains.rs
@@ -8,7 +8,7 @@
 use super::{RuleLimits, RuleResult};
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
     let mut verdict = RuleResult::new("drains kept");
     // By server: since when it is listed as draining or gone.
     let mut closed_since: BTreeMap<&str, u64> = BTreeMap::new();
@@ -26,7 +26,7 @@
             }
             TrafficEvent::Received { rid, .. } => {
                 if let Some(since) = closed_since.get(record.who.as_str())
-                    && record.at > since + figures.drain_grace_us
+                    && record.at > since + rule_limits.drain_grace_us
                 {
                     let description =
                         format!("sent to {} {} ms after its drain", record.who, (record.at - since) / 1000);
--- a/crates/rehearsal/src/rules/effects.rs
+++ b/crates/rehearsal/src/rules/effects.rs
@@ -20,7 +20,7 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
     let mut verdict = RuleResult::new("no effect twice");
     let mut policies: BTreeMap<&str, RepeatPolicy> = BTreeMap::new();
     let mut turns: BTreeMap<&str, Turn> = BTreeMap::new();
@@ -39,7 +39,7 @@
         }
         match &record.what {
             TrafficEvent::Sent { rid, class, .. } => {
-                policies.insert(rid, figures.classes.get(class).copied().unwrap_or(RepeatPolicy::Unsafe));
+                policies.insert(rid, rule_limits.classes.get(class).copied().unwrap_or(RepeatPolicy::Unsafe));
             }
             TrafficEvent::Received { rid, task, .. } if task != "read" => {
                 turns.entry(turn_id(rid)).or_default().attempts.push((record.at, rid.clone(), false));
--- a/crates/rehearsal/src/rules/mod.rs
+++ b/crates/rehearsal/src/rules/mod.rs
@@ -78,13 +78,13 @@
 }
 
 /// Checks all five rules. The records must be ordered by time.
-pub fn check_rules(records: &[Record], figures: &RuleLimits) -> [RuleResult; 5] {
+pub fn check_rules(records: &[Record], rule_limits: &RuleLimits) -> [RuleResult; 5] {
     [
-        answered::judge(records, figures),
-        effects::judge(records, figures),
-        drains::judge(records, figures),
-        cold::judge(records, figures),
-        pinned::judge(records, figures),
+        answered::check(records, rule_limits),
+        effects::check(records, rule_limits),
+        drains::check(records, rule_limits),
+        cold::check(records, rule_limits),
+        pinned::check(records, rule_limits),
     ]
 }
 
--- a/crates/rehearsal/src/rules/pinned.rs
+++ b/crates/rehearsal/src/rules/pinned.rs
@@ -17,7 +17,7 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &RuleLimits) -> RuleResult {
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
     let mut verdict = RuleResult::new("nothing left pinned");
     let (kill_times, fronts) = (kill_times(records), fronts_by_request(records));
     // A front that was killed cannot release what it held.
@@ -26,7 +26,7 @@
             kill_times.get(front).is_some_and(|times| times.iter().any(|time| (*sent_at..=at).contains(time)))
         })
     };
-    let limit_us = figures.release_deadline_us + figures.connect_timeout_us;
+    let limit_us = rule_limits.release_deadline_us + rule_limits.connect_timeout_us;
     let mut held_states: BTreeMap<&str, HeldState> = BTreeMap::new();
     // Attempts in flight, by turn.
     let mut in_flight: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -8,7 +8,7 @@
 
 const MS: u64 = 1_000;
 
-fn figures() -> RuleLimits {
+fn rule_limits() -> RuleLimits {
     RuleLimits {
         classes: BTreeMap::from([
             ("ask".into(), RepeatPolicy::Safe),
@@ -77,7 +77,7 @@
 
 /// The violations in a trace: the rule's name and the description of each.
 fn violations(records: &[Record]) -> Vec<(&'static str, String)> {
-    let verdicts = check_rules(records, &figures());
+    let verdicts = check_rules(records, &rule_limits());
     verdicts
         .into_iter()
         .flat_map(|v| v.violations.into_iter().map(move |b| (v.rule, b.description)))
--- a/fuzz/fuzz_targets/node.rs
+++ b/fuzz/fuzz_targets/node.rs
@@ -42,9 +42,11 @@
         0 => {
             if let Ok(Some((head, _))) = http::parse_request(rest, LIMITS) {
                 let wanted = ask::classify_head(&head);
-                if let Ok(ask) = ClientRequest::parse(&head, 400, &names, names.longest_wait()) {
-                    assert!(ask.arrival.time_left <= LONGEST_WAIT && ask.arrival.class == 0);
-                    assert!(ask.request_id.bytes().all(|b| b.is_ascii_graphic() && b != b'/'));
+                if let Ok(client_request) = ClientRequest::parse(&head, 400, &names, names.longest_wait()) {
+                    assert!(
+                        client_request.arrival.time_left <= LONGEST_WAIT && client_request.arrival.class == 0
+                    );
+                    assert!(client_request.request_id.bytes().all(|b| b.is_ascii_graphic() && b != b'/'));
                 }
                 drop(wanted);
             }
--- a/src/api.rs
+++ b/src/api.rs
@@ -19,7 +19,7 @@
 
 /// The key of a session or of a shared prefix of prompts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct CacheKey(pub Arc<str>);
+pub struct TextKey(pub Arc<str>);
 
 /// What servers of a kind do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -227,9 +227,9 @@
     /// Position in [`Settings::tenants`].
     pub tenant: usize,
     /// The session that the request continues.
-    pub session: Option<CacheKey>,
+    pub session: Option<TextKey>,
     /// A prefix that the prompt shares with other requests.
-    pub prefix: Option<CacheKey>,
+    pub prefix: Option<TextKey>,
     /// Time until the client's deadline.
     pub time_left: Time,
     /// Estimated length of the answer: output tokens times the TPOT target; 0 if unknown.
--- a/src/bin/elderstage-simhost/wire.rs
+++ b/src/bin/elderstage-simhost/wire.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use elderstage::{
-    Action, Arrival, CacheKey, Event, ListMode, Outcome, RequestId, ServerEntry, ServerId, ServerStatus,
+    Action, Arrival, Event, ListMode, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, TextKey,
 };
 
 /// An invalid line: which field is wrong, and why.
@@ -200,8 +200,8 @@
             id: line.id()?,
             class: line.int_u32("tier-class")? as usize,
             tenant: line.int_u32("account")? as usize,
-            session: line.find("session-id").map(|key| CacheKey(key.into())),
-            prefix: line.find("prefix-id").map(|key| CacheKey(key.into())),
+            session: line.find("session-id").map(|key| TextKey(key.into())),
+            prefix: line.find("prefix-id").map(|key| TextKey(key.into())),
             time_left: line.int("time-left-us")?,
             output_time_hint: line.int_or_0("hint-us")?,
             prompt_tokens: line.number("n-prompt", 0.0)?,
--- a/src/policy/index.rs
+++ b/src/policy/index.rs
@@ -65,11 +65,11 @@
 
 /// Which servers cache which texts: the contents of [`ServerView::cached_texts`], ordered by text.
 #[derive(Default)]
-pub(super) struct CacheIndex(BTreeMap<CacheKey, CacheHolders>);
+pub(super) struct CacheIndex(BTreeMap<TextKey, CacheHolders>);
 
 impl CacheIndex {
     /// Adds a text of a server, or replaces its number of tokens.
-    pub(super) fn insert(&mut self, key: &CacheKey, server: &ServerId, tokens: f64) {
+    pub(super) fn insert(&mut self, key: &TextKey, server: &ServerId, tokens: f64) {
         let holders = self.0.entry(key.clone()).or_default();
         let previous = holders.tokens_by_server.insert(server.clone(), tokens);
         if previous.is_some_and(|previous| previous > tokens) {
@@ -79,7 +79,7 @@
     }
 
     /// Removes a text of a server.
-    pub(super) fn remove(&mut self, key: &CacheKey, server: &ServerId) {
+    pub(super) fn remove(&mut self, key: &TextKey, server: &ServerId) {
         let Some(holders) = self.0.get_mut(key) else { return };
         holders.tokens_by_server.remove(server);
         if holders.tokens_by_server.is_empty() {
@@ -92,7 +92,7 @@
     /// The most prompt tokens of a request that any single server is assumed to cache.
     pub(super) fn most_cached_tokens(&self, arrival: &Arrival) -> f64 {
         let cached =
-            |key: &Option<CacheKey>, limit: f64| Some(self.0.get(key.as_ref()?)?.max_tokens.min(limit));
+            |key: &Option<TextKey>, limit: f64| Some(self.0.get(key.as_ref()?)?.max_tokens.min(limit));
         cached(&arrival.session, arrival.prompt_tokens)
             .unwrap_or(0.0)
             .max(cached(&arrival.prefix, arrival.shared_tokens).unwrap_or(0.0))
--- a/src/policy/views.rs
+++ b/src/policy/views.rs
@@ -98,7 +98,7 @@
     /// By kind of attempt: relative slowdown against the shared fit; 0 means equally fast.
     pub(super) slowdown: [f64; 4],
     /// Cached texts: number of tokens, and when they were last recorded.
-    pub(super) cached_texts: BTreeMap<CacheKey, (f64, Time)>,
+    pub(super) cached_texts: BTreeMap<TextKey, (f64, Time)>,
     /// Last load report: share of KV memory, waiting prompt tokens, and when it arrived.
     pub(super) load_report: Option<(f64, f64, Time)>,
     /// When the server was last probed.
@@ -133,7 +133,7 @@
     /// Prompt tokens that the server is assumed to cache, of the session or of the shared prefix.
     pub(super) fn cached_tokens(&self, arrival: &Arrival) -> f64 {
         let cached =
-            |key: &Option<CacheKey>, limit: f64| Some(self.cached_texts.get(key.as_ref()?)?.0.min(limit));
+            |key: &Option<TextKey>, limit: f64| Some(self.cached_texts.get(key.as_ref()?)?.0.min(limit));
         cached(&arrival.session, arrival.prompt_tokens)
             .unwrap_or(0.0)
             .max(cached(&arrival.prefix, arrival.shared_tokens).unwrap_or(0.0))
--- a/tests/invariance.rs
+++ b/tests/invariance.rs
@@ -87,7 +87,7 @@
     }
 
     fn arrival(self, n: u32) -> Arrival {
-        let key = |text: String| Some(CacheKey(text.as_str().into()));
+        let key = |text: String| Some(TextKey(text.as_str().into()));
         let prompt = 400.0 + f64::from(n * 7_919 % 5_000);
         Arrival {
             id: RequestId(n),
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -347,7 +347,7 @@
 fn held_requests_with_fewer_uncached_tokens_go_first() {
     let mut harness = Harness::new(&["r1", "w1"]);
     let of_session =
-        |id, session: &str| Arrival { session: Some(CacheKey(session.into())), ..arrival(id, 4_000.0) };
+        |id, session: &str| Arrival { session: Some(TextKey(session.into())), ..arrival(id, 4_000.0) };
     harness.handle(Event::Arrived(of_session(1, "known")));
     harness.end_attempt(1, 0, "r1", Outcome::Read, 0);
     harness.end_attempt(1, 1, "w1", Outcome::Served, 0);
@@ -818,7 +818,7 @@
         prefix: Option<&str>,
         prompt: f64,
     ) -> Vec<Action> {
-        let key = |text: &str| Some(CacheKey(text.into()));
+        let key = |text: &str| Some(TextKey(text.into()));
         let (session, prefix, shared) = (key(&session), prefix.and_then(key), 0.8 * prompt);
         self.handle(Event::Arrived(Arrival { session, prefix, shared_tokens: shared, ..arrival(id, prompt) }))
     }
@@ -892,8 +892,7 @@
     harness.end_attempt(2, 0, "r1", Outcome::Read, 3_100);
     harness.end_attempt(2, 1, "w1", Outcome::Served, 0);
     harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Draining, 0)]);
-    let text =
-        |id, session: &str| Arrival { session: Some(CacheKey(session.into())), ..arrival(id, 4_000.0) };
+    let text = |id, session: &str| Arrival { session: Some(TextKey(session.into())), ..arrival(id, 4_000.0) };
     harness.handle(Event::Arrived(text(3, "new")));
     harness.handle(Event::Arrived(text(4, "known")));
     let done = harness.update_list(ListMode::Changes, vec![entry("w1", ServerStatus::Running, 0)]);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -71,8 +71,8 @@
         let event = match sim_event.clone() {
             SimEvent::Arrives(n) => Event::Arrived(Arrival {
                 id: RequestId(n),
-                session: Some(CacheKey(format!("talk-{}", n / 2).as_str().into())),
-                prefix: Some(CacheKey(format!("opening-{}", n % 10).as_str().into())),
+                session: Some(TextKey(format!("talk-{}", n / 2).as_str().into())),
+                prefix: Some(TextKey(format!("opening-{}", n % 10).as_str().into())),
                 time_left: 4_000 * MS,
                 prompt_tokens: 1_000.0,
                 shared_tokens: 700.0,
