--- a/crates/core/src/addresses/book.rs
+++ b/crates/core/src/addresses/book.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderstage::{ServerId, Time};
-use elderstage_protocol::place::{Family, Place};
+use elderstage_protocol::place::{AddressFamily, Endpoint};
 
 /// Weight of one sample in the mean times.
 const SAMPLE_WEIGHT: f64 = 0.3;
@@ -89,7 +89,7 @@
 /// An address that an attempt may try.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    pub place: Place,
+    pub endpoint: Endpoint,
     pub mean_connect: f64,
     pub mean_proof: f64,
     /// A request that may be repeated needs no proof first.
@@ -106,14 +106,14 @@
     next_trial_at: Option<Time>,
     pause_count: u32,
     /// The address of the last trial of the family.
-    last_trial_place: Option<Place>,
+    last_trial_place: Option<Endpoint>,
     has_trial: bool,
 }
 
 /// One server's addresses, as listed.
 #[derive(Clone, Debug)]
 struct ListedServer {
-    places: Vec<Place>,
+    endpoints: Vec<Endpoint>,
     leaving_since: Option<Time>,
 }
 
@@ -121,14 +121,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct AddressBook {
     servers: BTreeMap<ServerId, ListedServer>,
-    addresses: BTreeMap<Place, AddressState>,
-    families: BTreeMap<Family, FamilyState>,
+    addresses: BTreeMap<Endpoint, AddressState>,
+    families: BTreeMap<AddressFamily, FamilyState>,
     /// Until when earlier proofs of a family's addresses do not count.
-    proofs_invalid_until: BTreeMap<Family, Time>,
+    proofs_invalid_until: BTreeMap<AddressFamily, Time>,
     /// Addresses that have failed or are doubtful.
-    failing: BTreeSet<Place>,
+    failing: BTreeSet<Endpoint>,
     /// Addresses to try because a request has waited long or because they are slow.
-    suspects: BTreeSet<Place>,
+    suspects: BTreeSet<Endpoint>,
     /// When to look for slow addresses next.
     next_slow_check: Time,
     /// This front's share of the jitter, from 0 to 1.
@@ -166,14 +166,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
     pub server: ServerId,
-    pub place: Place,
+    pub endpoint: Endpoint,
     /// The trial is for the whole family.
-    pub family: bool,
+    pub is_family_trial: bool,
     /// Requests got no answer although connections were made. The trial must be as long as a request, since a
     /// network may pass only small packets.
-    pub heavy: bool,
+    pub is_padded: bool,
     /// Time limit of the trial.
-    pub time: Time,
+    pub time_limit: Time,
 }
 
 /// Length of the pause with this number, counted from 1, with the front's jitter.
@@ -190,12 +190,16 @@
 
     /// Applies a full list: each server's addresses in the configured order, and whether the server is
     /// leaving. What is known of an address that stays is kept, whichever server has it now.
-    pub fn apply_list(&mut self, now: Time, servers: impl IntoIterator<Item = (ServerId, Vec<Place>, bool)>) {
+    pub fn apply_list(
+        &mut self,
+        now: Time,
+        servers: impl IntoIterator<Item = (ServerId, Vec<Endpoint>, bool)>,
+    ) {
         let mut previous = std::mem::take(&mut self.servers);
-        for (server, places, is_leaving) in servers {
+        for (server, endpoints, is_leaving) in servers {
             let before = previous.remove(&server).and_then(|listed| listed.leaving_since);
             let leaving_since = is_leaving.then(|| before.unwrap_or(now));
-            self.servers.insert(server, ListedServer { places, leaving_since });
+            self.servers.insert(server, ListedServer { endpoints, leaving_since });
         }
         for (server, mut listed) in previous {
             let left = *listed.leaving_since.get_or_insert(now);
@@ -203,26 +207,26 @@
                 self.servers.insert(server, listed);
             }
         }
-        let mut leaving_by_place: BTreeMap<&Place, Option<Time>> = BTreeMap::new();
+        let mut leaving_by_place: BTreeMap<&Endpoint, Option<Time>> = BTreeMap::new();
         for listed in self.servers.values() {
-            for place in &listed.places {
-                let left = leaving_by_place.entry(place).or_insert(listed.leaving_since);
+            for endpoint in &listed.endpoints {
+                let left = leaving_by_place.entry(endpoint).or_insert(listed.leaving_since);
                 *left = (*left).zip(listed.leaving_since).map(|(a, b)| a.max(b));
             }
         }
-        self.addresses.retain(|place, _| leaving_by_place.contains_key(place));
-        for (place, left) in leaving_by_place {
-            self.addresses.entry(place.clone()).or_default().leaving_since = left;
+        self.addresses.retain(|endpoint, _| leaving_by_place.contains_key(endpoint));
+        for (endpoint, left) in leaving_by_place {
+            self.addresses.entry(endpoint.clone()).or_default().leaving_since = left;
         }
-        self.failing.retain(|place| self.addresses.contains_key(place));
-        self.suspects.retain(|place| self.addresses.contains_key(place));
+        self.failing.retain(|endpoint| self.addresses.contains_key(endpoint));
+        self.suspects.retain(|endpoint| self.addresses.contains_key(endpoint));
         for family in self.families.values_mut() {
             family
                 .failed_servers
                 .retain(|server, _| self.servers.get(server).is_some_and(|s| s.leaving_since.is_none()));
         }
         // A family that no listed server has any more is dropped; otherwise it would be tried forever.
-        let listed: BTreeSet<Family> = self
+        let listed: BTreeSet<AddressFamily> = self
             .addresses
             .iter()
             .filter(|(_, address)| address.leaving_since.is_none())
@@ -232,26 +236,26 @@
     }
 
     /// The state of one address.
-    pub fn address(&self, place: &Place) -> Option<&AddressState> {
-        self.addresses.get(place)
+    pub fn address(&self, endpoint: &Endpoint) -> Option<&AddressState> {
+        self.addresses.get(endpoint)
     }
 
     /// Whether connections to an address are to be closed: no server has it any more, and the grace period is
     /// over.
-    pub fn should_close(&self, place: &Place, now: Time, grace: Time) -> bool {
-        match self.addresses.get(place) {
+    pub fn should_close(&self, endpoint: &Endpoint, now: Time, grace: Time) -> bool {
+        match self.addresses.get(endpoint) {
             None => true,
             Some(address) => address.leaving_since.is_some_and(|left| now >= left + grace),
         }
     }
 
     /// Whether a family counts as down, for all servers.
-    pub fn family_down(&self, family: Family) -> bool {
+    pub fn family_down(&self, family: AddressFamily) -> bool {
         self.families.get(&family).is_some_and(|state| state.next_trial_at.is_some())
     }
 
     /// Number of addresses that have failed, or are doubtful, and have not answered since.
-    pub fn failing(&self) -> usize {
+    pub fn failing_count(&self) -> usize {
         self.failing.len()
     }
 
@@ -261,15 +265,15 @@
     pub fn candidates(&self, server: &ServerId, now: Time) -> Vec<Candidate> {
         let Some(listed) = self.servers.get(server) else { return Vec::new() };
         let usable: Vec<(usize, &AddressState)> = listed
-            .places
+            .endpoints
             .iter()
             .enumerate()
-            .filter_map(|(index, place)| Some((index, self.addresses.get(place)?)))
+            .filter_map(|(index, endpoint)| Some((index, self.addresses.get(endpoint)?)))
             .filter(|(_, address)| address.failures == 0 || address.dials_in_progress < HALF_OPEN_DIALS)
             .collect();
         let best = best_time(usable.iter().map(|(_, address)| *address));
         let key = |&(index, address): &(usize, &AddressState)| {
-            let down = !self.families.is_empty() && self.family_down(listed.places[index].family());
+            let down = !self.families.is_empty() && self.family_down(listed.endpoints[index].family());
             (
                 address.is_failing(),
                 down,
@@ -281,12 +285,12 @@
         let mut order = usable;
         order.sort_by_cached_key(key);
         let candidate = |(index, address): (usize, &AddressState)| {
-            let place = &listed.places[index];
+            let endpoint = &listed.endpoints[index];
             let is_invalidated =
-                self.proofs_invalid_until.get(&place.family()).is_some_and(|until| now < *until);
+                self.proofs_invalid_until.get(&endpoint.family()).is_some_and(|until| now < *until);
             let is_fresh = !is_invalidated && address.last_proven.is_some_and(|at| now < at + PROOF_LIFETIME);
             Candidate {
-                place: place.clone(),
+                endpoint: endpoint.clone(),
                 mean_connect: address.mean_connect,
                 mean_proof: address.mean_proof,
                 is_proven: is_fresh && address.unanswered == 0 && address.failures == 0,
@@ -297,21 +301,25 @@
     }
 
     /// Marks slow addresses for a trial and returns them.
-    fn mark_slow_addresses(&mut self, now: Time) -> Vec<Place> {
+    fn mark_slow_addresses(&mut self, now: Time) -> Vec<Endpoint> {
         if now < self.next_slow_check {
             return Vec::new();
         }
         self.next_slow_check = now + SLOW_RECHECK_INTERVAL / 5;
         let mut slow = Vec::new();
-        for listed in self.servers.values().filter(|listed| listed.places.len() > 1) {
-            let best = best_time(listed.places.iter().filter_map(|place| self.addresses.get(place)));
+        for listed in self.servers.values().filter(|listed| listed.endpoints.len() > 1) {
+            let best = best_time(listed.endpoints.iter().filter_map(|endpoint| self.addresses.get(endpoint)));
             let due = |address: &AddressState| {
                 address.is_slow(best)
                     && !address.is_failing()
                     && now >= address.last_trial_at + SLOW_RECHECK_INTERVAL
             };
             slow.extend(
-                listed.places.iter().filter(|place| self.addresses.get(place).is_some_and(due)).cloned(),
+                listed
+                    .endpoints
+                    .iter()
+                    .filter(|endpoint| self.addresses.get(endpoint).is_some_and(due))
+                    .cloned(),
             );
         }
         self.suspects.extend(slow.iter().cloned());
@@ -319,37 +327,37 @@
     }
 
     /// The addresses of a server in the listed order.
-    pub fn places(&self, server: &ServerId) -> &[Place] {
-        self.servers.get(server).map_or(&[], |listed| &listed.places)
+    pub fn endpoints(&self, server: &ServerId) -> &[Endpoint] {
+        self.servers.get(server).map_or(&[], |listed| &listed.endpoints)
     }
 
     // ---- Observations ----
 
     /// Counts a dial that starts.
-    pub fn dial_started(&mut self, place: &Place) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn dial_started(&mut self, endpoint: &Endpoint) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             address.dials_in_progress += 1;
         }
     }
 
     /// Counts a dial that ended, with or without a connection.
-    pub fn dial_ended(&mut self, place: &Place) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn dial_ended(&mut self, endpoint: &Endpoint) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             address.dials_in_progress = address.dials_in_progress.saturating_sub(1);
         }
     }
 
     /// Records the time of a successful connect.
-    pub fn record_connect(&mut self, place: &Place, took: Time) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn record_connect(&mut self, endpoint: &Endpoint, took: Time) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             update_mean(&mut address.mean_connect, took);
         }
     }
 
     /// Records that the address answered: it works, and so does its family. `took` is the duration of a
     /// proof; `None` stands for the answer to a request.
-    pub fn record_answer(&mut self, place: &Place, now: Time, took: Option<Time>) {
-        let Some(address) = self.addresses.get_mut(place) else { return };
+    pub fn record_answer(&mut self, endpoint: &Endpoint, now: Time, took: Option<Time>) {
+        let Some(address) = self.addresses.get_mut(endpoint) else { return };
         if let Some(took) = took {
             update_mean(&mut address.mean_proof, took);
         }
@@ -366,28 +374,28 @@
         }
         if !address.is_failing() {
             address.next_trial_at = 0;
-            self.failing.remove(place);
+            self.failing.remove(endpoint);
         }
         if is_back {
             // The server is back: its other addresses are tried soon, whatever their pauses.
             let jitter = self.jitter;
-            for listed in self.servers.values().filter(|listed| listed.places.contains(place)) {
-                for place in &listed.places {
-                    if let Some(address) = self.addresses.get_mut(place) {
+            for listed in self.servers.values().filter(|listed| listed.endpoints.contains(endpoint)) {
+                for endpoint in &listed.endpoints {
+                    if let Some(address) = self.addresses.get_mut(endpoint) {
                         address.next_trial_at =
                             address.next_trial_at.min(now + (FIRST_PAUSE as f64 * jitter) as Time);
                     }
                 }
             }
         }
-        let Some(family) = self.families.remove(&place.family()) else { return };
+        let Some(family) = self.families.remove(&endpoint.family()) else { return };
         if family.next_trial_at.is_some() {
             // The family is back: its failed addresses are tried again soon, spread over the first pause.
-            let of_family: Vec<Place> =
-                self.failing.iter().filter(|p| p.family() == place.family()).cloned().collect();
+            let of_family: Vec<Endpoint> =
+                self.failing.iter().filter(|p| p.family() == endpoint.family()).cloned().collect();
             let count = of_family.len().max(1) as Time;
-            for (number, place) in of_family.iter().enumerate() {
-                if let Some(address) = self.addresses.get_mut(place) {
+            for (number, endpoint) in of_family.iter().enumerate() {
+                if let Some(address) = self.addresses.get_mut(endpoint) {
                     address.next_trial_at =
                         address.next_trial_at.min(now + FIRST_PAUSE * number as Time / count);
                 }
@@ -397,9 +405,9 @@
 
     /// Records a failed connect, or a connection that was closed or stalled during its proof. `since` is when
     /// that dial or proof started.
-    pub fn record_failure(&mut self, place: &Place, now: Time, since: Time) {
+    pub fn record_failure(&mut self, endpoint: &Endpoint, now: Time, since: Time) {
         let jitter = self.jitter;
-        let Some(address) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(endpoint) else { return };
         // A dial that started before the last failure was recorded says nothing new. Otherwise 100 concurrent
         // requests would each double the pause.
         if address.failures > 0 && since <= address.failed_at {
@@ -412,18 +420,18 @@
         address.postpone_trial(now, jitter);
         address.failures += 1;
         address.failed_at = now;
-        self.failing.insert(place.clone());
+        self.failing.insert(endpoint.clone());
     }
 
     /// A dial failed or a connection broke: proofs of the family's addresses do not count for a while.
-    pub fn invalidate_proofs(&mut self, place: &Place, now: Time) {
-        self.proofs_invalid_until.insert(place.family(), now + PROOFS_INVALID_FOR);
+    pub fn invalidate_proofs(&mut self, endpoint: &Endpoint, now: Time) {
+        self.proofs_invalid_until.insert(endpoint.family(), now + PROOFS_INVALID_FOR);
     }
 
     /// Records a request that got no byte of answer over an open connection.
-    pub fn record_no_answer(&mut self, place: &Place, now: Time, since: Time) {
+    pub fn record_no_answer(&mut self, endpoint: &Endpoint, now: Time, since: Time) {
         let jitter = self.jitter;
-        let Some(address) = self.addresses.get_mut(place) else { return };
+        let Some(address) = self.addresses.get_mut(endpoint) else { return };
         // Answers to proofs do not count here: a path may pass those and lose the requests that follow.
         if address.last_request_answered.is_some_and(|at| at > since) {
             return;
@@ -431,52 +439,60 @@
         address.unanswered += 1;
         if address.unanswered == DOUBTFUL_AFTER_UNANSWERED {
             address.postpone_trial(now, jitter);
-            self.failing.insert(place.clone());
+            self.failing.insert(endpoint.clone());
         }
     }
 
     /// A request over this address has waited long: asks for trials of it and of the server's other
     /// addresses. Without the latter, a front whose requests all wait on a dead path would never learn that
     /// another path works.
-    pub fn suspect_addresses(&mut self, server: &ServerId, place: &Place, now: Time) {
+    pub fn suspect_addresses(&mut self, server: &ServerId, endpoint: &Endpoint, now: Time) {
         let Some(listed) = self.servers.get(server) else { return };
-        for place in listed.places.iter().chain([place].into_iter().filter(|p| !listed.places.contains(p))) {
-            if let Some(address) = self.addresses.get(place)
+        for endpoint in
+            listed.endpoints.iter().chain([endpoint].into_iter().filter(|p| !listed.endpoints.contains(p)))
+        {
+            if let Some(address) = self.addresses.get(endpoint)
                 && !address.is_failing()
                 && address.last_proven.is_none_or(|at| now >= at + RECENT_ANSWER)
             {
-                self.suspects.insert(place.clone());
+                self.suspects.insert(endpoint.clone());
             }
         }
     }
 
     /// Whether requests that wait on this address should be given up: it has failed or is doubtful, while
     /// another address of the server has answered after `since`.
-    pub fn should_give_up(&self, server: &ServerId, place: &Place, since: Time) -> bool {
-        if !self.addresses.get(place).is_some_and(AddressState::is_failing) {
+    pub fn should_give_up(&self, server: &ServerId, endpoint: &Endpoint, since: Time) -> bool {
+        if !self.addresses.get(endpoint).is_some_and(AddressState::is_failing) {
             return false;
         }
-        let works = |other: &Place| {
-            other != place
+        let works = |other: &Endpoint| {
+            other != endpoint
                 && self.addresses.get(other).is_some_and(|address| {
                     !address.is_failing() && address.last_proven.is_some_and(|at| at > since)
                 })
         };
-        self.places(server).iter().any(works)
+        self.endpoints(server).iter().any(works)
     }
 
     /// Records that the address rejects `Expect: 100-continue`.
-    pub fn record_rejected_continue(&mut self, place: &Place) {
-        if let Some(address) = self.addresses.get_mut(place) {
+    pub fn record_rejected_continue(&mut self, endpoint: &Endpoint) {
+        if let Some(address) = self.addresses.get_mut(endpoint) {
             address.rejects_continue = true;
         }
     }
 
     /// Records that a server was reached at `won` after the addresses `lost` had failed or were late, and
     /// marks a family as down once enough servers show this.
-    pub fn record_family_failures(&mut self, server: &ServerId, won: &Place, lost: &[Place], now: Time) {
-        for place in lost {
-            let family = place.family();
+    pub fn record_family_failures(
+        &mut self,
+        server: &ServerId,
+        won: &Endpoint,
+        lost: &[Endpoint],
+        now: Time,
+    ) {
+        for endpoint in lost {
+            let family = endpoint.family();
             // The server must be reached by another family: a dead server says nothing of the network.
             if family == won.family() {
                 continue;
@@ -500,77 +516,92 @@
     /// trial takes longer than `connect`.
     pub fn start_trials(&mut self, now: Time, connect: Time, mut may: impl FnMut() -> bool) -> Vec<Trial> {
         let mut out = Vec::new();
-        let down: Vec<Family> =
+        let down: Vec<AddressFamily> =
             self.families.iter().filter(|(_, s)| s.next_trial_at.is_some()).map(|(f, _)| *f).collect();
         for family in down {
-            let Some(place) = self.next_family_trial(family, now) else { continue };
-            let Some(server) = self.listed_server_of(&place) else { continue };
+            let Some(endpoint) = self.next_family_trial(family, now) else { continue };
+            let Some(server) = self.listed_server_of(&endpoint) else { continue };
             if !may() {
                 return out;
             }
             if let Some(state) = self.families.get_mut(&family) {
-                (state.has_trial, state.last_trial_place) = (true, Some(place.clone()));
+                (state.has_trial, state.last_trial_place) = (true, Some(endpoint.clone()));
             }
-            out.push(Trial { server, place, family: true, heavy: false, time: connect });
+            out.push(Trial {
+                server,
+                endpoint,
+                is_family_trial: true,
+                is_padded: false,
+                time_limit: connect,
+            });
         }
         let slow = self.mark_slow_addresses(now);
         let wanted = self.failing.union(&self.suspects);
-        let due: Vec<Place> = wanted.filter(|place| self.is_trial_due(place, now)).cloned().collect();
-        for place in due {
-            let Some(server) = self.listed_server_of(&place) else { continue };
+        let due: Vec<Endpoint> =
+            wanted.filter(|endpoint| self.is_trial_due(endpoint, now)).cloned().collect();
+        for endpoint in due {
+            let Some(server) = self.listed_server_of(&endpoint) else { continue };
             if !may() {
                 return out;
             }
-            let Some(address) = self.addresses.get_mut(&place) else { continue };
+            let Some(address) = self.addresses.get_mut(&endpoint) else { continue };
             address.has_trial = true;
             address.last_trial_at = now;
-            self.suspects.remove(&place);
+            self.suspects.remove(&endpoint);
             // A request waits for the outcome of a suspicion, so that trial is short.
-            let time = if address.is_failing() || slow.contains(&place) {
+            let time = if address.is_failing() || slow.contains(&endpoint) {
                 connect
             } else {
                 connect.min(SUSPICION_TRIAL_TIME)
             };
-            out.push(Trial { server, heavy: address.is_doubtful(), place, family: false, time });
+            out.push(Trial {
+                server,
+                is_padded: address.is_doubtful(),
+                endpoint,
+                is_family_trial: false,
+                time_limit: time,
+            });
         }
         out
     }
 
-    fn is_trial_due(&self, place: &Place, now: Time) -> bool {
-        let address = self.addresses.get(place);
+    fn is_trial_due(&self, endpoint: &Endpoint, now: Time) -> bool {
+        let address = self.addresses.get(endpoint);
         let due = address.is_some_and(|k| {
             now >= k.next_trial_at && !k.has_trial && k.dials_in_progress == 0 && k.leaving_since.is_none()
         });
-        due && !self.family_down(place.family())
+        due && !self.family_down(endpoint.family())
     }
 
     /// The next address by which to try a family that is down, if a trial is due.
-    fn next_family_trial(&self, family: Family, now: Time) -> Option<Place> {
+    fn next_family_trial(&self, family: AddressFamily, now: Time) -> Option<Endpoint> {
         let state = self.families.get(&family)?;
         if state.has_trial || state.next_trial_at.is_none_or(|until| now < until) {
             return None;
         }
-        let of_family = |(place, address): &(&Place, &AddressState)| {
-            place.family() == family && address.leaving_since.is_none()
+        let of_family = |(endpoint, address): &(&Endpoint, &AddressState)| {
+            endpoint.family() == family && address.leaving_since.is_none()
         };
-        let after = self.addresses.iter().filter(of_family).map(|(place, _)| place);
-        let next =
-            after.clone().find(|place| state.last_trial_place.as_ref().is_none_or(|tried| *place > tried));
+        let after = self.addresses.iter().filter(of_family).map(|(endpoint, _)| endpoint);
+        let next = after
+            .clone()
+            .find(|endpoint| state.last_trial_place.as_ref().is_none_or(|tried| *endpoint > tried));
         next.or_else(|| after.clone().next()).cloned()
     }
 
     /// A listed server that has this address and is not leaving.
-    fn listed_server_of(&self, place: &Place) -> Option<ServerId> {
-        let has = |listed: &ListedServer| listed.leaving_since.is_none() && listed.places.contains(place);
+    fn listed_server_of(&self, endpoint: &Endpoint) -> Option<ServerId> {
+        let has =
+            |listed: &ListedServer| listed.leaving_since.is_none() && listed.endpoints.contains(endpoint);
         self.servers.iter().find(|(_, listed)| has(listed)).map(|(server, _)| server.clone())
     }
 
     /// Records the end of a trial.
     pub fn record_trial(&mut self, trial: &Trial, now: Time, since: Time, has_answered: bool) {
         let jitter = self.jitter;
-        if let Some(address) = self.addresses.get_mut(&trial.place) {
+        if let Some(address) = self.addresses.get_mut(&trial.endpoint) {
             address.has_trial = false;
-            address.unanswered = if has_answered && trial.heavy { 0 } else { address.unanswered };
+            address.unanswered = if has_answered && trial.is_padded { 0 } else { address.unanswered };
             if has_answered {
                 // The time of this trial, connect and answer together, replaces the means: old means would
                 // keep a recovered address last for long.
@@ -579,10 +610,11 @@
         }
         if has_answered {
             // The duration is already recorded above.
-            return self.record_answer(&trial.place, now, Some(now.saturating_sub(since)));
+            return self.record_answer(&trial.endpoint, now, Some(now.saturating_sub(since)));
         }
-        self.record_failure(&trial.place, now, since);
-        if let Some(state) = self.families.get_mut(&trial.place.family()).filter(|_| trial.family) {
+        self.record_failure(&trial.endpoint, now, since);
+        if let Some(state) = self.families.get_mut(&trial.endpoint.family()).filter(|_| trial.is_family_trial)
+        {
             state.has_trial = false;
             state.pause_count += 1;
             state.next_trial_at = state.next_trial_at.map(|_| now + pause_length(state.pause_count, jitter));
--- a/crates/core/src/addresses/pool.rs
+++ b/crates/core/src/addresses/pool.rs
@@ -5,54 +5,54 @@
 use std::collections::HashMap;
 
 use elderstage::Time;
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 
-use super::gate::Bounds;
+use super::gate::ConnectionLimits;
 
 /// Age and use count of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct ConnectionAge {
     /// When it was opened.
-    pub born: Time,
+    pub opened_at: Time,
     /// Requests that it has carried, one at a time, since HTTP/1.1 has no concurrent streams.
     pub uses: u32,
 }
 
-impl Life {
+impl ConnectionAge {
     /// A connection that was opened at `now` and has carried no request.
-    pub fn new(now: Time) -> Life {
-        Life { born: now, uses: 0 }
+    pub fn new(now: Time) -> ConnectionAge {
+        ConnectionAge { opened_at: now, uses: 0 }
     }
 }
 
 struct Idle<C> {
     conn: C,
-    life: Life,
+    life: ConnectionAge,
     since: Time,
 }
 
 /// Idle connections by address, and connections to close.
 pub struct Pool<C> {
-    bounds: Bounds,
-    idle: HashMap<Place, Vec<Idle<C>>>,
+    bounds: ConnectionLimits,
+    idle: HashMap<Endpoint, Vec<Idle<C>>>,
     closing: Vec<C>,
 }
 
 impl<C> Pool<C> {
     /// An empty pool.
-    pub fn new(bounds: Bounds) -> Pool<C> {
+    pub fn new(bounds: ConnectionLimits) -> Pool<C> {
         Pool { bounds, idle: HashMap::new(), closing: Vec::new() }
     }
 
-    fn is_worn_out(&self, life: Life, now: Time) -> bool {
-        life.uses >= self.bounds.uses || now >= life.born + self.bounds.age
+    fn is_worn_out(&self, life: ConnectionAge, now: Time) -> bool {
+        life.uses >= self.bounds.max_uses || now >= life.opened_at + self.bounds.max_age
     }
 
     /// Takes the most recently used idle connection, so that surplus ones expire.
-    pub fn take(&mut self, now: Time, place: &Place) -> Option<(C, Life)> {
-        let list = self.idle.get_mut(place)?;
+    pub fn take(&mut self, now: Time, endpoint: &Endpoint) -> Option<(C, ConnectionAge)> {
+        let list = self.idle.get_mut(endpoint)?;
         while let Some(Idle { conn, life, since }) = list.pop() {
-            if now < since + self.bounds.idle_for && now < life.born + self.bounds.age {
+            if now < since + self.bounds.idle_timeout && now < life.opened_at + self.bounds.max_age {
                 return Some((conn, life));
             }
             self.closing.push(conn);
@@ -62,10 +62,10 @@
 
     /// Keeps a connection for the next request, or marks it for closing. `is_leaving`: its address is no
     /// longer in use.
-    pub fn put(&mut self, now: Time, place: &Place, conn: C, life: Life, is_leaving: bool) {
+    pub fn put(&mut self, now: Time, endpoint: &Endpoint, conn: C, life: ConnectionAge, is_leaving: bool) {
         let is_worn_out = is_leaving || self.is_worn_out(life, now);
-        let list = self.idle.entry(place.clone()).or_default();
-        if is_worn_out || list.len() >= self.bounds.idle_each {
+        let list = self.idle.entry(endpoint.clone()).or_default();
+        if is_worn_out || list.len() >= self.bounds.max_idle_per_address {
             self.closing.push(conn);
         } else {
             list.push(Idle { conn, life, since: now });
@@ -74,12 +74,14 @@
 
     /// Marks for closing the connections that are idle too long, too old, or at an address for which
     /// `is_leaving` holds.
-    pub fn sweep(&mut self, now: Time, is_leaving: impl Fn(&Place) -> bool) {
+    pub fn sweep(&mut self, now: Time, is_leaving: impl Fn(&Endpoint) -> bool) {
         let (bounds, closing) = (self.bounds, &mut self.closing);
-        self.idle.retain(|place, list| {
-            let place_is_leaving = is_leaving(place);
+        self.idle.retain(|endpoint, list| {
+            let place_is_leaving = is_leaving(endpoint);
             let is_expired = |idle: &mut Idle<C>| {
-                place_is_leaving || now >= idle.since + bounds.idle_for || now >= idle.life.born + bounds.age
+                place_is_leaving
+                    || now >= idle.since + bounds.idle_timeout
+                    || now >= idle.life.opened_at + bounds.max_age
             };
             closing.extend(list.extract_if(.., is_expired).map(|idle| idle.conn));
             !list.is_empty()
@@ -90,16 +92,16 @@
     /// is idle.
     pub fn make_room(&mut self) -> bool {
         let oldest = |list: &Vec<Idle<C>>| list.first().map(|idle| idle.since);
-        let Some(place) = self
+        let Some(endpoint) = self
             .idle
             .iter()
-            .filter_map(|(place, list)| Some((oldest(list)?, place)))
+            .filter_map(|(endpoint, list)| Some((oldest(list)?, endpoint)))
             .min()
-            .map(|(_, place)| place.clone())
+            .map(|(_, endpoint)| endpoint.clone())
         else {
             return false;
         };
-        if let Some(list) = self.idle.get_mut(&place) {
+        if let Some(list) = self.idle.get_mut(&endpoint) {
             self.closing.push(list.remove(0).conn);
         }
         true
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use elderstage::{
-    Action, Arrival, Entry, Event as RouterEvent, ListMode, Outcome, Repeat, ReqId, Role, Router, ServerId,
-    TextKey, Time,
+    Action, Arrival, Event as RouterEvent, ListMode, Outcome, RepeatPolicy, RequestId, Role, Router,
+    ServerEntry, ServerId, TextKey, Time,
 };
 
 use crate::admission::{self, Rejection};
@@ -31,7 +31,7 @@
 
 /// A request from a client.
 #[derive(Clone, Debug)]
-pub struct Submit {
+pub struct NewRequest {
     pub chain: ChainId,
     /// Index into [`Plan::routes`].
     pub route: usize,
@@ -40,41 +40,41 @@
     /// Key of the client's session, if the client named one.
     pub session: Option<String>,
     /// Name and length in bytes of the text that the prompt begins with, if other requests share it.
-    pub prefix: Option<(String, usize)>,
+    pub shared_prefix: Option<(String, usize)>,
     /// Length of the whole prompt, in bytes.
-    pub bytes: usize,
+    pub prompt_bytes: usize,
     /// The client marked the request as a repeat of an earlier one.
-    pub repeat: bool,
+    pub is_repeat: bool,
 }
 
 /// A tool call that the model made in a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct RequestedToolCall {
     /// Name of the tool, as the model wrote it.
     pub tool: String,
     /// Length of the arguments, in bytes.
-    pub bytes: usize,
+    pub argument_bytes: usize,
 }
 
 /// An event that the front observed.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client sent a request.
-    Submit(Submit),
+    Submit(NewRequest),
     /// The first token, or the first fragment of a tool call, arrived from the engine.
-    Streaming { chain: ChainId, leg: ReqId, attempt: u32, took: Time },
+    Streaming { chain: ChainId, leg: RequestId, attempt: u32, took: Time },
     /// An attempt ended, after `took`.
     AttemptEnded {
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         evidence: Evidence,
         took: Time,
         /// Prompt tokens and answer tokens, as counted by the engine.
         usage: Option<(u64, u64)>,
         /// Bytes of text and the tool calls of a turn that ended normally.
-        text: usize,
-        calls: Vec<Call>,
+        text_bytes: usize,
+        calls: Vec<RequestedToolCall>,
         load: Option<Vec<f64>>,
     },
     /// A tool call ended. `call` is its position among the calls of the turn.
@@ -84,7 +84,7 @@
     /// The answer exceeds the size that the front may buffer.
     TooLong { chain: ChainId },
     /// The list of servers, or changes to it.
-    Servers { mode: ListMode, entries: Vec<Entry> },
+    Servers { mode: ListMode, entries: Vec<ServerEntry> },
     /// A probe ended; `evidence` is `None` if the server answered that it is healthy.
     Probed { server: ServerId, evidence: Option<Evidence>, took: Time, load: Option<Vec<f64>> },
     /// A server reported the start time of its process. A server that started before `long_ago` counts as
@@ -102,7 +102,7 @@
     /// Start an attempt.
     Send {
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         /// Number of the leg within its chain, from 1.
         turn: u32,
         attempt: u32,
@@ -110,9 +110,9 @@
         stage: Stage,
         timeout: Time,
         /// The request's class is keyed: the server drops repeats by an idempotency key.
-        keyed: bool,
+        is_keyed: bool,
         /// The request must not run twice: its connection is proven before its body is sent.
-        once: bool,
+        must_not_repeat: bool,
     },
     /// Cancel an attempt; the front still reports its end.
     Cancel { chain: ChainId, turn: u32, attempt: u32 },
@@ -125,7 +125,7 @@
     /// Cancel a tool call.
     CancelTool { chain: ChainId, turn: u32, call: usize },
     /// Give the client its final answer; emitted once per chain.
-    Answer { chain: ChainId, last: Final },
+    Answer { chain: ChainId, final_answer: Final },
     /// Drop everything held for this chain: no further effect refers to it.
     Forget { chain: ChainId },
 }
@@ -134,7 +134,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests admitted.
-    pub taken: u64,
+    pub admitted: u64,
     /// Requests rejected at admission.
     pub turned_away: u64,
     /// Requests that ended with [`Final::Served`].
@@ -144,7 +144,7 @@
     /// Requests that ended with [`Final::Failed`].
     pub failed: u64,
     /// Requests whose client left or cancelled.
-    pub gone: u64,
+    pub clients_gone: u64,
     /// Admitted requests that were refused or failed, by reason.
     pub ended_for: BTreeMap<Reason, u64>,
     /// Legs started.
@@ -173,7 +173,7 @@
     router: Router,
     members: Members,
     chains: HashMap<ChainId, Chain>,
-    chain_by_leg: HashMap<ReqId, ChainId>,
+    chain_by_leg: HashMap<RequestId, ChainId>,
     /// Session key, prefix key and tenant of each chain.
     routing_keys: HashMap<ChainId, (Option<TextKey>, Option<TextKey>, usize)>,
     /// One for each route.
@@ -208,22 +208,22 @@
     }
 
     /// Number of chains that have not been forgotten yet.
-    pub fn held(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.chains.len()
     }
 
     /// Whether new requests are rejected.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.is_draining
     }
 
-    /// When [`Core::wake`] is due next.
+    /// When [`Core::handle_timers`] is due next.
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
     /// Handles all timers that are due.
-    pub fn wake(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub fn handle_timers(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while let Some(due) = self.timers.pop_due(now) {
             match due {
                 TimerPurpose::Router(name) => self.notify_router(now, RouterEvent::Timer { name }, effects),
@@ -280,7 +280,7 @@
 
     // ---- Requests ----
 
-    fn submit(&mut self, now: Time, submit: Submit, effects: &mut Vec<Effect>) {
+    fn submit(&mut self, now: Time, submit: NewRequest, effects: &mut Vec<Effect>) {
         let chain = submit.chain;
         if let Err(rejection) = admission::admit(self.is_draining, self.chains.len(), &self.plan.limits) {
             self.counters.turned_away += 1;
@@ -289,20 +289,21 @@
                 Rejection::Full => Reason::FrontFull,
             };
             let retry_after = self.plan.limits.retry_after;
-            effects.push(Effect::Answer { chain, last: Final::Refused { reason, retry_after } });
+            effects.push(Effect::Answer { chain, final_answer: Final::Refused { reason, retry_after } });
             effects.push(Effect::Forget { chain });
             return;
         }
-        self.counters.taken += 1;
+        self.counters.admitted += 1;
         let class = self.plan.routes[submit.route].class;
         let plan = &self.plan.classes[class];
-        let tokens = self.estimates[submit.route].tokens(submit.bytes);
-        let first_token_limit = plan.give_up + (plan.give_up_per_1000 * tokens / 1000.0) as Time;
-        let deadline = now + plan.total;
+        let tokens = self.estimates[submit.route].tokens(submit.prompt_bytes);
+        let first_token_limit =
+            plan.first_token_limit + (plan.first_token_limit_per_1000 * tokens / 1000.0) as Time;
+        let deadline = now + plan.request_limit;
         self.timers.set(deadline, TimerPurpose::Chain(chain));
-        let shared_bytes = submit.prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
+        let shared_bytes = submit.shared_prefix.as_ref().map_or(0, |(_, bytes)| *bytes);
         let key = |text: String| TextKey(text.into());
-        let prefix = submit.prefix.map(|(name, _)| key(name));
+        let prefix = submit.shared_prefix.map(|(name, _)| key(name));
         // A request on a route with tools gets a session of its own if it names none: the router then reads
         // its next leg on the server that keeps the first.
         let tools = !self.plan.routes[submit.route].tools.is_empty();
@@ -314,28 +315,28 @@
             arrived: now,
             deadline,
             first_token_limit,
-            bytes: submit.bytes,
+            bytes: submit.prompt_bytes,
             shared_bytes,
             legs: 0,
             calls: Vec::new(),
             next_call: 0,
             may_have_had_effect: false,
-            phase: Phase::Leg(Leg::new(ReqId(0))),
+            phase: Phase::Leg(Leg::new(RequestId(0))),
             is_answered: false,
         };
         self.chains.insert(chain, new_chain);
-        self.start_leg(now, chain, submit.repeat, effects);
+        self.start_leg(now, chain, submit.is_repeat, effects);
     }
 
     /// Submits the next turn to the router as a request of its own, with the time that is left.
     fn start_leg(&mut self, now: Time, id: ChainId, repeat: bool, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let route = &self.plan.routes[chain.route];
-        if chain.legs >= route.most_legs {
+        if chain.legs >= route.max_legs {
             return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         self.last_leg_number = self.last_leg_number.wrapping_add(1);
-        let leg = ReqId(self.last_leg_number);
+        let leg = RequestId(self.last_leg_number);
         chain.legs += 1;
         chain.phase = Phase::Leg(Leg::new(leg));
         self.chain_by_leg.insert(leg, id);
@@ -344,7 +345,7 @@
         let prompt = estimate.tokens(chain.bytes);
         let shared =
             if chain.shared_bytes > 0 { estimate.tokens(chain.shared_bytes).min(prompt) } else { 0.0 };
-        let tpot = self.plan.settings.classes[chain.class].tpot_aim;
+        let tpot = self.plan.settings.classes[chain.class].tpot_target;
         let (session, prefix, tenant) = self.routing_keys.get(&id).cloned().unwrap_or_default();
         let arrival = Arrival {
             id: leg,
@@ -353,14 +354,14 @@
             session,
             prefix,
             time_left: chain.first_token_limit.min(chain.deadline.saturating_sub(now)),
-            hint: (estimate.answer_tokens() * tpot) as Time,
-            prompt,
-            shared,
-            max_out: route.max_tokens,
-            repeat,
+            output_time_hint: (estimate.answer_tokens() * tpot) as Time,
+            prompt_tokens: prompt,
+            shared_tokens: shared,
+            max_output_tokens: route.max_tokens,
+            is_repeat: repeat,
             // The session key leads a later leg to its reader; `returned` is for sessions that come back
             // after a break.
-            returned: false,
+            is_resumed: false,
         };
         self.notify_router(now, RouterEvent::Arrived(arrival), effects);
     }
@@ -369,7 +370,7 @@
         &mut self,
         now: Time,
         id: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         took: Time,
         effects: &mut Vec<Effect>,
@@ -387,7 +388,17 @@
     }
 
     fn attempt_ended(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        let Event::AttemptEnded { chain: id, leg, attempt, evidence, took, usage, text, calls, load } = event
+        let Event::AttemptEnded {
+            chain: id,
+            leg,
+            attempt,
+            evidence,
+            took,
+            usage,
+            text_bytes: text,
+            calls,
+            load,
+        } = event
         else {
             return;
         };
@@ -419,7 +430,7 @@
         let is_answered = chain.is_answered;
         self.notify_router(
             now,
-            RouterEvent::Ended { id: leg, attempt, server, outcome, took, settled, note, load },
+            RouterEvent::Ended { id: leg, attempt, server, outcome, took, is_settled: settled, note, load },
             effects,
         );
         if is_answered {
@@ -434,20 +445,28 @@
 
     // ---- Tool calls ----
 
-    fn turn_ended(&mut self, now: Time, id: ChainId, text: usize, calls: &[Call], effects: &mut Vec<Effect>) {
+    fn turn_ended(
+        &mut self,
+        now: Time,
+        id: ChainId,
+        text: usize,
+        calls: &[RequestedToolCall],
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(chain) = self.chains.get_mut(&id) else { return };
         if calls.is_empty() {
             return self.finish(now, id, Final::Served, effects);
         }
-        if calls.len() > self.plan.limits.calls {
+        if calls.len() > self.plan.limits.max_calls_per_turn {
             return self.end_chain(now, id, Reason::TooManyTurns, effects);
         }
         let route = &self.plan.routes[chain.route];
-        let find_tool =
-            |call: &Call| route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool);
+        let find_tool = |call: &RequestedToolCall| {
+            route.tools.iter().copied().find(|t| self.plan.tools[*t].name == call.tool)
+        };
         chain.calls = calls.iter().map(find_tool).collect();
         chain.next_call = 0;
-        chain.bytes += text + calls.iter().map(|call| call.bytes).sum::<usize>();
+        chain.bytes += text + calls.iter().map(|call| call.argument_bytes).sum::<usize>();
         self.start_next_call(now, id, effects);
     }
 
@@ -486,7 +505,7 @@
             call.had_effect_before = chain.may_have_had_effect;
         }
         call.tries += 1;
-        chain.may_have_had_effect |= tool.effect;
+        chain.may_have_had_effect |= tool.has_effect;
         chain.phase = Phase::Tool(call);
         self.counters.tool_calls += 1;
         self.counters.tool_retries += u64::from(call.tries > 1);
@@ -544,7 +563,7 @@
         self.finish(now, id, last, effects);
     }
 
-    fn repeat_policy(&self, chain: &Chain) -> Repeat {
+    fn repeat_policy(&self, chain: &Chain) -> RepeatPolicy {
         self.plan.classes[chain.class].repeat
     }
 
@@ -552,12 +571,12 @@
     fn finish(&mut self, now: Time, id: ChainId, last: Final, effects: &mut Vec<Effect>) {
         let Some(chain) = self.chains.get_mut(&id).filter(|chain| !chain.is_answered) else { return };
         chain.is_answered = true;
-        effects.push(Effect::Answer { chain: id, last });
+        effects.push(Effect::Answer { chain: id, final_answer: last });
         match last {
             Final::Served => self.counters.served += 1,
             Final::Refused { .. } => self.counters.refused += 1,
             Final::Failed { .. } => self.counters.failed += 1,
-            Final::Gone => self.counters.gone += 1,
+            Final::Gone => self.counters.clients_gone += 1,
         }
         if let Final::Refused { reason, .. } | Final::Failed { reason } = last {
             *self.counters.ended_for.entry(reason).or_default() += 1;
@@ -644,18 +663,18 @@
         }
     }
 
-    fn chain_of_leg(&self, leg: ReqId) -> Option<(ChainId, &Chain)> {
+    fn chain_of_leg(&self, leg: RequestId) -> Option<(ChainId, &Chain)> {
         let id = *self.chain_by_leg.get(&leg)?;
         Some((id, self.chains.get(&id)?))
     }
 
-    fn send_attempt(&mut self, leg: ReqId, server: ServerId, timeout: Time, effects: &mut Vec<Effect>) {
+    fn send_attempt(&mut self, leg: RequestId, server: ServerId, timeout: Time, effects: &mut Vec<Effect>) {
         let Some(id) = self.chain_by_leg.get(&leg).copied() else { return };
         let Some(chain) = self.chains.get_mut(&id) else { return };
         let kind = self.members.get(&server).map(|entry| entry.kind);
         let role = kind.and_then(|kind| self.plan.settings.roles.get(kind)).copied().unwrap_or_default();
         let repeat = self.plan.classes[chain.class].repeat;
-        let keyed = matches!(repeat, Repeat::Keyed { .. });
+        let keyed = matches!(repeat, RepeatPolicy::Keyed { .. });
         let turn = chain.legs;
         let Phase::Leg(current) = &mut chain.phase else { return };
         let stage = match (role, &current.kept_state) {
@@ -668,8 +687,18 @@
         current.in_flight = Some((server.clone(), stage));
         self.counters.attempts += 1;
         // Reading a prompt has no side effect, so it may be repeated.
-        let once = repeat != Repeat::Safe && stage != Stage::Read;
-        effects.push(Effect::Send { chain: id, leg, turn, attempt, server, stage, timeout, keyed, once });
+        let once = repeat != RepeatPolicy::Safe && stage != Stage::Read;
+        effects.push(Effect::Send {
+            chain: id,
+            leg,
+            turn,
+            attempt,
+            server,
+            stage,
+            timeout,
+            is_keyed: keyed,
+            must_not_repeat: once,
+        });
     }
 }
 
@@ -686,8 +715,8 @@
 fn decide_tool_step(tool: &ToolPlan, end: &ToolEnd, tries: u32) -> ToolStep {
     match end {
         ToolEnd::Result { .. } => ToolStep::Continue,
-        ToolEnd::Unknown if tool.effect => ToolStep::EndRequest,
-        ToolEnd::NotRun | ToolEnd::Unknown if tries < tool.tries => ToolStep::Retry,
+        ToolEnd::Unknown if tool.has_effect => ToolStep::EndRequest,
+        ToolEnd::NotRun | ToolEnd::Unknown if tries < tool.max_tries => ToolStep::Retry,
         ToolEnd::NotRun | ToolEnd::Unknown => ToolStep::Continue,
     }
 }
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -5,11 +5,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use elderstage::{Entry, ListMode, Listed, Repeat, ReqId, ServerId, Settings, Time, example_settings};
+use elderstage::{
+    ListMode, RepeatPolicy, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
+};
 use elderstage_core::chain::Final;
 use elderstage_core::evidence::{Evidence, ToolEnd};
 use elderstage_core::{
-    Call, ChainId, ClassPlan, Core, Effect, Event, Limits, Plan, RoutePlan, Stage, Submit, ToolPlan,
+    ChainId, ClassPlan, Core, Effect, Event, Limits, NewRequest, Plan, RequestedToolCall, RoutePlan, Stage,
+    ToolPlan,
 };
 
 pub const MS: Time = 1_000;
@@ -37,29 +40,39 @@
     pub reads: Vec<Script>,
     pub writes: Vec<Script>,
     pub tools: Vec<(Time, ToolEnd)>,
-    in_flight: BTreeMap<(ChainId, u32, u32), (ReqId, u64)>,
+    in_flight: BTreeMap<(ChainId, u32, u32), (RequestId, u64)>,
     kept_states: BTreeMap<(ChainId, u32), Time>,
     last_tool_ends: BTreeMap<ChainId, ToolEnd>,
     /// Longest time that a reader kept a state before a writer was sent for it or it was released.
     pub longest_state_wait: Time,
 }
 
-pub fn plan(repeat: Repeat) -> Plan {
+pub fn plan(repeat: RepeatPolicy) -> Plan {
     let mut settings: Settings = example_settings();
     settings.classes[0].repeat = repeat;
-    let tool = |name: &str, effect| ToolPlan { name: name.into(), effect, timeout: 2_000 * MS, tries: 2 };
+    let tool = |name: &str, effect| ToolPlan {
+        name: name.into(),
+        has_effect: effect,
+        timeout: 2_000 * MS,
+        max_tries: 2,
+    };
     Plan {
         settings,
-        classes: vec![ClassPlan { repeat, give_up: 6_000 * MS, give_up_per_1000: 0.0, total: 20_000 * MS }],
+        classes: vec![ClassPlan {
+            repeat,
+            first_token_limit: 6_000 * MS,
+            first_token_limit_per_1000: 0.0,
+            request_limit: 20_000 * MS,
+        }],
         tools: vec![tool("stock", false), tool("place_order", true)],
         routes: vec![RoutePlan {
             name: "r".into(),
             class: 0,
             tools: vec![0, 1],
             max_tokens: 200.0,
-            most_legs: 3,
+            max_legs: 3,
         }],
-        limits: Limits { requests: 50, ..Limits::default() },
+        limits: Limits { max_requests: 50, ..Limits::default() },
     }
 }
 
@@ -68,7 +81,7 @@
 }
 
 impl World {
-    pub fn new(repeat: Repeat) -> World {
+    pub fn new(repeat: RepeatPolicy) -> World {
         World::with_plan(plan(repeat))
     }
 
@@ -94,26 +107,26 @@
     }
 
     pub fn set_servers(&mut self, servers: &[(&str, usize)]) {
-        let entry = |(name, kind): &(&str, usize)| Entry {
+        let entry = |(name, kind): &(&str, usize)| ServerEntry {
             server: ServerId((*name).into()),
-            listed: Listed::Running,
+            listed: ServerStatus::Running,
             kind: *kind,
             weight: 1.0,
-            ..Entry::default()
+            ..ServerEntry::default()
         };
         let entries = servers.iter().map(entry).collect();
         self.handle_event(Event::Servers { mode: ListMode::Full, entries });
     }
 
     pub fn submit(&mut self, chain: u64) {
-        self.handle_event(Event::Submit(Submit {
+        self.handle_event(Event::Submit(NewRequest {
             chain: ChainId(chain),
             route: 0,
             tenant: 0,
             session: None,
-            prefix: None,
-            bytes: 2_000,
-            repeat: false,
+            shared_prefix: None,
+            prompt_bytes: 2_000,
+            is_repeat: false,
         }));
     }
 
@@ -133,15 +146,16 @@
     fn attempt_ended(
         &self,
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         evidence: Evidence,
         took: Time,
         calls: &[&str],
     ) -> Event {
-        let calls = calls.iter().map(|name| Call { tool: (*name).into(), bytes: 10 }).collect();
+        let calls =
+            calls.iter().map(|name| RequestedToolCall { tool: (*name).into(), argument_bytes: 10 }).collect();
         let usage = matches!(evidence, Evidence::Turn { .. }).then_some((500, 20));
-        Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text: 80, calls, load: None }
+        Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text_bytes: 80, calls, load: None }
     }
 
     fn apply_effects(&mut self, effects: Vec<Effect>) {
@@ -202,7 +216,9 @@
                         self.longest_state_wait = self.longest_state_wait.max(self.now - since);
                     }
                 }
-                Effect::Answer { chain, last } => self.finals.entry(chain.0).or_default().push(last),
+                Effect::Answer { chain, final_answer: last } => {
+                    self.finals.entry(chain.0).or_default().push(last)
+                }
                 Effect::Probe { .. } | Effect::CancelTool { .. } | Effect::Forget { .. } => {}
             }
         }
@@ -233,7 +249,7 @@
                         }
                     } else {
                         let mut effects = Vec::new();
-                        self.core.wake(self.now, &mut effects);
+                        self.core.handle_timers(self.now, &mut effects);
                         self.apply_effects(effects);
                     }
                 }
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -3,10 +3,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use elderstage::{ListMode, ReqId, Time};
-use elderstage_config::{Config, ExpectConfig, ServerConfig, StateName};
+use elderstage::{ListMode, RequestId, Time};
+use elderstage_config::{Config, ExpectationConfig, ServerConfig, StateName};
 use elderstage_core::evidence::Evidence;
-use elderstage_core::{ChainId, Core, Effect, Event, Final, Stage, Submit};
+use elderstage_core::{ChainId, Core, Effect, Event, Final, NewRequest, Stage};
 
 const MS: Time = 1_000;
 /// Simulated time at the start. It is well above 0, so that processes that started long ago have a start
@@ -20,7 +20,7 @@
 const ANSWER_TOKENS: u64 = 20;
 /// Time of a scripted engine for each token of an answer.
 const TOKEN_TIME: Time = 10 * MS;
-/// Average bytes of a token, as in the stand-in engines.
+/// Average bytes of a token, as in the mock engines.
 const BYTES_PER_TOKEN: f64 = 4.0;
 /// Duration of a refusal, a failed connect or a probe.
 const QUICK_REPLY_TIME: Time = MS;
@@ -38,19 +38,24 @@
 /// The state of one simulation.
 struct Simulation<'a> {
     core: Core,
-    expect: &'a ExpectConfig,
+    expect: &'a ExpectationConfig,
     now: Time,
     last_event: u64,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: HashMap<u64, Event>,
     /// The attempt in flight of each chain: the numbers of its scheduled events, its leg, its number and its
     /// start.
-    in_flight: HashMap<ChainId, (Vec<u64>, ReqId, u32, Time)>,
+    in_flight: HashMap<ChainId, (Vec<u64>, RequestId, u32, Time)>,
     requests: BTreeMap<u64, (Time, Request)>,
 }
 
 /// Simulates an expectation with one seed until the last answer is due, and returns its requests.
-pub fn simulate(config: &Config, servers: &[ServerConfig], expect: &ExpectConfig, seed: u64) -> Vec<Request> {
+pub fn simulate(
+    config: &Config,
+    servers: &[ServerConfig],
+    expect: &ExpectationConfig,
+    seed: u64,
+) -> Vec<Request> {
     let mut list = servers.to_vec();
     for server in &mut list {
         if expect.draining.contains(&server.name) {
@@ -81,14 +86,14 @@
         let shift =
             (number.wrapping_mul(0x9E37_79B9).wrapping_add(seed.wrapping_mul(0x85EB_CA6B)) % 1000) as f64;
         let at = first_arrival + (gap * (number as f64 + shift / 1000.0)) as Time;
-        let submit = Submit {
+        let submit = NewRequest {
             chain: ChainId(number + 1),
             route,
             tenant: 0,
             session: None,
-            prefix: None,
-            bytes: expect.prompt,
-            repeat: false,
+            shared_prefix: None,
+            prompt_bytes: expect.prompt,
+            is_repeat: false,
         };
         simulation.schedule(at, Event::Submit(submit));
     }
@@ -116,7 +121,7 @@
             self.now = self.now.max(at);
             let mut effects = Vec::new();
             if timer.is_some_and(|timer| timer <= self.now) {
-                self.core.wake(self.now, &mut effects);
+                self.core.handle_timers(self.now, &mut effects);
             } else if let Some(Reverse((_, number))) = self.queue.pop() {
                 let Some(event) = self.events.remove(&number) else { continue };
                 if let Event::Submit(submit) = &event {
@@ -157,7 +162,7 @@
                     let event = Event::Probed { server, evidence, took: QUICK_REPLY_TIME, load: None };
                     self.schedule(self.now + QUICK_REPLY_TIME, event);
                 }
-                Effect::Answer { chain, last } => {
+                Effect::Answer { chain, final_answer: last } => {
                     if let Some((arrived, request)) = self.requests.get_mut(&chain.0) {
                         request.end = Some((self.now - *arrived, last));
                     }
@@ -174,7 +179,7 @@
     fn start_attempt(
         &mut self,
         chain: ChainId,
-        leg: ReqId,
+        leg: RequestId,
         attempt: u32,
         server: &str,
         stage: Stage,
@@ -223,7 +228,7 @@
 
 fn attempt_ended(
     chain: ChainId,
-    leg: ReqId,
+    leg: RequestId,
     attempt: u32,
     evidence: Evidence,
     took: Time,
@@ -234,5 +239,15 @@
     } else {
         0
     };
-    Event::AttemptEnded { chain, leg, attempt, evidence, took, usage, text, calls: Vec::new(), load: None }
+    Event::AttemptEnded {
+        chain,
+        leg,
+        attempt,
+        evidence,
+        took,
+        usage,
+        text_bytes: text,
+        calls: Vec::new(),
+        load: None,
+    }
 }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -10,9 +10,9 @@
 use elderstage::Time;
 use elderstage_core::chain::Final;
 use elderstage_core::evidence::ToolEnd;
-use elderstage_core::{Call, ChainId, Event, Stage, Submit};
+use elderstage_core::{ChainId, Event, NewRequest, RequestedToolCall, Stage};
 use elderstage_net::channel::{Receiver, Sender, channel};
-use elderstage_net::{Conn, NetError, go};
+use elderstage_net::{Conn, NetError, spawn};
 use elderstage_protocol::engine::{self, Message};
 use elderstage_protocol::jsonrpc::Id;
 use elderstage_protocol::{http, mcp as codec, sse};
@@ -32,13 +32,16 @@
 
 /// Serves a new connection in a coroutine of its own.
 pub(crate) fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
-    conn.limits = http::Limits { head: shared.config.front.head, body: shared.config.front.body };
+    conn.limits = http::Limits {
+        head_bytes: shared.config.front.max_head_bytes,
+        body_bytes: shared.config.front.max_body_bytes,
+    };
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         shared.connections.fetch_add(1, Ordering::Relaxed);
         let mut client = ClientConnection { shared: &shared, conn, writer: None };
         client.serve();
-        client.conn.socket().shut();
+        client.conn.socket().shutdown();
         shared.connections.fetch_sub(1, Ordering::Relaxed);
     });
 }
@@ -55,14 +58,15 @@
     /// Reads requests from the socket and answers them, until the connection ends.
     fn serve(&mut self) {
         let front = &self.shared.config.front;
-        let (idle, stall) = (Duration::from_micros(front.idle), Duration::from_micros(front.stall));
+        let (idle, stall) =
+            (Duration::from_micros(front.idle_timeout), Duration::from_micros(front.stall_timeout));
         self.conn.set_write_timeout(Some(stall));
         loop {
             self.conn.set_read_timeout(Some(idle));
-            let received = self.conn.request().and_then(|head| {
+            let received = self.conn.receive_request().and_then(|head| {
                 self.conn.set_read_timeout(Some(stall));
-                self.conn.take_body(&head)?;
-                let body = self.conn.body(head.framing)?;
+                self.conn.send_continue(&head)?;
+                let body = self.conn.receive_body(head.framing)?;
                 Ok((head, body))
             });
             let (head, body) = match received {
@@ -244,13 +248,13 @@
         let rid = client_rid.map_or_else(|| format!("{front_name}-{}", chain.0), str::to_owned);
         let mut writer = match self.writer.take() {
             Some(writer) => writer,
-            None => self.conn.writer()?,
+            None => self.conn.try_clone_for_writing()?,
         };
-        writer.set_write_timeout(Some(Duration::from_micros(self.shared.config.front.stall)));
+        writer.set_write_timeout(Some(Duration::from_micros(self.shared.config.front.stall_timeout)));
         let (end_sender, call_ended) = channel();
         let shared = self.shared.clone();
         let guard = ActiveCallGuard::new(&shared, session_id.clone(), id.clone());
-        go(move || {
+        spawn(move || {
             let _guard = guard;
             let mut request =
                 ToolCallRequest::new(&shared, writer, chain, id, route, rid, prompt, progress_token);
@@ -267,7 +271,7 @@
         chain: ChainId,
         call_ended: &Receiver<(Conn, bool)>,
     ) -> Result<bool, NetError> {
-        let idle = Duration::from_micros(self.shared.config.front.idle);
+        let idle = Duration::from_micros(self.shared.config.front.idle_timeout);
         self.conn.set_read_timeout(Some(idle));
         loop {
             // A client that has already sent its next request may send nothing more until this one is answered, so
@@ -289,7 +293,7 @@
                 Err(error) => {
                     self.shared.inbox.send(Input::Core(Event::ClientGone { chain }));
                     // The shutdown makes further writes of the call's coroutine fail.
-                    self.conn.socket().shut();
+                    self.conn.socket().shutdown();
                     let _ = call_ended.recv();
                     return Err(error);
                 }
@@ -391,13 +395,20 @@
         let route = &self.shared.config.routes[self.route];
         let bytes = self.messages.iter().filter_map(|m| m.content.as_ref()).map(String::len).sum();
         let prefix = (!route.preamble.is_empty()).then(|| (route.name.clone(), route.preamble.len()));
-        let submit =
-            Submit { chain: self.chain, route: self.route, tenant: 0, session, prefix, bytes, repeat: false };
+        let submit = NewRequest {
+            chain: self.chain,
+            route: self.route,
+            tenant: 0,
+            session,
+            shared_prefix: prefix,
+            prompt_bytes: bytes,
+            is_repeat: false,
+        };
         let submission =
             Input::NewRequest { submit, rid: self.rid.clone(), commands: command_sender, slot: slot.clone() };
-        if self.shared.inbox.offer(submission).is_err() {
+        if self.shared.inbox.try_send(submission).is_err() {
             // The owner's queue is full or the owner has ended: the request was not submitted.
-            let retry_after = self.shared.config.rules.retry_after;
+            let retry_after = self.shared.config.rules.max_retry_after;
             let reason = elderstage_core::Reason::FrontFull;
             return self.finish(Final::Refused { reason, retry_after });
         }
@@ -445,14 +456,14 @@
             Stage::Write => engine::Stage::Write(self.kv_params.clone().unwrap_or(Value::Null)),
             Stage::Whole => engine::Stage::Whole,
         };
-        let engine_request = engine::Ask {
+        let engine_request = engine::CompletionRequest {
             model: route.model.clone(),
             messages: std::mem::take(&mut self.messages),
             tools: route.tools.clone(),
             max_tokens: u64::from(route.max_tokens),
             stage,
         };
-        let body = engine::body(&engine_request);
+        let body = engine::write_request_body(&engine_request);
         self.messages = engine_request.messages;
         let attempt = Attempt {
             server: &send.server,
@@ -477,10 +488,10 @@
         if outcome.state.is_some() {
             self.kv_params = outcome.state;
         }
-        let calls = outcome
-            .calls
-            .iter()
-            .map(|call| Call { tool: call.function.name.clone(), bytes: call.function.arguments.len() });
+        let calls = outcome.calls.iter().map(|call| RequestedToolCall {
+            tool: call.function.name.clone(),
+            argument_bytes: call.function.arguments.len(),
+        });
         let calls = calls.collect();
         self.tool_calls = outcome.calls.into_iter().map(|call| (call, None)).collect();
         tracing::debug!(
@@ -494,7 +505,7 @@
             evidence: outcome.evidence,
             took,
             usage: outcome.usage.map(|usage| (usage.prompt, usage.completion)),
-            text: self.answer_text.len() - self.turn_start,
+            text_bytes: self.answer_text.len() - self.turn_start,
             calls,
             load,
         });
@@ -558,7 +569,7 @@
     fn buffer_event(&mut self, message: &str) {
         self.buffer_head();
         let mut event = Vec::with_capacity(message.len() + 32);
-        sse::write(Some("message"), message, &mut event);
+        sse::write_event(Some("message"), message, &mut event);
         http::write_chunk(&event, &mut self.out_buffer);
     }
 
@@ -593,7 +604,7 @@
 
     fn on_text(&mut self, text: &str) {
         let request = &mut *self.request;
-        if request.answer_text.len() + text.len() > request.shared.config.front.answer {
+        if request.answer_text.len() + text.len() > request.shared.config.front.max_answer_bytes {
             request.send_event(Event::TooLong { chain: request.chain });
             return;
         }
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -8,10 +8,10 @@
 
 use elderstage::ServerId;
 use elderstage_core::Stage;
-use elderstage_core::addresses::{Ask, Lost, Rest};
+use elderstage_core::addresses::{ConnectionNeeds, RaceFailure, RemainingRequest};
 use elderstage_core::evidence::Evidence;
 use elderstage_net::{Conn, NetError, send};
-use elderstage_protocol::engine::{self, Finish, ToolCall, Usage};
+use elderstage_protocol::engine::{self, FinishReason, ToolCall, Usage};
 use elderstage_protocol::{http, orca, sse};
 use serde_json::Value;
 
@@ -90,27 +90,29 @@
     if let Some(key) = &attempt.idempotency_key {
         headers.push(("idempotency-key", key.as_str()));
     }
-    let ask = Ask {
-        once: attempt.is_at_most_once,
+    let needs = ConnectionNeeds {
+        must_not_repeat: attempt.is_at_most_once,
         proof: shared.catalog.proof_for(attempt.server),
-        connect: shared.config.rules.connect,
-        time: attempt.timeout.as_micros() as u64,
+        connect_limit: shared.config.rules.connect_timeout,
+        attempt_limit: attempt.timeout.as_micros() as u64,
     };
     let connect_request = ConnectRequest {
         server: attempt.server,
-        ask,
-        path: engine::COMPLETIONS,
+        needs,
+        path: engine::COMPLETIONS_PATH,
         headers: &headers,
         body_bytes: attempt.body.len(),
         slot: Some((attempt.slot, attempt.operation)),
     };
     let (mut pooled, rest) = match shared.pool.connect(&connect_request) {
         ConnectOutcome::Connected(pooled, rest) => (pooled, rest),
-        ConnectOutcome::Lost(Lost::NotConnected) => {
+        ConnectOutcome::Lost(RaceFailure::NotConnected) => {
             return AttemptOutcome::from_evidence(Evidence::NotConnected);
         }
-        ConnectOutcome::Lost(Lost::NotProven) => return AttemptOutcome::from_evidence(Evidence::NotProven),
-        ConnectOutcome::Lost(Lost::NoRoom) => return AttemptOutcome::from_evidence(Evidence::NoRoom),
+        ConnectOutcome::Lost(RaceFailure::NotProven) => {
+            return AttemptOutcome::from_evidence(Evidence::NotProven);
+        }
+        ConnectOutcome::Lost(RaceFailure::NoRoom) => return AttemptOutcome::from_evidence(Evidence::NoRoom),
         ConnectOutcome::Answered(status) => {
             return AttemptOutcome::from_evidence(Evidence::Unsent { status });
         }
@@ -124,13 +126,13 @@
     }
     pooled.conn.set_deadline(Some(deadline));
     pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
-    let endpoint = pooled.endpoint(engine::COMPLETIONS);
+    let endpoint = pooled.endpoint_path(engine::COMPLETIONS_PATH);
     let wait_id = shared.pool.record_sent(attempt.server, &pooled, !attempt.is_at_most_once);
     let send_result = match rest {
-        Rest::Body => pooled.conn.write(&attempt.body),
-        Rest::Whole => send(&mut pooled.conn, "POST", &endpoint, &headers, &attempt.body),
+        RemainingRequest::Body => pooled.conn.write(&attempt.body),
+        RemainingRequest::Whole => send(&mut pooled.conn, "POST", &endpoint, &headers, &attempt.body),
     };
-    let head = match send_result.and_then(|()| pooled.conn.response()) {
+    let head = match send_result.and_then(|()| pooled.conn.receive_response()) {
         Ok(head) => head,
         Err(error) => {
             let given_up = shared.pool.record_no_answer(wait_id, pooled.reused);
@@ -143,7 +145,7 @@
     };
     shared.pool.record_answered(wait_id);
     let conn = &mut pooled.conn;
-    let report = head.headers.get(orca::HEADER).and_then(orca::parse);
+    let report = head.headers.get(orca::REPORT_HEADER).and_then(orca::parse);
     let is_stream =
         head.headers.get("content-type").is_some_and(|kind| kind.starts_with("text/event-stream"));
     let mut outcome = if head.status == 200 && is_stream && attempt.stage != Stage::Read {
@@ -172,7 +174,7 @@
 
 /// Reads a response that is not a stream: a reader's answer or an error.
 fn read_whole_response(conn: &mut Conn, head: &http::Response, stage: Stage) -> AttemptOutcome {
-    let body = match conn.body(head.framing) {
+    let body = match conn.receive_body(head.framing) {
         Ok(body) => body,
         Err(error) => return AttemptOutcome::from_evidence(evidence_of(&error)),
     };
@@ -182,7 +184,7 @@
             code: engine::parse_error_code(&body),
         });
     }
-    match engine::read_answer(&body) {
+    match engine::parse_reader_response(&body) {
         Some((usage, state)) if stage == Stage::Read => AttemptOutcome {
             usage: Some(usage),
             state: Some(state),
@@ -200,7 +202,7 @@
     has_output: bool,
     is_done: bool,
     is_garbled: bool,
-    finish: Option<Finish>,
+    finish: Option<FinishReason>,
     usage: Option<Usage>,
 }
 
@@ -210,7 +212,7 @@
         if self.is_done || self.is_garbled || self.text_parser.parse(data, text) {
             return;
         }
-        if data == engine::DONE {
+        if data == engine::STREAM_END_DATA {
             self.is_done = true;
             return;
         }
@@ -236,13 +238,13 @@
     head: &http::Response,
     sink: &mut dyn StreamSink,
 ) -> AttemptOutcome {
-    let (mut body, mut parser) = (http::Body::new(head.framing), sse::Parser::default());
+    let (mut body, mut parser) = (http::BodyDecoder::new(head.framing), sse::EventParser::default());
     let (mut bytes, mut text) = (Vec::new(), String::new());
     let mut stream_state = StreamState::default();
-    let max_call_bytes = shared.config.front.body;
+    let max_call_bytes = shared.config.front.max_body_bytes;
     loop {
         bytes.clear();
-        match conn.body_piece(&mut body, &mut bytes) {
+        match conn.receive_body_piece(&mut body, &mut bytes) {
             // The body ended before the `[DONE]` event.
             Ok(false) => return AttemptOutcome::from_evidence(Evidence::Broke),
             Ok(true) => {}
@@ -257,7 +259,7 @@
             // The deadline for the first token no longer applies. From here on, a stream without data for the stall
             // time counts as broken.
             conn.set_deadline(None);
-            conn.set_read_timeout(Some(Duration::from_micros(shared.config.front.stall)));
+            conn.set_read_timeout(Some(Duration::from_micros(shared.config.front.stall_timeout)));
             sink.on_first_output();
         }
         if !text.is_empty() {
@@ -268,11 +270,11 @@
         }
         if stream_state.is_done {
             // The end of the body must follow; without it the connection cannot be reused.
-            let body_end = conn.body_piece(&mut body, &mut bytes);
+            let body_end = conn.receive_body_piece(&mut body, &mut bytes);
             let calls = stream_state.calls.into_tool_calls();
             let is_consistent = match stream_state.finish {
                 None => false,
-                Some(Finish::ToolCalls) => !calls.is_empty(),
+                Some(FinishReason::ToolCalls) => !calls.is_empty(),
                 Some(_) => calls.is_empty(),
             };
             if !stream_state.has_output || !is_consistent || !matches!(body_end, Ok(false)) {
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -24,8 +24,8 @@
 
 use elderstage_config::Config;
 use elderstage_core::{Core, Event};
-use elderstage_net::owner::{Clock, Inbox, queue, run};
-use elderstage_net::{Listener, Stop, go, init};
+use elderstage_net::owner::{Clock, EventSender, queue, spawn_machine};
+use elderstage_net::{Listener, ListenerHandle, init, spawn};
 use thiserror::Error;
 
 use links::ConnPool;
@@ -55,7 +55,7 @@
     ServersFile { path: PathBuf, error: std::io::Error },
     /// The servers' file has mistakes.
     #[error("{0}")]
-    Servers(elderstage_config::Errors),
+    Servers(elderstage_config::ConfigErrors),
     /// A thread could not be started.
     #[error("cannot start a thread: {0}")]
     Thread(std::io::Error),
@@ -65,7 +65,7 @@
 pub(crate) struct Shared {
     pub config: Config,
     pub catalog: Catalog,
-    pub inbox: Inbox<Input>,
+    pub inbox: EventSender<Input>,
     pub pool: Arc<ConnPool>,
     pub sessions: Sessions,
     pub tools: Vec<tools::ToolClient>,
@@ -81,7 +81,7 @@
 pub struct Front {
     shared: Arc<Shared>,
     addr: SocketAddr,
-    listener: Stop,
+    listener: ListenerHandle,
     keeps_running: Arc<AtomicBool>,
 }
 
@@ -102,7 +102,7 @@
         // The jitter depends on the seed, so that fronts that start together retry a failing address at different
         // times.
         let jitter = (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
-        let connect = config.rules.connect;
+        let connect = config.rules.connect_timeout;
         let pool =
             ConnPool::new(plan::connection_bounds(&config), jitter, clock, catalog.via.clone(), connect);
         let shared = Arc::new(Shared {
@@ -128,10 +128,11 @@
                 .spawn(maintain)
                 .map_err(StartError::Thread)?;
         }
-        run("owner", clock, events, Owner::new(core, shared.clone())).map_err(StartError::Thread)?;
-        let stop = listener.stopper();
+        spawn_machine("owner", clock, events, Owner::new(core, shared.clone()))
+            .map_err(StartError::Thread)?;
+        let stop = listener.handle();
         let accept_shared = shared.clone();
-        go(move || {
+        spawn(move || {
             let on_accept_error = |error: &std::io::Error| {
                 tracing::warn!(target: "front", %error, "no room for a connection; trying again");
             };
@@ -168,7 +169,7 @@
     /// themselves.
     pub fn finish(self, end_now: &AtomicBool) -> bool {
         self.drain();
-        let deadline = Instant::now() + Duration::from_micros(self.shared.config.front.drain);
+        let deadline = Instant::now() + Duration::from_micros(self.shared.config.front.drain_timeout);
         let is_idle = || self.shared.active.load(Ordering::SeqCst) == 0;
         while !is_idle() && Instant::now() < deadline && !end_now.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(10));
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -18,12 +18,14 @@
 
 use elderstage::{ServerId, Time};
 use elderstage_core::addresses::{
-    Addresses, Ask, Bounds, Counts, Life, Lost, Proof, Race, Rest, Step, Trial,
+    AddressCounters, Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, Race, RaceFailure,
+    RaceStep, RemainingRequest, Trial,
 };
 use elderstage_net::channel::{Receiver, Sender, channel};
 use elderstage_net::owner::Clock;
 use elderstage_net::{
-    Answer, Conn, Endpoint, NetError, Place, Socket, alarm, go, open, receive, send, waiting_head,
+    Conn, Endpoint, EndpointPath, NetError, ReceivedResponse, ShutdownHandle, call_at, connect,
+    expect_continue_head, receive, send, spawn,
 };
 use elderstage_protocol::{engine, http};
 
@@ -37,13 +39,13 @@
 /// Keeps a connection or a dial counted as open, until dropped.
 struct OpenCountGuard {
     pool: Weak<ConnPool>,
-    place: Place,
+    endpoint: Endpoint,
 }
 
 impl Drop for OpenCountGuard {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.upgrade() {
-            pool.addresses().closed(&self.place);
+            pool.addresses().record_closed(&self.endpoint);
         }
     }
 }
@@ -52,8 +54,8 @@
 pub(crate) struct PooledConn {
     // Declared before the guard: the socket closes before the connection is counted as closed.
     pub conn: Conn,
-    pub place: Place,
-    life: Life,
+    pub endpoint: Endpoint,
+    life: ConnectionAge,
     /// Whether it was idle in the pool before this request.
     pub reused: bool,
     _guard: OpenCountGuard,
@@ -61,15 +63,15 @@
 
 impl PooledConn {
     /// The endpoint of this path at the connected server.
-    pub fn endpoint(&self, path: &str) -> Endpoint {
-        Endpoint::new(self.place.clone(), path)
+    pub fn endpoint_path(&self, path: &str) -> EndpointPath {
+        EndpointPath::new(self.endpoint.clone(), path)
     }
 }
 
 /// The request that a connection is needed for.
 pub(crate) struct ConnectRequest<'a> {
     pub server: &'a ServerId,
-    pub ask: Ask,
+    pub needs: ConnectionNeeds,
     /// Path and headers of the request, for a proof that sends its head (`Expect: 100-continue`).
     pub path: &'a str,
     pub headers: &'a [(&'a str, &'a str)],
@@ -82,9 +84,9 @@
 /// Result of asking the pool for a connection.
 pub(crate) enum ConnectOutcome {
     /// The connection, and which part of the request is still to be sent on it.
-    Connected(Box<PooledConn>, Rest),
+    Connected(Box<PooledConn>, RemainingRequest),
     /// No connection, with the reason.
-    Lost(Lost),
+    Lost(RaceFailure),
     /// The server answered the head of the request with this final status.
     Answered(u16),
     Cancelled,
@@ -118,7 +120,7 @@
 pub(crate) struct ConnPool {
     addresses: Mutex<Addresses<PooledConn>>,
     /// Sockets of requests that wait for the first byte of their answer, by the wait id that the core gave them.
-    waiting: Mutex<HashMap<u64, Socket>>,
+    waiting: Mutex<HashMap<u64, ShutdownHandle>>,
     clock: Clock,
     via: String,
     connect_timeout_us: Time,
@@ -127,7 +129,7 @@
 impl ConnPool {
     /// An empty pool. `via` is the value of the `Via` header in its own requests.
     pub fn new(
-        bounds: Bounds,
+        bounds: ConnectionLimits,
         jitter: f64,
         clock: Clock,
         via: String,
@@ -147,51 +149,52 @@
         let now = self.clock.now();
         let mut addresses = self.addresses();
         let value = f(&mut addresses, now);
-        let closing = addresses.closing();
+        let closing = addresses.take_closing();
         drop(addresses);
         drop(closing);
         value
     }
 
     /// Replaces the list of servers: their addresses, and whether each is leaving.
-    pub fn set_servers(&self, servers: Vec<(ServerId, Vec<Place>, bool)>) {
-        self.with_addresses(|addresses, now| addresses.list(now, servers));
+    pub fn set_servers(&self, servers: Vec<(ServerId, Vec<Endpoint>, bool)>) {
+        self.with_addresses(|addresses, now| addresses.apply_list(now, servers));
     }
 
     /// Returns the counters, the open and idle connections, the failing addresses and the address families that are
     /// down.
-    pub fn counts(&self) -> (Counts, (usize, usize), usize, Vec<String>) {
+    pub fn counts(&self) -> (AddressCounters, (usize, usize), usize, Vec<String>) {
         self.with_addresses(|addresses, _| {
-            let down = addresses.down().map(|family| family.to_string()).collect();
-            (addresses.counts(), addresses.open(), addresses.book.failing(), down)
+            let down = addresses.down_families().map(|family| family.to_string()).collect();
+            (addresses.counts(), addresses.open_counts(), addresses.book.failing_count(), down)
         })
     }
 
     /// Wraps a new connection for the pool.
     fn wrap(self: &Arc<Self>, conn: Conn, guard: OpenCountGuard) -> Box<PooledConn> {
         let now = self.clock.now();
-        let place = guard.place.clone();
-        Box::new(PooledConn { conn, place, life: Life::new(now), reused: false, _guard: guard })
+        let endpoint = guard.endpoint.clone();
+        Box::new(PooledConn { conn, endpoint, life: ConnectionAge::new(now), reused: false, _guard: guard })
     }
 
     /// A guard that keeps a connection to this address counted as open.
-    fn count_open(self: &Arc<Self>, place: &Place) -> OpenCountGuard {
-        OpenCountGuard { pool: Arc::downgrade(self), place: place.clone() }
+    fn count_open(self: &Arc<Self>, endpoint: &Endpoint) -> OpenCountGuard {
+        OpenCountGuard { pool: Arc::downgrade(self), endpoint: endpoint.clone() }
     }
 
     /// Returns a connection to the pool for reuse. Its last answer must have been read to its end.
     pub fn put_back(&self, mut pooled: PooledConn) {
         pooled.conn.set_deadline(None);
         pooled.conn.set_read_timeout(None);
-        let (place, life) = (pooled.place.clone(), pooled.life);
-        self.with_addresses(|addresses, now| addresses.free(now, &place, pooled, life));
+        let (endpoint, life) = (pooled.endpoint.clone(), pooled.life);
+        self.with_addresses(|addresses, now| addresses.return_connection(now, &endpoint, pooled, life));
     }
 
     /// Records that a request is written on this connection and waits for the first byte of its answer. Returns the
     /// id of the wait.
     pub fn record_sent(&self, server: &ServerId, pooled: &PooledConn, is_repeatable: bool) -> u64 {
-        let wait_id =
-            self.with_addresses(|addresses, now| addresses.sent(now, server, &pooled.place, is_repeatable));
+        let wait_id = self.with_addresses(|addresses, now| {
+            addresses.record_sent(now, server, &pooled.endpoint, is_repeatable)
+        });
         self.waiting().insert(wait_id, pooled.conn.socket());
         wait_id
     }
@@ -199,17 +202,17 @@
     /// Records that the first byte of the answer has arrived.
     pub fn record_answered(&self, wait_id: u64) {
         self.waiting().remove(&wait_id);
-        self.with_addresses(|addresses, now| addresses.answered(now, wait_id));
+        self.with_addresses(|addresses, now| addresses.record_first_byte(now, wait_id));
     }
 
     /// Records that the wait ended without a byte. Returns `true` when the pool itself ended it.
     pub fn record_no_answer(&self, wait_id: u64, reused: bool) -> bool {
         let given_up = self.waiting().remove(&wait_id).is_none();
-        self.with_addresses(|addresses, now| addresses.silent(now, wait_id, reused));
+        self.with_addresses(|addresses, now| addresses.record_no_answer(now, wait_id, reused));
         given_up
     }
 
-    fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<u64, Socket>> {
+    fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<u64, ShutdownHandle>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -218,7 +221,7 @@
     /// Gets a connection for a request, proven if the core asks for that.
     pub fn connect(self: &Arc<Self>, request: &ConnectRequest<'_>) -> ConnectOutcome {
         let mut race =
-            self.with_addresses(|addresses, now| addresses.begin(now, request.server, request.ask));
+            self.with_addresses(|addresses, now| addresses.start_race(now, request.server, request.needs));
         let mut runner = RaceRunner {
             pool: self,
             request,
@@ -250,22 +253,27 @@
         headers: &[(&str, &str)],
         body: &[u8],
         timeout: Duration,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<ReceivedResponse, ExchangeError> {
         let deadline = Instant::now() + timeout;
         let time = timeout.as_micros() as Time;
         // An address that is not proven at present is proven by a health request. Every server that `exchange` is
         // used with serves that path.
-        let ask = Ask { once: false, proof: Proof::Health, connect: self.connect_timeout_us, time };
-        let request = ConnectRequest { server, ask, path, headers, body_bytes: body.len(), slot: None };
+        let needs = ConnectionNeeds {
+            must_not_repeat: false,
+            proof: Proof::Health,
+            connect_limit: self.connect_timeout_us,
+            attempt_limit: time,
+        };
+        let request = ConnectRequest { server, needs, path, headers, body_bytes: body.len(), slot: None };
         let ConnectOutcome::Connected(mut pooled, _) = self.connect(&request) else {
             return Err(ExchangeError::NotConnected);
         };
         pooled.conn.set_write_timeout(Some(deadline.saturating_duration_since(Instant::now())));
         pooled.conn.set_deadline(Some(deadline));
-        let endpoint = pooled.endpoint(path);
+        let endpoint_path = pooled.endpoint_path(path);
         let wait_id = self.record_sent(server, &pooled, true);
-        let answer =
-            send(&mut pooled.conn, method, &endpoint, headers, body).and_then(|()| receive(&mut pooled.conn));
+        let answer = send(&mut pooled.conn, method, &endpoint_path, headers, body)
+            .and_then(|()| receive(&mut pooled.conn));
         match answer {
             Ok(answer) => {
                 self.record_answered(wait_id);
@@ -287,12 +295,13 @@
     pub fn run_maintenance(self: &Arc<Self>, keeps_running: &std::sync::atomic::AtomicBool) {
         while keeps_running.load(std::sync::atomic::Ordering::SeqCst) {
             std::thread::sleep(MAINTENANCE_INTERVAL);
-            let due = self.with_addresses(|addresses, now| addresses.tend(now, self.connect_timeout_us));
+            let due =
+                self.with_addresses(|addresses, now| addresses.run_maintenance(now, self.connect_timeout_us));
             for wait_id in due.give_up {
                 // Removed before the shutdown: the waiting coroutine recognizes by this that the pool ended its
                 // wait.
                 if let Some(socket) = self.waiting().remove(&wait_id) {
-                    socket.shut();
+                    socket.shutdown();
                 }
             }
             for (family, down) in due.families {
@@ -304,7 +313,7 @@
             }
             for trial in due.trials {
                 let pool = self.clone();
-                go(move || pool.run_trial(&trial));
+                spawn(move || pool.run_trial(&trial));
             }
         }
     }
@@ -312,24 +321,24 @@
     /// Tries a failing address by a health request, and reports the result to the core.
     fn run_trial(self: &Arc<Self>, trial: &Trial) {
         let started_at = self.clock.now();
-        let guard = self.count_open(&trial.place);
-        let timeout = Duration::from_micros(trial.time);
-        let result = open(trial.place.clone(), timeout).and_then(|conn| {
+        let guard = self.count_open(&trial.endpoint);
+        let timeout = Duration::from_micros(trial.time_limit);
+        let result = connect(trial.endpoint.clone(), timeout).and_then(|conn| {
             let mut pooled = self.wrap(conn, guard);
-            let padding = if trial.heavy { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
+            let padding = if trial.is_padded { "x".repeat(TRIAL_PADDING_BYTES) } else { String::new() };
             let answer = self.request_health(&mut pooled, timeout, &[("x-padding", padding.as_str())])?;
             Ok((pooled, answer))
         });
-        self.with_addresses(|addresses, now| addresses.tried(now, trial, started_at, result.is_ok()));
+        self.with_addresses(|addresses, now| addresses.record_trial(now, trial, started_at, result.is_ok()));
         match result {
             Ok((pooled, answer)) => {
-                tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.place, "address answers again");
+                tracing::info!(target: "addresses", server = %trial.server.0, place = %trial.endpoint, "address answers again");
                 if answer.head.keep_alive {
                     self.put_back(*pooled);
                 }
             }
             Err(error) => {
-                tracing::debug!(target: "addresses", server = %trial.server.0, place = %trial.place, %error, "trial of a failing address failed");
+                tracing::debug!(target: "addresses", server = %trial.server.0, place = %trial.endpoint, %error, "trial of a failing address failed");
             }
         }
     }
@@ -340,13 +349,13 @@
         pooled: &mut PooledConn,
         timeout: Duration,
         extra_headers: &[(&str, &str)],
-    ) -> Result<Answer, NetError> {
+    ) -> Result<ReceivedResponse, NetError> {
         pooled.conn.set_write_timeout(Some(timeout));
         pooled.conn.set_deadline(Some(Instant::now() + timeout));
-        let endpoint = pooled.endpoint(engine::HEALTH);
+        let endpoint_path = pooled.endpoint_path(engine::HEALTH_PATH);
         let mut headers = vec![("via", self.via.as_str())];
         headers.extend_from_slice(extra_headers);
-        send(&mut pooled.conn, "GET", &endpoint, &headers, b"")?;
+        send(&mut pooled.conn, "GET", &endpoint_path, &headers, b"")?;
         receive(&mut pooled.conn)
     }
 }
@@ -367,7 +376,7 @@
     /// Connections ready to use, by lane.
     ready: Vec<Option<Box<PooledConn>>>,
     /// Id of the running proof and the socket it uses, by lane.
-    proving: Vec<Option<(u32, Socket)>>,
+    proving: Vec<Option<(u32, ShutdownHandle)>>,
     proofs_started: u32,
     events: Option<(Sender<RaceEvent>, Receiver<RaceEvent>)>,
 }
@@ -392,33 +401,33 @@
         loop {
             let (step, now) = self.pool.with_addresses(|addresses, now| (addresses.poll(now, race), now));
             match step {
-                Step::Reuse(lane, (mut pooled, life)) => {
+                RaceStep::Reuse(lane, (mut pooled, life)) => {
                     if pooled.conn.is_idle() {
                         (pooled.life, pooled.reused) = (life, true);
                         *lane_entry(&mut self.ready, lane) = Some(Box::new(pooled));
                     } else {
                         drop(pooled);
-                        self.pool.with_addresses(|addresses, _| addresses.stale(race, lane));
+                        self.pool.with_addresses(|addresses, _| addresses.record_stale(race, lane));
                     }
                 }
-                Step::Dial(lane, until) => self.dial(race, lane, until.saturating_sub(now)),
-                Step::Prove(lane, proof) => self.prove(race, lane, proof, now),
-                Step::Drop(lane) => {
+                RaceStep::Dial(lane, until) => self.dial(race, lane, until.saturating_sub(now)),
+                RaceStep::Prove(lane, proof) => self.prove(race, lane, proof, now),
+                RaceStep::Drop(lane) => {
                     if let Some((_, socket)) = lane_entry(&mut self.proving, lane).take() {
-                        socket.shut();
+                        socket.shutdown();
                     }
                 }
-                Step::Send(lane, rest) => {
+                RaceStep::Send(lane, rest) => {
                     return match lane_entry(&mut self.ready, lane).take() {
                         Some(pooled) => ConnectOutcome::Connected(pooled, rest),
-                        None => ConnectOutcome::Lost(Lost::NotConnected),
+                        None => ConnectOutcome::Lost(RaceFailure::NotConnected),
                     };
                 }
-                Step::Lost(lost) => {
+                RaceStep::Lost(lost) => {
                     self.abort_proofs();
                     return ConnectOutcome::Lost(lost);
                 }
-                Step::Wait(until) => {
+                RaceStep::Wait(until) => {
                     if let Some(outcome) = self.wait_for_event(race, until.saturating_sub(now)) {
                         self.abort_proofs();
                         return outcome;
@@ -431,23 +440,25 @@
     /// Aborts the running proofs by shutting down their sockets.
     fn abort_proofs(&mut self) {
         for (_, socket) in self.proving.drain(..).flatten() {
-            socket.shut();
+            socket.shutdown();
         }
     }
 
     /// Starts a dial in a coroutine of its own.
     fn dial(&mut self, race: &Race, lane: usize, timeout_us: Time) {
         let (pool, sender) = (self.pool.clone(), self.event_sender());
-        let place = race.place(lane).clone();
-        let guard = pool.count_open(&place);
-        go(move || {
+        let endpoint = race.endpoint(lane).clone();
+        let guard = pool.count_open(&endpoint);
+        spawn(move || {
             let started_at = pool.clock.now();
-            let dialed = open(place.clone(), Duration::from_micros(timeout_us));
-            pool.with_addresses(|addresses, now| addresses.dialed(now, &place, started_at, dialed.is_ok()));
+            let dialed = connect(endpoint.clone(), Duration::from_micros(timeout_us));
+            pool.with_addresses(|addresses, now| {
+                addresses.record_dial(now, &endpoint, started_at, dialed.is_ok())
+            });
             let pooled = match dialed {
                 Ok(conn) => Some(pool.wrap(conn, guard)),
                 Err(error) => {
-                    tracing::debug!(target: "addresses", %place, %error, "dial failed");
+                    tracing::debug!(target: "addresses", place = %endpoint, %error, "dial failed");
                     None
                 }
             };
@@ -466,15 +477,20 @@
         self.proofs_started += 1;
         let (proof_id, sender, pool) = (self.proofs_started, self.event_sender(), self.pool.clone());
         *lane_entry(&mut self.proving, lane) = Some((proof_id, pooled.conn.socket()));
-        let timeout = Duration::from_micros(race.end().saturating_sub(now));
+        let timeout = Duration::from_micros(race.ends_at().saturating_sub(now));
         let head = match proof {
             Proof::Continue => {
-                let endpoint = pooled.endpoint(self.request.path);
-                Some(waiting_head("POST", &endpoint, self.request.headers, self.request.body_bytes))
+                let endpoint_path = pooled.endpoint_path(self.request.path);
+                Some(expect_continue_head(
+                    "POST",
+                    &endpoint_path,
+                    self.request.headers,
+                    self.request.body_bytes,
+                ))
             }
             _ => None,
         };
-        go(move || {
+        spawn(move || {
             pooled.conn.set_write_timeout(Some(timeout));
             pooled.conn.set_deadline(Some(Instant::now() + timeout));
             let proof_outcome = match head {
@@ -498,7 +514,7 @@
     fn wait_for_event(&mut self, race: &mut Race, timeout_us: Time) -> Option<ConnectOutcome> {
         let sender = self.event_sender();
         let timer_sender = sender.clone();
-        alarm(Instant::now() + Duration::from_micros(timeout_us), move || {
+        call_at(Instant::now() + Duration::from_micros(timeout_us), move || {
             let _ = timer_sender.send(RaceEvent::TimerFired);
         });
         if let Some((slot, key)) = self.request.slot
@@ -511,14 +527,14 @@
         let (_, events) = self.events.as_ref()?;
         match events.recv() {
             Ok(RaceEvent::Dialed(lane, Some(pooled))) => {
-                if race.connected(lane) {
+                if race.record_connected(lane) {
                     *lane_entry(&mut self.ready, lane) = Some(pooled);
                 } else {
                     self.pool.put_back(*pooled);
                 }
             }
             Ok(RaceEvent::Dialed(lane, None)) => {
-                race.failed(lane);
+                race.record_failure(lane);
             }
             Ok(RaceEvent::Proved(lane, proof_id, proof_outcome)) => {
                 // A late result of an aborted proof must not count as the result of the lane's next proof.
@@ -546,22 +562,24 @@
     ) -> Option<ConnectOutcome> {
         match proof_outcome {
             ProofOutcome::Proven(pooled) => {
-                if self.pool.with_addresses(|addresses, now| addresses.proven(now, race, lane)) {
+                if self.pool.with_addresses(|addresses, now| addresses.record_proof(now, race, lane)) {
                     *lane_entry(&mut self.ready, lane) = Some(pooled);
                 }
             }
             ProofOutcome::ContinueUnsupported(pooled) => {
                 self.pool.with_addresses(|addresses, now| {
-                    addresses.without_continue(now, race, lane, pooled.is_some())
+                    addresses.record_expectation_failed(now, race, lane, pooled.is_some())
                 });
                 *lane_entry(&mut self.ready, lane) = pooled;
             }
             ProofOutcome::Final(status) => {
-                self.pool.with_addresses(|addresses, now| addresses.heard(now, &race.place(lane).clone()));
+                self.pool.with_addresses(|addresses, now| {
+                    addresses.record_other_answer(now, &race.endpoint(lane).clone())
+                });
                 return Some(ConnectOutcome::Answered(status));
             }
             ProofOutcome::Failed => {
-                self.pool.with_addresses(|addresses, now| addresses.not_proven(now, race, lane))
+                self.pool.with_addresses(|addresses, now| addresses.record_proof_failure(now, race, lane))
             }
         }
         None
@@ -570,7 +588,7 @@
 
 /// Proves a connection by the head of the request: writes it and reads the interim or final answer.
 fn prove_by_head(mut pooled: Box<PooledConn>, head: &[u8]) -> ProofOutcome {
-    let received = pooled.conn.write(head).and_then(|()| pooled.conn.go_on());
+    let received = pooled.conn.write(head).and_then(|()| pooled.conn.receive_continue());
     let response: http::Response = match received {
         Ok(None) => return ProofOutcome::Proven(pooled),
         Ok(Some(response)) => response,
@@ -579,6 +597,6 @@
     if response.status != 417 {
         return ProofOutcome::Final(response.status);
     }
-    let stays_open = response.keep_alive && pooled.conn.body(response.framing).is_ok();
+    let stays_open = response.keep_alive && pooled.conn.receive_body(response.framing).is_ok();
     ProofOutcome::ContinueUnsupported(stays_open.then_some(pooled))
 }
--- a/crates/front/src/mcp.rs
+++ b/crates/front/src/mcp.rs
@@ -127,7 +127,7 @@
 /// Reads the parameters of a `tools/call`.
 fn parse_tool_call(shared: &Shared, id: &Id, params: serde_json::Map<String, Value>) -> PostAction {
     let invalid_params = |what: String| respond_error(Some(id), RpcError::new(jsonrpc::INVALID_PARAMS, what));
-    let mut call = match mcp::call(params) {
+    let mut call = match mcp::parse_tool_call(params) {
         Ok(call) => call,
         Err(invalid) => return respond_error(Some(id), invalid),
     };
@@ -160,6 +160,6 @@
     if let Some(retry_after) = retry_after {
         data["retryAfterMs"] = json!(retry_after / 1000);
     }
-    let error = RpcError { code, message: reason.text().into(), data: Some(data) };
+    let error = RpcError { code, message: reason.message().into(), data: Some(data) };
     Some(jsonrpc::response(Some(id), Err(error)))
 }
--- a/crates/front/src/owner.rs
+++ b/crates/front/src/owner.rs
@@ -10,12 +10,12 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-use elderstage::{ReqId, ServerId, Time};
+use elderstage::{RequestId, ServerId, Time};
 use elderstage_core::evidence::Evidence;
-use elderstage_core::{ChainId, Core, Counters, Effect, Event, Final, Stage, Submit};
+use elderstage_core::{ChainId, Core, Counters, Effect, Event, Final, NewRequest, Stage};
 use elderstage_net::channel::Sender;
-use elderstage_net::owner::{Machine, Micros};
-use elderstage_net::{NetError, go};
+use elderstage_net::owner::{Micros, StateMachine};
+use elderstage_net::{NetError, spawn};
 use elderstage_protocol::{engine, orca};
 
 use crate::Shared;
@@ -37,7 +37,7 @@
 /// An attempt to make at an engine. The name of this type is part of the trace log.
 #[derive(Debug)]
 pub(crate) struct SendMail {
-    pub leg: ReqId,
+    pub leg: RequestId,
     pub turn: u32,
     pub attempt: u32,
     pub server: ServerId,
@@ -52,7 +52,7 @@
 /// An event in the owner's queue.
 pub(crate) enum Input {
     /// A new request of a client.
-    NewRequest { submit: Submit, rid: String, commands: Sender<Command>, slot: Arc<CancelSlot> },
+    NewRequest { submit: NewRequest, rid: String, commands: Sender<Command>, slot: Arc<CancelSlot> },
     /// An event for the core.
     Core(Event),
     /// A load report that arrived with an answer of this server.
@@ -72,7 +72,7 @@
     pub draining: bool,
 }
 
-/// How often a release is tried. One without an answer is sent again, over another address if the server has one.
+/// How often a release is tried. One without an answer is retried, over another address if the server has one.
 const MAX_RELEASE_TRIES: u64 = 3;
 
 /// A request whose coroutine runs.
@@ -122,7 +122,17 @@
 
     fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Send { chain, leg, turn, attempt, server, stage, timeout, keyed, once } => {
+            Effect::Send {
+                chain,
+                leg,
+                turn,
+                attempt,
+                server,
+                stage,
+                timeout,
+                is_keyed: keyed,
+                must_not_repeat: once,
+            } => {
                 let send = SendMail { leg, turn, attempt, server, stage, timeout, keyed, once };
                 self.send_command(chain, Command::Send(send));
             }
@@ -147,7 +157,7 @@
                 }
             }
             Effect::Probe { server } => probe_server(&self.shared, server),
-            Effect::Answer { chain, last } => {
+            Effect::Answer { chain, final_answer: last } => {
                 if let Some(request) = self.open_requests.get(&chain) {
                     tracing::info!(target: "request", rid = %request.rid, ?last, "request ended");
                 }
@@ -160,7 +170,7 @@
     }
 }
 
-impl Machine for Owner {
+impl StateMachine for Owner {
     type Event = Input;
 
     fn handle(&mut self, now: Micros, input: Input) -> bool {
@@ -172,17 +182,17 @@
             }
             Input::Core(event) => self.handle_core_event(now, event),
             Input::LoadReport { server, report } => {
-                if let Some(started) = report.named(orca::STARTED).filter(|started| *started > 0.0) {
+                if let Some(started) = report.named(orca::STARTED_METRIC).filter(|started| *started > 0.0) {
                     let at = ClockMapping::read(self.shared.clock).front_time(started);
-                    let long_ago = now.saturating_sub(self.shared.config.rules.cold_for);
+                    let long_ago = now.saturating_sub(self.shared.config.rules.cold_duration);
                     self.handle_core_event(now, Event::Started { server, at, long_ago });
                 }
             }
             Input::Status(reply) => {
                 let status = Status {
                     counters: self.core.counters().clone(),
-                    held: self.core.held(),
-                    draining: self.core.draining(),
+                    held: self.core.request_count(),
+                    draining: self.core.is_draining(),
                 };
                 // The caller may have stopped waiting.
                 let _ = reply.try_send(status);
@@ -196,9 +206,9 @@
         self.core.next_timer()
     }
 
-    fn wake(&mut self, now: Micros) {
+    fn on_timer(&mut self, now: Micros) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.core.wake(now, &mut effects);
+        self.core.handle_timers(now, &mut effects);
         self.apply_effects(effects);
     }
 }
@@ -207,13 +217,13 @@
 /// without harm.
 fn release_state(shared: &Arc<Shared>, server: ServerId, rid: String) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let body = serde_json::json!({"rid": rid}).to_string();
-        let timeout = Duration::from_micros(shared.config.rules.let_go / MAX_RELEASE_TRIES);
+        let timeout = Duration::from_micros(shared.config.rules.release_time_limit / MAX_RELEASE_TRIES);
         let headers = [("content-type", "application/json"), ("via", shared.catalog.via.as_str())];
         for _ in 0..MAX_RELEASE_TRIES {
             let result =
-                shared.pool.exchange(&server, "POST", engine::ABORT, &headers, body.as_bytes(), timeout);
+                shared.pool.exchange(&server, "POST", engine::ABORT_PATH, &headers, body.as_bytes(), timeout);
             match result {
                 Ok(_) => return,
                 Err(error) => {
@@ -227,15 +237,15 @@
 /// Probes the health of a server and reports the result to the core.
 fn probe_server(shared: &Arc<Shared>, server: ServerId) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let started_at = shared.clock.now();
         let headers = [orca::REPORT_REQUEST_HEADER, ("via", shared.catalog.via.as_str())];
-        let timeout = Duration::from_micros(shared.config.rules.connect);
-        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH, &headers, b"", timeout);
+        let timeout = Duration::from_micros(shared.config.rules.connect_timeout);
+        let answer = shared.pool.exchange(&server, "GET", engine::HEALTH_PATH, &headers, b"", timeout);
         let took = shared.clock.now() - started_at;
         let (evidence, report) = match answer {
             Ok(answer) if answer.head.status == 200 => {
-                (None, answer.head.headers.get(orca::HEADER).and_then(orca::parse))
+                (None, answer.head.headers.get(orca::REPORT_HEADER).and_then(orca::parse))
             }
             Ok(answer) => (Some(Evidence::Status { status: answer.head.status, code: None }), None),
             Err(ExchangeError::Net(NetError::TimedOut)) => (Some(Evidence::TimedOut), None),
@@ -256,15 +266,15 @@
         format!("elderstage_requests_held {}", status.held),
         format!("elderstage_connections {}", shared.connections.load(Ordering::Relaxed)),
         format!("elderstage_draining {}", u8::from(status.draining)),
-        format!("elderstage_events_waiting {}", shared.inbox.waiting()),
+        format!("elderstage_events_waiting {}", shared.inbox.queued_len()),
     ];
     for (name, value) in [
-        ("requests_taken", counters.taken),
+        ("requests_taken", counters.admitted),
         ("requests_turned_away", counters.turned_away),
         ("requests_served", counters.served),
         ("requests_refused", counters.refused),
         ("requests_failed", counters.failed),
-        ("requests_left", counters.gone),
+        ("requests_left", counters.clients_gone),
         ("legs", counters.legs),
         ("attempts", counters.attempts),
         ("releases", counters.releases),
@@ -285,14 +295,14 @@
         lines.push(format!("elderstage_address_family_down{{family=\"{family}\"}} {value}"));
     }
     for (name, value) in [
-        ("waits_late", connection_counters.late),
-        ("waits_given_up", connection_counters.given_up),
+        ("waits_late", connection_counters.late_waits),
+        ("waits_given_up", connection_counters.given_up_waits),
         ("dials", connection_counters.dials),
         ("dials_failed", connection_counters.dials_failed),
         ("dials_overtaken", connection_counters.overtaken),
         ("dials_without_room", connection_counters.no_room),
         ("connections_reused", connection_counters.reused),
-        ("connections_stale", connection_counters.stale),
+        ("connections_stale", connection_counters.stale_connections),
         ("proofs", connection_counters.proofs),
         ("proofs_failed", connection_counters.proofs_failed),
         ("address_trials", connection_counters.trials),
--- a/crates/front/src/plan.rs
+++ b/crates/front/src/plan.rs
@@ -1,4 +1,4 @@
-//! Converts the configuration and the list of servers into the types of the core and of the routing module.
+//! Converts the configuration and the list of servers into the types of the core and of the router.
 //!
 //! It reads no files and checks nothing: the configuration was checked when it was parsed.
 
@@ -6,20 +6,21 @@
 use std::sync::RwLock;
 
 use elderstage::{
-    Class, Discovery, Entry, Group, Listed, Repeat, ReportField, Role, ServerId, Settings, Time,
+    Class, Discovery, RepeatGroup, RepeatPolicy, ReportField, Role, ServerEntry, ServerId, ServerStatus,
+    Settings, Time,
 };
 use elderstage_config::{
     Config, GroupName, Micros, ProofName, RepeatName, RoleName, ServerConfig, StateName,
 };
-use elderstage_core::addresses::{Bounds, Proof};
+use elderstage_core::addresses::{ConnectionLimits, Proof};
 use elderstage_core::{ClassPlan, Limits, Plan, RoutePlan, ToolPlan};
 use elderstage_protocol::{mcp, orca};
 
-/// Shortest interval between two checks of the held requests; the resolution of the routing module's timers. In
+/// Shortest interval between two checks of the held requests; the resolution of the router's timers. In
 /// microseconds.
 const TICK_US: Time = 2_000;
 
-/// Order of the values of a load report in the routing module's settings; [`load_values`] follows it.
+/// Order of the values of a load report in the router's settings; [`load_values`] follows it.
 const REPORT_FIELDS: [ReportField; 4] =
     [ReportField::Busy, ReportField::Queue, ReportField::MemoryShare, ReportField::PendingThousands];
 
@@ -28,36 +29,36 @@
     let metric_or_zero = |name| report.named(name).unwrap_or(0.0);
     vec![
         report.application_utilization,
-        metric_or_zero(orca::WAITING),
-        metric_or_zero(orca::KV_USAGE),
-        metric_or_zero(orca::PENDING_TOKENS) / 1000.0,
+        metric_or_zero(orca::WAITING_METRIC),
+        metric_or_zero(orca::KV_USAGE_METRIC),
+        metric_or_zero(orca::PENDING_TOKENS_METRIC) / 1000.0,
     ]
 }
 
-fn repeat_policy(name: RepeatName) -> Repeat {
+fn repeat_policy(name: RepeatName) -> RepeatPolicy {
     match name {
-        RepeatName::Safe => Repeat::Safe,
-        RepeatName::Unsafe => Repeat::Unsafe,
+        RepeatName::Safe => RepeatPolicy::Safe,
+        RepeatName::Unsafe => RepeatPolicy::Unsafe,
         RepeatName::Keyed { group, memory } => {
             let group = match group {
-                GroupName::All => Group::All,
-                GroupName::Zone => Group::Zone,
-                GroupName::Cell => Group::Cell,
+                GroupName::All => RepeatGroup::All,
+                GroupName::Zone => RepeatGroup::Zone,
+                GroupName::Cell => RepeatGroup::Cell,
             };
-            Repeat::Keyed { group, memory }
+            RepeatPolicy::Keyed { group, memory }
         }
     }
 }
 
-/// Converts the configuration to the plan of the core, including the settings of the routing module.
+/// Converts the configuration to the plan of the core, including the settings of the router.
 pub fn plan(config: &Config) -> Plan {
     let rules = &config.rules;
     let zone = config.zones.iter().position(|zone| *zone == config.front.zone).unwrap_or(0) as u32;
     let class = |class: &elderstage_config::ClassConfig| Class {
         repeat: repeat_policy(class.repeat),
-        ttft_aim: class.first_token,
-        ttft_aim_per_1000: class.first_token_per_1000 as f64,
-        tpot_aim: class.token_gap as f64,
+        ttft_target: class.ttft_target,
+        ttft_target_per_1000_tokens: class.first_token_per_1000 as f64,
+        tpot_target: class.tpot_target as f64,
         worth: class.worth,
         late_worth: class.late_worth,
     };
@@ -67,48 +68,48 @@
         RoleName::Mixed => Role::Mixed,
     };
     let settings = Settings {
-        me: config.front.number,
+        front_number: config.front.number,
         zone,
-        fronts: config.front.fronts,
+        front_count: config.front.fronts,
         tick: TICK_US,
         classes: config.classes.iter().map(class).collect(),
         tenants: Vec::new(),
-        over_share_worth: 0.0,
+        over_quota_worth: 0.0,
         roles: config.kinds.iter().map(role).collect(),
         kv_tokens: config.kinds.iter().map(|kind| kind.kv_tokens).collect(),
-        writers_read: rules.writers_read,
-        places_ahead: false,
-        resume: false,
-        let_go_by: rules.let_go,
+        writers_may_read: rules.writers_may_read,
+        may_reserve_places: false,
+        may_resume: false,
+        release_time_limit: rules.release_time_limit,
         discovery: Discovery::Pushed,
         report_fields: REPORT_FIELDS.to_vec(),
         reports_in_answers: rules.reports_in_answers,
         may_cancel: true,
-        may_probe: rules.probes,
+        may_probe: rules.may_probe,
         may_advise: true,
         may_duplicate: false,
-        most_tries: rules.most_tries,
-        connect_timeout: rules.connect,
-        max_retry_after: rules.retry_after,
+        max_attempts: rules.max_attempts,
+        connect_timeout: rules.connect_timeout,
+        max_retry_after: rules.max_retry_after,
         answer_slack: rules.answer_slack,
-        ask_within: 0,
+        resubscribe_within: 0,
         drain_grace: rules.drain_grace,
-        cold_from: rules.cold_from,
-        cold_for: rules.cold_for,
-        fall_multiple: rules.fall_multiple,
-        tip_after: rules.tip_after,
+        cold_start_share: rules.cold_start_share,
+        cold_duration: rules.cold_duration,
+        overload_multiple: rules.overload_multiple,
+        overload_window: rules.overload_window,
     };
     let classes = config.classes.iter().map(|class| ClassPlan {
         repeat: repeat_policy(class.repeat),
-        give_up: class.give_up,
-        give_up_per_1000: class.give_up_per_1000 as f64,
-        total: class.total,
+        first_token_limit: class.give_up,
+        first_token_limit_per_1000: class.give_up_per_1000 as f64,
+        request_limit: class.total,
     });
     let tools = config.tools.iter().map(|tool| ToolPlan {
         name: tool.name.clone(),
-        effect: tool.effect,
+        has_effect: tool.has_effect,
         timeout: tool.timeout,
-        tries: tool.tries,
+        max_tries: tool.max_tries,
     });
     let tool_index = |name: &str| config.tools.iter().position(|tool| tool.name == name);
     let routes = config.routes.iter().map(|route| RoutePlan {
@@ -116,7 +117,7 @@
         class: config.classes.iter().position(|class| class.name == route.class).unwrap_or(0),
         tools: route.tools.iter().filter_map(|name| tool_index(name)).collect(),
         max_tokens: f64::from(route.max_tokens),
-        most_legs: route.most_turns,
+        max_legs: route.max_turns,
     });
     Plan {
         settings,
@@ -124,25 +125,25 @@
         tools: tools.collect(),
         routes: routes.collect(),
         limits: Limits {
-            requests: config.front.most_requests,
-            retry_after: rules.retry_after,
+            max_requests: config.front.max_requests,
+            retry_after: rules.max_retry_after,
             ..Limits::default()
         },
     }
 }
 
 /// The bounds on connections that the configuration sets.
-pub(crate) fn connection_bounds(config: &Config) -> Bounds {
+pub(crate) fn connection_bounds(config: &Config) -> ConnectionLimits {
     let connections = &config.connections;
-    Bounds {
+    ConnectionLimits {
         dials_per_s: connections.dials_per_s,
-        dials_at_once: connections.dials_at_once,
-        per_server: connections.per_server,
-        in_all: connections.in_all,
-        idle_each: connections.idle_each,
-        idle_for: connections.idle,
-        age: connections.age,
-        uses: connections.uses,
+        dial_burst: connections.dial_burst,
+        max_per_server: connections.max_per_server,
+        max_total: connections.max_total,
+        max_idle_per_address: connections.max_idle_per_address,
+        idle_timeout: connections.idle_timeout,
+        max_age: connections.max_age,
+        max_uses: connections.max_uses,
         grace: config.rules.drain_grace,
     }
 }
@@ -159,7 +160,8 @@
 impl Catalog {
     /// The catalog of a configuration; no server is listed yet.
     pub fn new(config: &Config) -> Catalog {
-        let has_effect = |name: &String| config.tools.iter().any(|tool| tool.effect && tool.name == *name);
+        let has_effect =
+            |name: &String| config.tools.iter().any(|tool| tool.has_effect && tool.name == *name);
         let route_tool = |route: &elderstage_config::RouteConfig| mcp::Tool {
             name: route.name.clone(),
             description: route.description.clone(),
@@ -178,13 +180,13 @@
         proofs.get(server).copied().unwrap_or(Proof::None)
     }
 
-    /// Replaces the list of servers and returns the entries for the routing module.
+    /// Replaces the list of servers and returns the entries for the router.
     pub fn update_servers(
         &self,
         config: &Config,
         servers: &[ServerConfig],
         clock_mapping: ClockMapping,
-    ) -> Vec<Entry> {
+    ) -> Vec<ServerEntry> {
         let mut proofs = self.proofs.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         proofs.clear();
         for server in servers {
@@ -200,15 +202,19 @@
     }
 }
 
-/// Converts a list of servers to the entries of the routing module. `front_time` maps Unix times to the front's
+/// Converts a list of servers to the entries of the router. `front_time` maps Unix times to the front's
 /// clock.
-pub fn entries(config: &Config, servers: &[ServerConfig], front_time: impl Fn(f64) -> Time) -> Vec<Entry> {
-    let entry = |server: &ServerConfig| Entry {
+pub fn entries(
+    config: &Config,
+    servers: &[ServerConfig],
+    front_time: impl Fn(f64) -> Time,
+) -> Vec<ServerEntry> {
+    let entry = |server: &ServerConfig| ServerEntry {
         server: ServerId(server.name.as_str().into()),
         listed: match server.state {
-            StateName::Running => Listed::Running,
-            StateName::Draining => Listed::Draining,
-            StateName::Gone => Listed::Gone,
+            StateName::Running => ServerStatus::Running,
+            StateName::Draining => ServerStatus::Draining,
+            StateName::Gone => ServerStatus::Gone,
         },
         kind: config.kinds.iter().position(|kind| kind.name == server.kind).unwrap_or(0),
         zone: config.zones.iter().position(|zone| *zone == server.zone).unwrap_or(0) as u32,
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -25,10 +25,10 @@
     let entries = shared.catalog.update_servers(&shared.config, servers, ClockMapping::read(shared.clock));
     let server_addresses = |server: &ServerConfig| {
         let is_leaving = server.state != StateName::Running;
-        (ServerId(server.name.as_str().into()), server.places.clone(), is_leaving)
+        (ServerId(server.name.as_str().into()), server.endpoints.clone(), is_leaving)
     };
     let tool_addresses = shared.tools.iter().map(|tool| (tool.server.clone(), vec![tool.address()], false));
-    // The pool gets the addresses before the routing module gets the servers, so that every server it chooses has
+    // The pool gets the addresses before the router gets the servers, so that every server it chooses has
     // addresses.
     shared.pool.set_servers(servers.iter().map(server_addresses).chain(tool_addresses).collect());
     tracing::info!(target: "servers", servers = entries.len(), "list of servers applied");
--- a/crates/front/src/tools.rs
+++ b/crates/front/src/tools.rs
@@ -9,9 +9,9 @@
 
 use elderstage::ServerId;
 use elderstage_config::{Config, ToolConfig};
-use elderstage_core::addresses::{Ask, Proof};
-use elderstage_core::evidence::{ToolEnd, rpc_error, tool_status};
-use elderstage_net::{Conn, Endpoint, NetError, Place, receive, send};
+use elderstage_core::addresses::{ConnectionNeeds, Proof};
+use elderstage_core::evidence::{ToolEnd, tool_end_from_rpc_error, tool_end_from_status};
+use elderstage_net::{Conn, Endpoint, EndpointPath, NetError, receive, send};
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{http, mcp, sse};
 use serde_json::Value;
@@ -25,7 +25,7 @@
     pub name: String,
     /// Id of its server in the connection pool. It contains a space, so that it never equals the name of an engine.
     pub server: ServerId,
-    endpoint: Endpoint,
+    endpoint_path: EndpointPath,
     connect_timeout_us: u64,
     session: Mutex<Option<Session>>,
     next_id: AtomicI64,
@@ -57,8 +57,8 @@
 
 impl ToolClient {
     /// The address of the tool server.
-    pub fn address(&self) -> Place {
-        self.endpoint.place.clone()
+    pub fn address(&self) -> Endpoint {
+        self.endpoint_path.endpoint.clone()
     }
 
     /// The client of a configured tool; no session is open yet.
@@ -66,8 +66,8 @@
         ToolClient {
             name: tool.name.clone(),
             server: ServerId(format!("tool {}", tool.name).into()),
-            endpoint: Endpoint::new(tool.addr, tool.path.clone()),
-            connect_timeout_us: config.rules.connect,
+            endpoint_path: EndpointPath::new(tool.addr, tool.path.clone()),
+            connect_timeout_us: config.rules.connect_timeout,
             session: Mutex::default(),
             next_id: AtomicI64::new(1),
         }
@@ -107,11 +107,16 @@
     fn send_call(&self, shared: &Shared, call: &ToolCall<'_>, deadline: Instant) -> CallOutcome {
         let time_left = || deadline.saturating_duration_since(Instant::now());
         let time = time_left().as_micros() as u64;
-        let ask = Ask { once: false, proof: Proof::None, connect: self.connect_timeout_us, time };
+        let needs = ConnectionNeeds {
+            must_not_repeat: false,
+            proof: Proof::None,
+            connect_limit: self.connect_timeout_us,
+            attempt_limit: time,
+        };
         let connect_request = ConnectRequest {
             server: &self.server,
-            ask,
-            path: &self.endpoint.path,
+            needs,
+            path: &self.endpoint_path.path,
             headers: &[],
             body_bytes: 0,
             slot: Some((call.slot, call.operation)),
@@ -142,7 +147,7 @@
         headers.push(("x-request-id", call.rid.as_str()));
         headers.push(("idempotency-key", call.idempotency_key.as_str()));
         headers.push(("via", shared.catalog.via.as_str()));
-        if send(conn, "POST", &self.endpoint, &headers, body.as_bytes()).is_err() {
+        if send(conn, "POST", &self.endpoint_path, &headers, body.as_bytes()).is_err() {
             return CallOutcome::End(ToolEnd::Unknown);
         }
         let (outcome, is_reusable) = read_call_answer(conn, &id);
@@ -160,7 +165,8 @@
     fn initialize(&self, conn: &mut Conn) -> Option<Session> {
         let id = self.allocate_id();
         let body = mcp::initialize_request(&id, "elderstage", env!("CARGO_PKG_VERSION"));
-        send(conn, "POST", &self.endpoint, &session_headers(&Session::default()), body.as_bytes()).ok()?;
+        send(conn, "POST", &self.endpoint_path, &session_headers(&Session::default()), body.as_bytes())
+            .ok()?;
         let answer = receive(conn).ok().filter(|answer| answer.head.status == 200)?;
         let Ok(Message::Response { result: Ok(result), .. }) =
             jsonrpc::parse(&extract_message(&answer.head, &answer.body)?)
@@ -171,7 +177,7 @@
         let session =
             Session { id: answer.head.headers.get(mcp::SESSION_HEADER).map(str::to_owned), version };
         let notification = jsonrpc::notification("notifications/initialized", serde_json::json!({}));
-        send(conn, "POST", &self.endpoint, &session_headers(&session), notification.as_bytes()).ok()?;
+        send(conn, "POST", &self.endpoint_path, &session_headers(&session), notification.as_bytes()).ok()?;
         receive(conn).ok()?;
         Some(session)
     }
@@ -195,7 +201,7 @@
     if !head.headers.get("content-type")?.starts_with("text/event-stream") {
         return Some(body.to_vec());
     }
-    let (mut parser, mut events) = (sse::Parser::default(), Vec::new());
+    let (mut parser, mut events) = (sse::EventParser::default(), Vec::new());
     parser.push(body, &mut events).ok()?;
     // Notifications may precede the response, which is the last message.
     events.pop().map(|event| event.data.into_bytes())
@@ -210,15 +216,15 @@
         }
     };
     let is_reusable = answer.head.keep_alive;
-    if let Some(end) = tool_status(answer.head.status) {
+    if let Some(end) = tool_end_from_status(answer.head.status) {
         return (CallOutcome::End(end), is_reusable);
     }
     let outcome = match extract_message(&answer.head, &answer.body).map(|bytes| jsonrpc::parse(&bytes)) {
         Some(Ok(Message::Response { id: answered_id, result })) if answered_id == *id => match result {
             Ok(result) => {
-                mcp::tool_text(&result).map_or(CallOutcome::End(ToolEnd::Unknown), CallOutcome::Text)
+                mcp::parse_tool_result(&result).map_or(CallOutcome::End(ToolEnd::Unknown), CallOutcome::Text)
             }
-            Err(error) => CallOutcome::End(rpc_error(error.code)),
+            Err(error) => CallOutcome::End(tool_end_from_rpc_error(error.code)),
         },
         _ => CallOutcome::End(ToolEnd::Unknown),
     };
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
-use elderstage_net::{NetError, open};
+use elderstage_net::{NetError, connect};
 use elderstage_protocol::mcp;
 use elderstage_rehearsal::fleet::ANY_PORT;
-use elderstage_standin::peer::{Peer, Script};
+use elderstage_standin::peer::{PeerScript, ScriptedPeer};
 
 /// Sends raw bytes and returns the status and the body of the response.
 fn send_raw(cluster: &TestCluster, bytes: &[u8]) -> (u16, String) {
-    let mut conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut conn = connect(cluster.addr, MAX_WAIT).unwrap();
     conn.set_read_timeout(Some(MAX_WAIT));
     conn.write(bytes).unwrap();
-    let head = conn.response().unwrap();
-    let body = conn.body(head.framing).unwrap();
+    let head = conn.receive_response().unwrap();
+    let body = conn.receive_body(head.framing).unwrap();
     (head.status, String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -46,7 +46,7 @@
         assert_eq!(send_raw(&cluster, bytes.as_bytes()).0, status, "{bytes:?}");
     }
     // A client that leaves in the middle of a body must not affect other clients, and nothing stays held for it.
-    let mut incomplete = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut incomplete = connect(cluster.addr, MAX_WAIT).unwrap();
     incomplete.write(b"POST /mcp HTTP/1.1\r\ncontent-length: 50\r\n\r\n{").unwrap();
     drop(incomplete);
     cluster.call("ask", "Still there? [words 3]").expect_served();
@@ -98,14 +98,14 @@
         &call_body("ask", "x", 1, false),
     );
     assert_eq!(status, 406, "the response to a call is a stream, which this client does not accept");
-    assert_eq!(cluster.status().counters.taken, 0);
+    assert_eq!(cluster.status().counters.admitted, 0);
     cluster.finish_and_check();
 }
 
 /// Starts a cluster whose only engine is a scripted peer.
-fn start_with_engine_peer(script: Script) -> (TestCluster, Peer) {
+fn start_with_engine_peer(script: PeerScript) -> (TestCluster, ScriptedPeer) {
     elderstage_net::init(2);
-    let peer = Peer::start(ANY_PORT, script).unwrap();
+    let peer = ScriptedPeer::start(ANY_PORT, script).unwrap();
     let addr = peer.addr();
     let cluster = TestCluster::with_config(
         |_| {},
@@ -152,15 +152,15 @@
         ("500", b"HTTP/1.1 500 X\r\ncontent-length: 0\r\n\r\n".to_vec(), true),
     ];
     for (what, bytes, close) in scripts {
-        // Each case has its own front, because a failure suspends the only engine for a while.
-        let (cluster, _peer) = start_with_engine_peer(Script { bytes, close });
+        // Each case has its own front, because a failure ejects the only engine for a while.
+        let (cluster, _peer) = start_with_engine_peer(PeerScript { bytes, close });
         let end = cluster.call("order", "x").wait_for_end();
         assert!(matches!(end, CallEnd::Failed(_)), "{what}: {end:?}");
         assert_eq!(cluster.status().held, 0, "{what}");
         cluster.finish_and_check();
     }
     let valid = stream(&format!("{HELLO}{STOP}data: [DONE]\n\n"));
-    let (cluster, _peer) = start_with_engine_peer(Script { bytes: valid, close: true });
+    let (cluster, _peer) = start_with_engine_peer(PeerScript { bytes: valid, close: true });
     assert_eq!(cluster.call("order", "x").expect_served(), "hello ");
     cluster.finish_and_check();
 }
@@ -180,7 +180,8 @@
         ("closed", String::new()),
     ] {
         elderstage_net::init(2);
-        let peer = Peer::start(ANY_PORT, Script { bytes: bytes.into_bytes(), close: true }).unwrap();
+        let peer =
+            ScriptedPeer::start(ANY_PORT, PeerScript { bytes: bytes.into_bytes(), close: true }).unwrap();
         let addr = peer.addr();
         let cluster = TestCluster::with_config(
             |_| {},
@@ -198,7 +199,11 @@
 #[test]
 fn an_answer_over_the_length_limit_fails() {
     let cluster = TestCluster::start(
-        |site| site.kinds.iter_mut().for_each(|kind| (kind.spec.step, kind.spec.step_per_answer) = (150, 1)),
+        |site| {
+            site.kinds
+                .iter_mut()
+                .for_each(|kind| (kind.spec.step_time_us, kind.spec.step_time_per_answer_us) = (150, 1))
+        },
         "answer 1024",
         "",
     );
@@ -211,7 +216,7 @@
 fn closing_a_session_ends_its_calls_and_a_get_stream_stays_open() {
     let cluster = TestCluster::start_default();
     let session = cluster.open_session();
-    let conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let conn = connect(cluster.addr, MAX_WAIT).unwrap();
     let mut call = Call::send(conn, cluster.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
     call.wait_for_text();
     let (status, _) = send_raw(
@@ -220,10 +225,10 @@
     );
     assert_eq!(status, 204);
     assert_eq!(call.wait_for_end(), CallEnd::NoResponse);
-    let mut stream = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut stream = connect(cluster.addr, MAX_WAIT).unwrap();
     stream.write(b"GET /mcp HTTP/1.1\r\naccept: text/event-stream\r\n\r\n").unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(300)));
-    assert_eq!(stream.response().unwrap().status, 200);
+    assert_eq!(stream.receive_response().unwrap().status, 200);
     assert!(matches!(stream.fill(), Err(NetError::TimedOut)), "the stream must stay open");
     cluster.finish_and_check();
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front in this process with a fleet of stand-in servers, and a client that sends raw HTTP.
+//! A front in this process with a fleet of mock servers, and a client that sends raw HTTP.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -7,29 +7,29 @@
 use std::time::{Duration, Instant};
 
 use elderstage_front::{Front, Status};
-use elderstage_net::{Conn, Endpoint, NetError, open, send};
-use elderstage_protocol::http::Body;
+use elderstage_net::{Conn, EndpointPath, NetError, connect, send};
+use elderstage_protocol::http::BodyDecoder;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
-use elderstage_protocol::place::Family;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_protocol::{mcp, sse};
-use elderstage_rehearsal::fleet::{Fleet, Site, demo};
-use elderstage_rehearsal::play::figures;
-use elderstage_rehearsal::rules::{Figures, judge};
-use elderstage_standin::host::DoorFault;
-use elderstage_standin::traffic::{Log, Record, Writer};
+use elderstage_rehearsal::fleet::{Fleet, Site, demo_site};
+use elderstage_rehearsal::play::rule_limits;
+use elderstage_rehearsal::rules::{RuleLimits, check_rules};
+use elderstage_standin::host::AddressFault;
+use elderstage_standin::traffic::{Log, LogWriter, Record};
 use serde_json::{Value, json};
 
 /// Longest wait in a test. It is far longer than any wait takes, so that a busy machine does not make a test fail.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// A running front with its fleet of stand-in servers.
+/// A running front with its fleet of mock servers.
 pub struct TestCluster {
     pub fleet: Fleet,
     pub front: Option<Front>,
     pub addr: SocketAddr,
     pub dir: PathBuf,
-    figures: Figures,
-    writer: Option<Writer>,
+    rule_limits: RuleLimits,
+    writer: Option<LogWriter>,
 }
 
 /// Creates an empty directory for one test.
@@ -56,21 +56,21 @@
         edit: impl Fn(String, &Fleet) -> String,
     ) -> TestCluster {
         elderstage_net::init(2);
-        let mut site = demo();
+        let mut site = demo_site();
         change(&mut site);
-        site.rest.push_str(&format!("rules {{\n{rules}\n}}\n"));
+        site.extra_directives.push_str(&format!("rules {{\n{rules}\n}}\n"));
         let (log, writer) = Log::start(None, None).unwrap();
         let fleet = Fleet::start(site, &log).unwrap();
         let dir = create_temp_dir();
-        std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed)).unwrap();
+        std::fs::write(dir.join("servers.conf"), fleet.server_list_text(&fleet.initial_states)).unwrap();
         let section = format!("listen 127.0.0.1:0\nzone a\n{front}");
-        let text = edit(fleet.config(&section, "servers.conf"), &fleet);
+        let text = edit(fleet.front_config_text(&section, "servers.conf"), &fleet);
         let config =
             elderstage_config::parse("front.conf", &text).unwrap_or_else(|errors| panic!("{errors}"));
-        let figures = figures(&config);
+        let rule_limits = rule_limits(&config);
         let front = Front::start(config, &dir, 1).unwrap();
         let addr = front.addr();
-        TestCluster { fleet, front: Some(front), addr, dir, figures, writer: Some(writer) }
+        TestCluster { fleet, front: Some(front), addr, dir, rule_limits, writer: Some(writer) }
     }
 
     /// Starts a front with the demo's fleet as it is.
@@ -78,7 +78,7 @@
         TestCluster::start(|_| {}, "", "")
     }
 
-    pub fn host(&self, name: &str) -> &elderstage_standin::host::Host {
+    pub fn host(&self, name: &str) -> &elderstage_standin::host::EngineHost {
         &self.fleet.hosts[name]
     }
 
@@ -107,8 +107,8 @@
         self.front.take().unwrap().finish(&AtomicBool::new(false));
         self.fleet.stop();
         let records = self.writer.take().unwrap().finish().unwrap();
-        for verdict in judge(&records, &self.figures) {
-            assert!(verdict.broken.is_empty(), "{}: {:?}", verdict.rule, verdict.broken);
+        for verdict in check_rules(&records, &self.rule_limits) {
+            assert!(verdict.violations.is_empty(), "{}: {:?}", verdict.rule, verdict.violations);
         }
         std::fs::remove_dir_all(&self.dir).unwrap();
         records
@@ -116,13 +116,13 @@
 
     /// Sends a call on a connection of its own.
     pub fn call(&self, tool: &str, prompt: &str) -> Call {
-        let conn = open(self.addr, MAX_WAIT).unwrap();
+        let conn = connect(self.addr, MAX_WAIT).unwrap();
         Call::send(conn, self.addr, tool, prompt, 1, None, true)
     }
 
     /// The value of one metric of the front.
     pub fn metric(&self, name: &str) -> u64 {
-        let to = Endpoint::new(self.addr, "/metrics");
+        let to = EndpointPath::new(self.addr, "/metrics");
         let answer = elderstage_net::exchange("GET", &to, &[], b"", MAX_WAIT).unwrap();
         let text = String::from_utf8(answer.body).unwrap();
         let line = text.lines().find(|line| line.split(' ').next() == Some(name));
@@ -139,8 +139,8 @@
     }
 
     /// Sets the fault of one engine's addresses of a family, or of all engines'.
-    pub fn set_fault(&self, engine: Option<&str>, family: Family, fault: DoorFault) {
-        self.fleet.fault(engine, family, fault).unwrap();
+    pub fn set_fault(&self, engine: Option<&str>, family: AddressFamily, fault: AddressFault) {
+        self.fleet.set_address_fault(engine, family, fault).unwrap();
     }
 
     /// Opens an MCP session and returns its id.
@@ -154,7 +154,7 @@
     }
 
     pub fn post_with(&self, headers: &[(&str, &str)], body: &str) -> (u16, String) {
-        let to = Endpoint::new(self.addr, "/mcp");
+        let to = EndpointPath::new(self.addr, "/mcp");
         let answer = elderstage_net::exchange("POST", &to, headers, body.as_bytes(), MAX_WAIT).unwrap();
         (answer.head.status, String::from_utf8(answer.body).unwrap())
     }
@@ -176,8 +176,8 @@
 /// A running call.
 pub struct Call {
     pub conn: Conn,
-    body: Option<Body>,
-    parser: sse::Parser,
+    body: Option<BodyDecoder>,
+    parser: sse::EventParser,
     events: Vec<sse::Event>,
     pub id: i64,
     /// Text received in progress notifications.
@@ -209,14 +209,14 @@
         if let Some(session) = session {
             headers.push((mcp::SESSION_HEADER, session));
         }
-        let to = Endpoint::new(addr, "/mcp");
+        let to = EndpointPath::new(addr, "/mcp");
         send(&mut conn, "POST", &to, &headers, call_body(tool, prompt, id, progress).as_bytes()).unwrap();
         Call::receive(conn, id)
     }
 
     /// Prepares to read the answer to a call that was already sent on this connection.
     pub fn receive(conn: Conn, id: i64) -> Call {
-        let (parser, events) = (sse::Parser::default(), Vec::new());
+        let (parser, events) = (sse::EventParser::default(), Vec::new());
         Call { conn, body: None, parser, events, id, text: String::new() }
     }
 
@@ -230,12 +230,12 @@
             let mut bytes = Vec::new();
             match &mut self.body {
                 None => {
-                    let head = self.conn.response()?;
+                    let head = self.conn.receive_response()?;
                     assert_eq!(head.status, 200);
-                    self.body = Some(Body::new(head.framing));
+                    self.body = Some(BodyDecoder::new(head.framing));
                 }
                 Some(body) => {
-                    if !self.conn.body_piece(body, &mut bytes)? {
+                    if !self.conn.receive_body_piece(body, &mut bytes)? {
                         return Ok(None);
                     }
                     self.parser.push(&bytes, &mut self.events).unwrap();
@@ -284,13 +284,13 @@
 
     /// Closes the connection without waiting for the answer.
     pub fn disconnect(self) {
-        self.conn.socket().shut();
+        self.conn.socket().shutdown();
     }
 }
 
 fn classify_result(result: Result<Value, jsonrpc::RpcError>) -> CallEnd {
     match result {
-        Ok(result) => CallEnd::Served(mcp::tool_text(&result).unwrap().text),
+        Ok(result) => CallEnd::Served(mcp::parse_tool_result(&result).unwrap().text),
         Err(error) => {
             let data = error.data.unwrap_or_default();
             match data["outcome"].as_str() {
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -6,21 +6,21 @@
 use std::time::Duration;
 
 use common::{Call, CallEnd, MAX_WAIT, TestCluster, call_body};
-use elderstage_net::{Conn, open};
+use elderstage_net::{Conn, connect};
 use elderstage_protocol::{http, mcp};
-use elderstage_standin::host::{Control, Faults};
-use elderstage_standin::model::Ail;
+use elderstage_standin::host::{Control, SocketFaults};
+use elderstage_standin::model::EngineFault;
 use elderstage_standin::tool::ToolFault;
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 const ORDER: &str = "One bowl. [words 12][call place_order]";
 
-fn count_records(records: &[Record], is_match: impl Fn(&Seen) -> bool) -> usize {
+fn count_records(records: &[Record], is_match: impl Fn(&TrafficEvent) -> bool) -> usize {
     records.iter().filter(|record| is_match(&record.what)).count()
 }
 
 fn count_tool_runs(records: &[Record]) -> usize {
-    count_records(records, |seen| matches!(seen, Seen::ToolRan { effect: true, .. }))
+    count_records(records, |seen| matches!(seen, TrafficEvent::ToolRan { effect: true, .. }))
 }
 
 #[test]
@@ -31,7 +31,7 @@
     assert_eq!(call.text, text, "the progress texts must make up the answer");
     assert!(text.contains("order 1 placed"), "{text}");
     let no_progress = Call::send(
-        open(cluster.addr, MAX_WAIT).unwrap(),
+        connect(cluster.addr, MAX_WAIT).unwrap(),
         cluster.addr,
         "ask",
         "Hello. [words 5]",
@@ -45,7 +45,7 @@
     let records = cluster.finish_and_check();
     assert_eq!(count_tool_runs(&records), 1);
     assert!(
-        count_records(&records, |seen| matches!(seen, Seen::StateTaken { .. })) >= 2,
+        count_records(&records, |seen| matches!(seen, TrafficEvent::StateTaken { .. })) >= 2,
         "writers must fetch the KV states"
     );
 }
@@ -53,7 +53,7 @@
 #[test]
 fn a_disconnected_client_ends_its_request_at_every_stage() {
     let hang = |cluster: &TestCluster, names: &[&str]| {
-        names.iter().for_each(|name| cluster.control(name, Control::Ail(Some(Ail::Hang))));
+        names.iter().for_each(|name| cluster.control(name, Control::EngineFault(Some(EngineFault::Hang))));
     };
     // During prefill, and during the transfer to a writer.
     for (hung, stage) in [(["r1", "r2", "m1"], "read"), (["w1", "w2", "m1"], "hand-over")] {
@@ -63,10 +63,12 @@
         let min_attempts = if stage == "read" { 1 } else { 2 };
         cluster.wait_until(stage, |status| status.counters.attempts >= min_attempts);
         call.disconnect();
-        cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+        cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
         let records = cluster.finish_and_check();
-        let left = |seen: &Seen| matches!(seen, Seen::StateHeld { .. });
-        let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
+        let left = |seen: &TrafficEvent| matches!(seen, TrafficEvent::StateHeld { .. });
+        let freed = |seen: &TrafficEvent| {
+            matches!(seen, TrafficEvent::StateTaken { .. } | TrafficEvent::StateReleased { .. })
+        };
         assert!(
             count_records(&records, left) <= count_records(&records, freed),
             "{stage}: a KV state was not released"
@@ -74,13 +76,13 @@
     }
     // While the request is held because no server accepts it.
     let cluster = TestCluster::start_default();
-    let list = cluster.fleet.listed.keys().map(|name| (name.clone(), "draining")).collect();
-    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.servers(&list)).unwrap();
+    let list = cluster.fleet.initial_states.keys().map(|name| (name.clone(), "draining")).collect();
+    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.server_list_text(&list)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
     let call = cluster.call("order", ORDER);
     cluster.wait_until("request held", |status| status.held == 1);
     call.disconnect();
-    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     assert_eq!(cluster.status().counters.attempts, 0);
     cluster.finish_and_check();
     // In the middle of the stream.
@@ -88,17 +90,17 @@
     let mut call = cluster.call("ask", "Tell me all. [words 400]");
     call.wait_for_text();
     call.disconnect();
-    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     cluster.finish_and_check();
     // During the tool call.
     let cluster = TestCluster::start_default();
-    cluster.fleet.tools.fault(ToolFault::Slow(Duration::from_millis(600)));
+    cluster.fleet.tools.set_fault(ToolFault::Slow(Duration::from_millis(600)));
     let mut call = cluster.call("order", ORDER);
     call.wait_for_text();
     // The owner counts the call before it is made, so the test waits until the tool server has begun it.
-    cluster.wait_until("tool call", |_| cluster.fleet.tools.orders() == 1);
+    cluster.wait_until("tool call", |_| cluster.fleet.tools.order_count() == 1);
     call.disconnect();
-    cluster.wait_until("client gone", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("client gone", |status| status.counters.clients_gone == 1 && status.held == 0);
     assert_eq!(count_tool_runs(&cluster.finish_and_check()), 1);
 }
 
@@ -108,18 +110,22 @@
         [ToolFault::Slow(Duration::from_secs(3)), ToolFault::Lost, ToolFault::Garbled, ToolFault::Error]
     {
         let cluster = TestCluster::start_default();
-        cluster.fleet.tools.fault(fault.clone());
+        cluster.fleet.tools.set_fault(fault.clone());
         let end = cluster.call("order", ORDER).wait_for_end();
         assert!(matches!(&end, CallEnd::Failed(why) if why.contains("tool")), "{fault:?}: {end:?}");
         let records = cluster.finish_and_check();
-        assert_eq!(count_records(&records, |seen| matches!(seen, Seen::ToolReceived { .. })), 1, "{fault:?}");
+        assert_eq!(
+            count_records(&records, |seen| matches!(seen, TrafficEvent::ToolReceived { .. })),
+            1,
+            "{fault:?}"
+        );
     }
 }
 
 #[test]
 fn a_tool_without_effect_is_retried_and_the_model_gets_its_error() {
     let cluster = TestCluster::start_default();
-    cluster.fleet.tools.fault(ToolFault::Lost);
+    cluster.fleet.tools.set_fault(ToolFault::Lost);
     let text = cluster.call("ask", "Any left? [words 4][call stock]").expect_served();
     assert!(text.contains("error: the tool gave no result"), "{text}");
     assert_eq!(cluster.status().counters.tool_retries, 1);
@@ -140,7 +146,7 @@
 fn a_cancelled_call_gets_no_response_and_its_id_can_be_reused() {
     let cluster = TestCluster::start_default();
     let session = cluster.open_session();
-    let conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let conn = connect(cluster.addr, MAX_WAIT).unwrap();
     let mut call = Call::send(conn, cluster.addr, "ask", "All of it. [words 500]", 5, Some(&session), true);
     call.wait_for_text();
     let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
@@ -160,7 +166,7 @@
 #[test]
 fn two_calls_on_one_connection_are_answered_in_order() {
     let cluster = TestCluster::start_default();
-    let mut conn = open(cluster.addr, MAX_WAIT).unwrap();
+    let mut conn = connect(cluster.addr, MAX_WAIT).unwrap();
     conn.set_read_timeout(Some(MAX_WAIT));
     // Both requests are in one write, so that the front may get them in one socket read.
     let mut both = Vec::new();
@@ -181,7 +187,7 @@
 fn a_client_that_does_not_read_does_not_delay_others() {
     let fast_engines = |site: &mut elderstage_rehearsal::fleet::Site| {
         for kind in &mut site.kinds {
-            (kind.spec.step, kind.spec.step_per_answer) = (150, 1);
+            (kind.spec.step_time_us, kind.spec.step_time_per_answer_us) = (150, 1);
         }
     };
     let cluster = TestCluster::with_config(fast_engines, "stall 500ms\nsend-buffer 8k", "", |text, _| {
@@ -196,8 +202,9 @@
     for _ in 0..5 {
         cluster.call("ask", "A little. [words 5]").expect_served();
     }
-    cluster
-        .wait_until("the stalled client is given up", |status| status.counters.gone == 1 && status.held == 0);
+    cluster.wait_until("the stalled client is given up", |status| {
+        status.counters.clients_gone == 1 && status.held == 0
+    });
     drop(stalled);
     cluster.finish_and_check();
 }
@@ -214,7 +221,7 @@
     let done = std::thread::spawn(move || front.finish(&AtomicBool::new(false)));
     assert!(order.expect_served().contains("order 1 placed"));
     assert!(done.join().unwrap(), "all requests must have ended by themselves");
-    assert!(open(cluster.addr, Duration::from_millis(500)).is_err(), "the front must not listen any more");
+    assert!(connect(cluster.addr, Duration::from_millis(500)).is_err(), "the front must not listen any more");
     cluster.fleet.stop();
 }
 
@@ -239,14 +246,16 @@
 #[test]
 fn a_late_answer_to_an_abandoned_attempt_has_no_effect() {
     let cluster = TestCluster::start_default();
-    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::Ail(Some(Ail::Hang))));
+    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::EngineFault(Some(EngineFault::Hang))));
     let mut call = cluster.call("ask", "Patience. [words 5]");
     cluster.wait_until("given up", |status| status.counters.outcomes.contains_key("timed-out"));
-    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::Ail(None)));
+    ["r1", "r2"].iter().for_each(|name| cluster.control(name, Control::EngineFault(None)));
     call.expect_served();
     let records = cluster.finish_and_check();
-    let states_held = count_records(&records, |seen| matches!(seen, Seen::StateHeld { .. }));
-    let freed = |seen: &Seen| matches!(seen, Seen::StateTaken { .. } | Seen::StateReleased { .. });
+    let states_held = count_records(&records, |seen| matches!(seen, TrafficEvent::StateHeld { .. }));
+    let freed = |seen: &TrafficEvent| {
+        matches!(seen, TrafficEvent::StateTaken { .. } | TrafficEvent::StateReleased { .. })
+    };
     assert_eq!(states_held, count_records(&records, freed));
 }
 
@@ -254,7 +263,14 @@
 fn an_order_fails_when_its_writer_dies_in_the_stream() {
     let cluster = TestCluster::start_default();
     for name in ["w1", "w2", "m1"] {
-        cluster.control(name, Control::Faults(Faults { break_next: 1, break_after: 3, ..Faults::default() }));
+        cluster.control(
+            name,
+            Control::SocketFaults(SocketFaults {
+                streams_to_break: 1,
+                break_after_tokens: 3,
+                ..SocketFaults::default()
+            }),
+        );
     }
     let end = cluster.call("order", "A bowl. [words 50]").wait_for_end();
     assert!(matches!(&end, CallEnd::Failed(why) if why.contains("stream broke")), "{end:?}");
@@ -264,12 +280,12 @@
 #[test]
 fn draining_and_dead_servers_are_avoided() {
     let cluster = TestCluster::start_default();
-    let mut list = cluster.fleet.listed.clone();
+    let mut list = cluster.fleet.initial_states.clone();
     list.insert("r1".into(), "draining");
     std::fs::write(cluster.dir.join("servers.conf"), "server half {").unwrap();
     std::thread::sleep(Duration::from_millis(250));
     cluster.call("ask", "Still there? [words 3]").expect_served();
-    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.servers(&list)).unwrap();
+    std::fs::write(cluster.dir.join("servers.conf"), cluster.fleet.server_list_text(&list)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
     let attempts_before = cluster.status().counters.attempts;
     for _ in 0..6 {
@@ -279,6 +295,6 @@
     cluster.control("r2", Control::Kill);
     cluster.call("ask", "And now? [words 3]").expect_served();
     let records = cluster.finish_and_check();
-    let received = records.iter().rev().filter(|r| matches!(r.what, Seen::Received { .. })).take(10);
+    let received = records.iter().rev().filter(|r| matches!(r.what, TrafficEvent::Received { .. })).take(10);
     assert!(received.clone().count() == 10 && received.clone().all(|record| record.who != "r1"));
 }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use elderstage_protocol::place::Place;
+use elderstage_protocol::place::Endpoint;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
 
@@ -61,7 +61,7 @@
 /// A listening socket that is served in a coroutine.
 pub struct Listener {
     io: CoIo<Arc<ListeningSocket>>,
-    place: Place,
+    endpoint: Endpoint,
     /// Stop at once.
     is_stopped: Arc<AtomicBool>,
     /// Stop when no connection waits in the backlog any more.
@@ -71,17 +71,17 @@
 }
 
 /// A handle that stops a listener from another coroutine or thread.
-pub struct Stop {
+pub struct ListenerHandle {
     is_stopped: Arc<AtomicBool>,
     is_draining: Arc<AtomicBool>,
     waker: WaitIoWaker,
     socket: std::sync::Weak<ListeningSocket>,
 }
 
-impl Stop {
+impl ListenerHandle {
     /// Lets the listener accept the connections that wait in its backlog and then close. Such a connection
     /// may already carry a whole request and would be reset with the socket. Call this again until
-    /// [`Stop::is_closed`], since a wake-up may be lost.
+    /// [`ListenerHandle::is_closed`], since a wake-up may be lost.
     pub fn stop_after_backlog(&self) {
         self.is_draining.store(true, Ordering::SeqCst);
         self.waker.wakeup();
@@ -129,15 +129,15 @@
         socket.listen(BACKLOG)?;
         let listener: TcpListener = socket.into();
         let addr = listener.local_addr()?;
-        Listener::register(ListeningSocket::Tcp(listener), Place::Tcp(addr))
+        Listener::register(ListeningSocket::Tcp(listener), Endpoint::Tcp(addr))
     }
 
     /// Listens at a TCP address or a Unix socket path. A socket file that an earlier process left behind is
     /// replaced. A socket file at which a process still listens is not, nor is any other file.
-    pub fn at(place: &Place) -> io::Result<Listener> {
-        let path = match place {
-            Place::Tcp(addr) => return Listener::bind(addr),
-            Place::Unix(path) => path,
+    pub fn bind_endpoint(endpoint: &Endpoint) -> io::Result<Listener> {
+        let path = match endpoint {
+            Endpoint::Tcp(addr) => return Listener::bind(addr),
+            Endpoint::Unix(path) => path,
         };
         let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
         let addr = SockAddr::unix(path)?;
@@ -150,16 +150,16 @@
         }
         socket.listen(BACKLOG)?;
         let listener = UnixListener::from(std::os::fd::OwnedFd::from(socket));
-        Listener::register(ListeningSocket::Unix(listener), place.clone())
+        Listener::register(ListeningSocket::Unix(listener), endpoint.clone())
     }
 
     /// Registers a listening socket for readiness events.
-    fn register(socket: ListeningSocket, place: Place) -> io::Result<Listener> {
+    fn register(socket: ListeningSocket, endpoint: Endpoint) -> io::Result<Listener> {
         let socket = Arc::new(socket);
         let io = CoIo::new(socket.clone()).map_err(io::Error::from)?;
         Ok(Listener {
             io,
-            place,
+            endpoint,
             is_stopped: Arc::default(),
             is_draining: Arc::default(),
             _closed_last: socket,
@@ -167,22 +167,27 @@
     }
 
     /// The address at which it listens, with the port that the system assigned.
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn endpoint(&self) -> &Endpoint {
+        &self.endpoint
     }
 
     /// The TCP address and port; the unspecified address for a Unix socket.
     pub fn addr(&self) -> SocketAddr {
-        match &self.place {
-            Place::Tcp(addr) => *addr,
-            Place::Unix(_) => (IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0).into(),
+        match &self.endpoint {
+            Endpoint::Tcp(addr) => *addr,
+            Endpoint::Unix(_) => (IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0).into(),
         }
     }
 
     /// A handle that stops this listener.
-    pub fn stopper(&self) -> Stop {
+    pub fn handle(&self) -> ListenerHandle {
         let (is_stopped, is_draining) = (self.is_stopped.clone(), self.is_draining.clone());
-        Stop { is_stopped, is_draining, waker: self.io.waker(), socket: Arc::downgrade(&self._closed_last) }
+        ListenerHandle {
+            is_stopped,
+            is_draining,
+            waker: self.io.waker(),
+            socket: Arc::downgrade(&self._closed_last),
+        }
     }
 
     /// Accepts connections and passes them to `on_connection` until the listener is stopped. Must run in a
--- a/crates/net/tests/places.rs
+++ b/crates/net/tests/places.rs
@@ -5,7 +5,7 @@
 use std::os::unix::net::UnixListener;
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, NetError, Place, go, init, open};
+use elderstage_net::{Conn, Endpoint, NetError, connect, init, spawn};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -13,7 +13,7 @@
 fn in_coroutine<T: Send + 'static>(f: impl FnOnce() -> T + Send + 'static) -> T {
     init(2);
     let (sender, receiver) = std::sync::mpsc::channel();
-    go(move || {
+    spawn(move || {
         let _ = sender.send(f());
     });
     receiver.recv_timeout(LONG).unwrap()
@@ -24,38 +24,42 @@
 }
 
 /// Sends a request over a new connection, answers it at `peer` and checks the received body.
-fn exchange(place: Place, mut peer: impl Read + Write + Send + 'static, open_conn: impl FnOnce() -> Conn) {
+fn exchange(
+    endpoint: Endpoint,
+    mut peer: impl Read + Write + Send + 'static,
+    open_conn: impl FnOnce() -> Conn,
+) {
     let mut conn = open_conn();
-    assert!(conn.is_idle(), "{place}");
+    assert!(conn.is_idle(), "{endpoint}");
     conn.write(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let mut received = [0; 18];
     peer.read_exact(&mut received).unwrap();
     peer.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").unwrap();
     let body = in_coroutine(move || {
         conn.set_read_timeout(Some(LONG));
-        let head = conn.response().unwrap();
-        conn.body(head.framing).unwrap()
+        let head = conn.receive_response().unwrap();
+        conn.receive_body(head.framing).unwrap()
     });
-    assert_eq!(body, b"hi", "{place}");
+    assert_eq!(body, b"hi", "{endpoint}");
 }
 
 #[test]
 fn tcp_and_unix_sockets_carry_a_request() {
     let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
-    let place = Place::Tcp(tcp.local_addr().unwrap());
+    let endpoint = Endpoint::Tcp(tcp.local_addr().unwrap());
     let conn = in_coroutine({
-        let place = place.clone();
-        move || open(place, LONG).unwrap()
+        let endpoint = endpoint.clone();
+        move || connect(endpoint, LONG).unwrap()
     });
-    exchange(place, tcp.accept().unwrap().0, || conn);
+    exchange(endpoint, tcp.accept().unwrap().0, || conn);
     let path = socket_path("carry");
     let unix = UnixListener::bind(&path).unwrap();
-    let place = Place::Unix(path.clone());
+    let endpoint = Endpoint::Unix(path.clone());
     let conn = in_coroutine({
-        let place = place.clone();
-        move || open(place, LONG).unwrap()
+        let endpoint = endpoint.clone();
+        move || connect(endpoint, LONG).unwrap()
     });
-    exchange(place, unix.accept().unwrap().0, || conn);
+    exchange(endpoint, unix.accept().unwrap().0, || conn);
     std::fs::remove_file(path).unwrap();
 }
 
@@ -64,14 +68,14 @@
     let stale = socket_path("stale");
     drop(UnixListener::bind(&stale).unwrap());
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    for place in [
-        Place::Tcp(dead),
-        Place::Unix(socket_path("missing")),
-        Place::Unix(stale.clone()),
-        Place::Unix(format!("/{}", "long".repeat(60)).into()),
+    for endpoint in [
+        Endpoint::Tcp(dead),
+        Endpoint::Unix(socket_path("missing")),
+        Endpoint::Unix(stale.clone()),
+        Endpoint::Unix(format!("/{}", "long".repeat(60)).into()),
     ] {
-        let text = place.to_string();
-        let result = in_coroutine(move || open(place, LONG).map(|_| ()));
+        let text = endpoint.to_string();
+        let result = in_coroutine(move || connect(endpoint, LONG).map(|_| ()));
         assert!(matches!(result, Err(NetError::Io(_))), "{text}: {result:?}");
     }
     std::fs::remove_file(stale).unwrap();
@@ -84,9 +88,9 @@
     let addr = listener.local_addr().unwrap();
     let started = Instant::now();
     let result = in_coroutine(move || {
-        let mut conn = open(addr, LONG).unwrap();
+        let mut conn = connect(addr, LONG).unwrap();
         conn.set_deadline(Some(Instant::now() + Duration::from_millis(60)));
-        conn.response().map(|_| ())
+        conn.receive_response().map(|_| ())
     });
     assert!(matches!(result, Err(NetError::TimedOut)));
     assert!(started.elapsed() >= Duration::from_millis(60));
@@ -95,9 +99,9 @@
 #[test]
 fn places_parse_and_print_the_same_and_invalid_ones_are_rejected() {
     for text in ["127.0.0.1:80", "[::1]:9", "unix:/run/x.sock"] {
-        assert_eq!(text.parse::<Place>().unwrap().to_string(), text);
+        assert_eq!(text.parse::<Endpoint>().unwrap().to_string(), text);
     }
     for text in ["localhost", "unix:x", "unix:", ""] {
-        assert!(text.parse::<Place>().is_err(), "{text}");
+        assert!(text.parse::<Endpoint>().is_err(), "{text}");
     }
 }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -8,11 +8,11 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use elderstage::ReqId;
+use elderstage::RequestId;
 use elderstage_net::{Conn, NetError};
-use elderstage_platform::ask::{self, Ask, Wanted};
+use elderstage_platform::ask::{self, ClientRequest, RequestKind};
 use elderstage_platform::forward;
-use elderstage_platform::hub::{Input, Last};
+use elderstage_platform::hub::{FinalAnswer, Input};
 use elderstage_protocol::http::{self, Framing, HttpError, Limits, Request};
 
 use crate::Shared;
@@ -48,7 +48,7 @@
 /// Pause between two attempts to reserve memory for a body.
 const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// Maximum sizes of a request's head and body, in bytes.
-const REQUEST_LIMITS: Limits = Limits { head: 16 << 10, body: ask::MOST_BODY };
+const REQUEST_LIMITS: Limits = Limits { head_bytes: 16 << 10, body_bytes: ask::MAX_BODY_BYTES };
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -100,14 +100,14 @@
             if is_first { accepted_at + REQUEST_TIMEOUT } else { Instant::now() + REQUEST_TIMEOUT };
         is_first = false;
         conn.set_deadline(Some(deadline));
-        let head = match conn.request() {
+        let head = match conn.receive_request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => return reject(conn, error.status(), &error.to_string()),
-            Err(NetError::TimedOut) => return reject(conn, 408, "the request did not arrive in time"),
+            Err(NetError::TimedOut) => return reject(conn, 408, "no whole request in time"),
             Err(_) => return CloseReason::Client,
         };
-        match ask::wanted(&head) {
-            Ok(Wanted::Ready) => {
+        match ask::classify_head(&head) {
+            Ok(RequestKind::Ready) => {
                 let status = if shared.is_ready.load(Ordering::SeqCst) { 200 } else { 503 };
                 let is_received = receive_body(shared, conn, &head, deadline).is_ok();
                 let keep_alive = head.keep_alive && may_keep_open(shared, conn);
@@ -115,7 +115,7 @@
                     return CloseReason::Answered;
                 }
             }
-            Ok(Wanted::Chat) => {
+            Ok(RequestKind::Chat) => {
                 if let Err(reason) = serve_chat(shared, conn, head, deadline) {
                     return reason;
                 }
@@ -242,26 +242,26 @@
     let started = Instant::now();
     let max_bytes = match head.framing {
         Framing::Length(n) => usize::try_from(n).unwrap_or(usize::MAX),
-        _ => REQUEST_LIMITS.body,
+        _ => REQUEST_LIMITS.body_bytes,
     };
     let memory_permit = loop {
-        if let Some(permit) = shared.body_memory.reserve(max_bytes.min(REQUEST_LIMITS.body)) {
+        if let Some(permit) = shared.body_memory.reserve(max_bytes.min(REQUEST_LIMITS.body_bytes)) {
             break permit;
         }
         if Instant::now() + MEMORY_RETRY_INTERVAL >= deadline || conn.is_closed() {
-            return Err((503, "no memory is left for the request body".into()));
+            return Err((503, "no memory left for a body".into()));
         }
         conn.pause(Some(Instant::now() + MEMORY_RETRY_INTERVAL));
     };
     let memory_wait = started.elapsed();
-    let received = conn.take_body(head).and_then(|()| conn.body(head.framing));
+    let received = conn.send_continue(head).and_then(|()| conn.receive_body(head.framing));
     match received {
         Ok(bytes) => Ok(ReceivedBody { bytes, memory_permit, received_at: Instant::now() - memory_wait }),
         Err(NetError::Http(error)) => {
             let status = if matches!(error, HttpError::BodyTooLarge(_)) { 413 } else { error.status() };
             Err((status, error.to_string()))
         }
-        Err(NetError::TimedOut) => Err((408, "the request body did not arrive in time".into())),
+        Err(NetError::TimedOut) => Err((408, "no whole body in time".into())),
         // The connection has failed, so the client does not receive this response.
         Err(error) => Err((400, error.to_string())),
     }
@@ -281,9 +281,9 @@
         };
     let keep_alive = head.keep_alive;
     let longest_wait = shared.longest_wait.load(Ordering::SeqCst);
-    let parsed = Ask::read(&head, body.len(), &shared.names, longest_wait);
-    let ask = match parsed {
-        Ok(ask) if ask::is_object(&body) => ask,
+    let parsed = ClientRequest::parse(&head, body.len(), &shared.names, longest_wait);
+    let client_request = match parsed {
+        Ok(client_request) if ask::is_object(&body) => client_request,
         other => {
             let error = other.err().unwrap_or(ask::Refusal::Body);
             let keep_alive = keep_alive && may_keep_open(shared, conn);
@@ -295,7 +295,7 @@
     let header_lines = forward::fields(&head);
     let Request { method, target, .. } = head;
     let request = ForwardedRequest {
-        trace: ask.trace.clone(),
+        trace: client_request.request_id.clone(),
         method,
         target,
         header_lines,
@@ -303,8 +303,8 @@
         _memory_permit: memory_permit,
     };
     let channel = ResponseChannel::new(request, conn.waker());
-    let id = ReqId(shared.next_id.fetch_add(1, Ordering::Relaxed));
-    shared.submit(Event::RequestReceived { id, ask, channel: channel.clone(), received_at });
+    let id = RequestId(shared.next_id.fetch_add(1, Ordering::Relaxed));
+    shared.submit(Event::RequestReceived { id, client_request, channel: channel.clone(), received_at });
     let result = relay_response(shared, conn, &channel, id, keep_alive);
     channel.close();
     result
@@ -332,13 +332,13 @@
         loop {
             let pending = conn.pending().len();
             if pending > MAX_UNRESERVED_BYTES && self.memory_permit.is_none() && !self.has_discarded {
-                self.memory_permit = shared.body_memory.reserve(REQUEST_LIMITS.body);
+                self.memory_permit = shared.body_memory.reserve(REQUEST_LIMITS.body_bytes);
                 self.has_discarded = self.memory_permit.is_none();
             }
-            if pending > REQUEST_LIMITS.head + REQUEST_LIMITS.body || self.has_discarded {
+            if pending > REQUEST_LIMITS.head_bytes + REQUEST_LIMITS.body_bytes || self.has_discarded {
                 self.has_discarded = true;
                 discarded += pending;
-                conn.used(usize::MAX);
+                conn.consume(usize::MAX);
             }
             if discarded > MAX_DISCARD_PER_POLL {
                 self.has_more = true;
@@ -359,7 +359,7 @@
     shared: &Arc<Shared>,
     conn: &mut Conn,
     channel: &ResponseChannel,
-    id: ReqId,
+    id: RequestId,
     keep_alive: bool,
 ) -> Result<(), CloseReason> {
     let ok_if_kept = |is_kept: bool| if is_kept { Ok(()) } else { Err(CloseReason::Answered) };
@@ -388,17 +388,17 @@
                 ResponseEvent::Final(last) => {
                     let keep_alive = keep_alive && may_keep_open(shared, conn) && !read_ahead.has_discarded;
                     let is_kept = match last {
-                        Last::Refused { retry_after: 0 } => {
-                            write_response(conn, 503, None, "the request was refused", keep_alive)
+                        FinalAnswer::Refused { retry_after: 0 } => {
+                            write_response(conn, 503, None, "turned away", keep_alive)
                         }
-                        Last::Refused { retry_after } => {
+                        FinalAnswer::Refused { retry_after } => {
                             let seconds = format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND);
-                            write_response(conn, 503, Some(&seconds), "the request was refused", keep_alive)
+                            write_response(conn, 503, Some(&seconds), "turned away", keep_alive)
                         }
-                        Last::Failed => {
-                            write_response(conn, 502, None, "the request failed and may have run", keep_alive)
+                        FinalAnswer::Failed => {
+                            write_response(conn, 502, None, "failed; it may have run", keep_alive)
                         }
-                        Last::Open => {
+                        FinalAnswer::Open => {
                             write_response(conn, 409, None, &ask::Refusal::Open.to_string(), keep_alive)
                         }
                     };
@@ -412,7 +412,7 @@
             // The channel is closed first, so no attempt begins for this request even if the event waits in
             // the queue.
             channel.close();
-            shared.submit(Event::HubInput(Input::Gone { id }));
+            shared.submit(Event::HubInput(Input::ClientDisconnected { id }));
             hold_at!("client-gone-{}", channel.request.trace);
             return Err(CloseReason::Client);
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A front node of the platform on real sockets: `elderstage node`.
 //!
 //! This crate does the socket I/O and handles signals, limits and configuration reloads. It makes no routing
-//! decisions: coroutines report events to one event loop, which owns the hub and with it the routing module,
+//! decisions: coroutines report events to one event loop, which owns the hub and with it the router,
 //! and execute the hub's commands. A request that the node has accepted is answered before the process ends,
 //! within the time that the platform leaves it.
 
@@ -25,12 +25,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use elderstage::settings::Names;
-use elderstage_net::owner::{Clock, Inbox, queue, run};
-use elderstage_net::{Conn, Listener, go, init_small, sleep};
-use elderstage_platform::counting::Counting;
+use elderstage::settings::SettingNames;
+use elderstage_net::owner::{Clock, EventSender, queue, spawn_machine};
+use elderstage_net::{Conn, Listener, init_single_worker, sleep, spawn};
+use elderstage_platform::counting::ClassCounts;
 use elderstage_platform::hub::{Hub, Input};
-use elderstage_platform::start::{Companions, Start, StartError};
+use elderstage_platform::start::{ConfigError, EnvironmentOverrides, NodeConfig};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use thiserror::Error;
@@ -85,7 +85,7 @@
     Read { path: String, error: std::io::Error },
     /// The configuration is invalid.
     #[error("{path}: {error}")]
-    Config { path: String, error: StartError },
+    Config { path: String, error: ConfigError },
     /// The listening address cannot be bound.
     #[error("cannot listen at {at}: {error}")]
     Listen { at: SocketAddr, error: std::io::Error },
@@ -96,9 +96,9 @@
 
 /// State shared by all coroutines and threads of the node.
 pub(crate) struct Shared {
-    names: Names,
+    names: SettingNames,
     connect_timeout: Duration,
-    inbox: Inbox<SubmittedEvent>,
+    inbox: EventSender<SubmittedEvent>,
     pool: Arc<Pool>,
     client_connections: Arc<ClientConnections>,
     body_memory: Arc<MemoryBudget>,
@@ -149,11 +149,11 @@
 }
 
 /// Reads and parses the configuration file.
-fn read_config(path: &Path, environment: &Companions) -> Result<Start, NodeError> {
+fn read_config(path: &Path, environment: &EnvironmentOverrides) -> Result<NodeConfig, NodeError> {
     let path_text = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|error| NodeError::Read { path: path_text.clone(), error })?;
-    Start::parse(&text, environment).map_err(|error| NodeError::Config { path: path_text, error })
+    NodeConfig::parse(&text, environment).map_err(|error| NodeError::Config { path: path_text, error })
 }
 
 /// The digest that identifies settings, equal on all nodes with equal settings: BLAKE3 of the configuration's
@@ -166,12 +166,12 @@
 }
 
 /// Runs a node until SIGTERM or SIGINT, and then until all accepted requests are answered.
-pub fn node(path: &Path, environment: &Companions) -> Result<(), NodeError> {
+pub fn run(path: &Path, environment: &EnvironmentOverrides) -> Result<(), NodeError> {
     // Signals are caught from here on. One that arrives during the start is handled after it.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(NodeError::System)?;
     let start = read_config(path, environment)?;
     let shares = limits::Shares::from_allowed(start.allowed);
-    init_small(shares.stacks);
+    init_single_worker(shares.stacks);
     let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let clock = Clock::new(u64::try_from(epoch.as_micros()).unwrap_or_default());
     let (inbox, events) = queue(EVENT_QUEUE_CAPACITY);
@@ -195,24 +195,29 @@
     });
     let mut hub = Hub::new(start.settings.clone(), start.seed);
     if let Some(to) = &start.tally {
-        hub.count(Counting::new(&to.release, &settings_digest(path), &shared.names.classes, &start.settings));
+        hub.enable_counting(ClassCounts::new(
+            &to.release,
+            &settings_digest(path),
+            &shared.names.classes,
+            &start.settings,
+        ));
     }
     let mut tally_writer = TallyWriter::new(clock.now());
-    run("owner", clock, events, EventLoop::new(hub, shared.clone())).map_err(NodeError::System)?;
-    let seq = start.known.seq;
-    shared.submit(Event::HubInput(Input::Listed { list: start.known.clone(), restored: true }));
+    spawn_machine("owner", clock, events, EventLoop::new(hub, shared.clone())).map_err(NodeError::System)?;
+    let seq = start.known.version;
+    shared.submit(Event::HubInput(Input::ListReceived { list: start.known.clone(), restored: true }));
     let listener =
         Listener::bind(start.listen).map_err(|error| NodeError::Listen { at: start.listen, error })?;
-    let stop = listener.stopper();
+    let stop = listener.handle();
     let accept_shared = shared.clone();
-    go(move || {
+    spawn(move || {
         listener.serve(
             |conn| accept(&accept_shared, conn),
             |error| tracing::warn!(target: "node", %error, "accept"),
         )
     });
     let (watch_shared, started) = (shared.clone(), Instant::now());
-    go(move || discovery::run_watch(&watch_shared, clock, seq));
+    spawn(move || discovery::run_watch(&watch_shared, clock, seq));
     let (mut shutdown_requested_at, mut quiescent_since): (Option<Instant>, Option<Instant>) = (None, None);
     let (mut last_cleanup, mut last_state_log) = (Instant::now(), Instant::now());
     loop {
@@ -255,14 +260,14 @@
                 let longest_wait = Duration::from_micros(shared.longest_wait.load(Ordering::SeqCst));
                 let time_until_kill = longest_wait.min(MAX_COUNTED_CLIENT_WAIT) + KILL_DELAY;
                 let within = time_until_kill.saturating_sub(at.elapsed() + KILL_MARGIN).as_micros() as u64;
-                shared.submit(Event::HubInput(Input::Stopping { within }));
+                shared.submit(Event::HubInput(Input::ShuttingDown { within }));
                 tracing::info!(target: "node", after_ms = at.elapsed().as_millis() as u64, "no longer accepts connections");
             }
             let is_busy = !stop.is_closed()
                 || shared.open_requests.load(Ordering::SeqCst) > 0
                 || shared.pending_releases.load(Ordering::SeqCst) > 0
                 || !shared.client_connections.is_empty()
-                || shared.inbox.waiting() > 0;
+                || shared.inbox.queued_len() > 0;
             quiescent_since = if is_busy { None } else { quiescent_since.or(Some(Instant::now())) };
             if quiescent_since.is_some_and(|since| since.elapsed() >= QUIESCENCE_PERIOD) {
                 tracing::info!(target: "node", "all requests are answered");
@@ -289,11 +294,11 @@
         }
     };
     let shared = shared.clone();
-    go(move || client::serve(&shared, conn, &permit));
+    spawn(move || client::serve(&shared, conn, &permit));
 }
 
 /// Applies a new configuration completely or not at all. The server list, requests and connections are kept.
-fn reload(shared: &Shared, running: &Start, path: &Path, environment: &Companions) {
+fn reload(shared: &Shared, running: &NodeConfig, path: &Path, environment: &EnvironmentOverrides) {
     match read_config(path, environment) {
         Ok(new) => match running.needs_restart(&new) {
             None => {
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,8 +1,8 @@
-//! Parses clients' requests into arrivals for the decision module, or into a refusal with a status. It reads no socket. A
+//! Parses clients' requests into arrivals for the router, or into a refusal with a status. It reads no socket. A
 //! request is refused by its head alone wherever possible, before its body is read.
 
-use elderstage::settings::Names;
-use elderstage::{Arrival, ReqId, TextKey, Time};
+use elderstage::settings::SettingNames;
+use elderstage::{Arrival, RequestId, TextKey, Time};
 use elderstage_protocol::http::{Framing, Request};
 use thiserror::Error;
 
@@ -11,7 +11,7 @@
 /// Path at which the platform asks whether the node can serve.
 pub const READY_PATH: &str = "/-/ready";
 /// Largest body in bytes.
-pub const MOST_BODY: usize = 256 << 10;
+pub const MAX_BODY_BYTES: usize = 256 << 10;
 /// Longest id in bytes. The id becomes part of a path.
 const MAX_ID_BYTES: usize = 128;
 /// Longest name of a session or a shared prefix, in bytes.
@@ -53,8 +53,8 @@
     /// The class is unknown.
     #[error("class is not one of this deployment")]
     Class,
-    /// The body is larger than [`MOST_BODY`].
-    #[error("body over {MOST_BODY} bytes")]
+    /// The body is larger than [`MAX_BODY_BYTES`].
+    #[error("body over {MAX_BODY_BYTES} bytes")]
     TooLarge,
     /// The body is not a JSON object.
     #[error("body is no JSON object")]
@@ -79,30 +79,30 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum RequestKind {
     /// A chat completion.
     Chat,
     /// Whether the node can serve.
     Ready,
 }
 
-/// A client's request: the id that the client gave it, and its arrival for the module. The number in the arrival is
+/// A client's request: the id that the client gave it, and its arrival for the router. The number in the arrival is
 /// assigned by the node.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Id that the client gave the request.
-    pub trace: Box<str>,
-    /// The arrival for the module.
+    pub request_id: Box<str>,
+    /// The arrival for the router.
     pub arrival: Arrival,
 }
 
 /// Determines from the head alone what a request asks for, so that a body is refused before it is read.
-pub fn wanted(head: &Request) -> Result<Wanted, Refusal> {
+pub fn classify_head(head: &Request) -> Result<RequestKind, Refusal> {
     let path = head.target.split('?').next().unwrap_or_default();
     let wanted = match path {
-        CHAT_PATH if head.method == "POST" => Wanted::Chat,
+        CHAT_PATH if head.method == "POST" => RequestKind::Chat,
         CHAT_PATH => return Err(Refusal::Method("POST")),
-        READY_PATH if head.method == "GET" => Wanted::Ready,
+        READY_PATH if head.method == "GET" => RequestKind::Ready,
         READY_PATH => return Err(Refusal::Method("GET")),
         _ => return Err(Refusal::Path),
     };
@@ -112,7 +112,7 @@
         return Err(Refusal::Duplicate("content-length"));
     }
     match head.framing {
-        Framing::Length(n) if n > MOST_BODY as u64 => Err(Refusal::TooLarge),
+        Framing::Length(n) if n > MAX_BODY_BYTES as u64 => Err(Refusal::TooLarge),
         _ => Ok(wanted),
     }
 }
@@ -146,10 +146,15 @@
         && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.~".contains(&b))
 }
 
-impl Ask {
+impl ClientRequest {
     /// Parses the head of a chat request. `body` is the length of the body in bytes. The time left is at most `longest_wait`,
     /// the longest time that any client waits.
-    pub fn read(head: &Request, body: usize, names: &Names, longest_wait: Time) -> Result<Ask, Refusal> {
+    pub fn parse(
+        head: &Request,
+        body: usize,
+        names: &SettingNames,
+        longest_wait: Time,
+    ) -> Result<ClientRequest, Refusal> {
         let trace =
             single_value(head, ID_HEADER)?.filter(|id| !id.is_empty()).ok_or(Refusal::Missing(ID_HEADER))?;
         if !is_plain_id(trace) {
@@ -176,18 +181,18 @@
             single_value(head, HINT_HEADER)?.map_or(Ok(0), |value| parse_number(value, HINT_HEADER))?;
         let again = single_value(head, AGAIN_HEADER)?.unwrap_or_default();
         let mut arrival = Arrival {
-            id: ReqId::default(),
+            id: RequestId::default(),
             class,
             tenant,
             session,
             prefix: None,
             time_left,
-            hint,
-            prompt: (body / CHARS_PER_TOKEN) as f64,
-            shared: 0.0,
-            max_out: 0.0,
-            repeat: again == "1",
-            returned: again == "again",
+            output_time_hint: hint,
+            prompt_tokens: (body / CHARS_PER_TOKEN) as f64,
+            shared_tokens: 0.0,
+            max_output_tokens: 0.0,
+            is_repeat: again == "1",
+            is_resumed: again == "again",
         };
         for part in single_value(head, PROPS_HEADER)?
             .unwrap_or_default()
@@ -198,14 +203,14 @@
             let value = value.trim();
             match name.trim() {
                 "prefix" => arrival.prefix = parse_key(value, PROPS_HEADER)?,
-                "prompt_len" => arrival.prompt = parse_number(value, PROPS_HEADER)? as f64,
-                "prefix_len" => arrival.shared = parse_number(value, PROPS_HEADER)? as f64,
-                "max_out" => arrival.max_out = parse_number(value, PROPS_HEADER)? as f64,
+                "prompt_len" => arrival.prompt_tokens = parse_number(value, PROPS_HEADER)? as f64,
+                "prefix_len" => arrival.shared_tokens = parse_number(value, PROPS_HEADER)? as f64,
+                "max_out" => arrival.max_output_tokens = parse_number(value, PROPS_HEADER)? as f64,
                 // Later versions may add properties.
                 _ => {}
             }
         }
-        Ok(Ask { trace: trace.into(), arrival })
+        Ok(ClientRequest { request_id: trace.into(), arrival })
     }
 }
 
--- a/crates/platform/src/counting.rs
+++ b/crates/platform/src/counting.rs
@@ -4,8 +4,8 @@
 
 use std::collections::HashMap;
 
-use elderstage::{ReqId, Settings, Time};
-use elderstage_tally::{Counts, Key, Tally};
+use elderstage::{RequestId, Settings, Time};
+use elderstage_tally::{GroupKey, OutcomeCounts, Tally};
 
 /// A request that is open.
 #[derive(Debug)]
@@ -37,31 +37,35 @@
 
 /// The counts of a node's requests.
 #[derive(Debug)]
-pub struct Counting {
+pub struct ClassCounts {
     release: String,
     /// For each class: its current key in the tally, its aim for the time to the first token, and the addition to the aim for
     /// each prompt token, in microseconds.
-    classes: Vec<(Key, Time, f64)>,
+    classes: Vec<(GroupKey, Time, f64)>,
     tally: Tally,
-    open: HashMap<ReqId, OpenRequest>,
+    open: HashMap<RequestId, OpenRequest>,
 }
 
-impl Counting {
+impl ClassCounts {
     /// Creates empty counts. `digest` identifies the settings; `names` are the names of their classes, in order.
-    pub fn new(release: &str, digest: &str, names: &[String], settings: &Settings) -> Counting {
+    pub fn new(release: &str, digest: &str, names: &[String], settings: &Settings) -> ClassCounts {
         let (tally, open) = (Tally::default(), HashMap::new());
-        let mut counting = Counting { release: release.into(), classes: Vec::new(), tally, open };
-        counting.under(digest, names, settings);
+        let mut counting = ClassCounts { release: release.into(), classes: Vec::new(), tally, open };
+        counting.set_settings(digest, names, settings);
         counting
     }
 
     /// Counts under other settings from now on, including the requests that are open.
-    pub fn under(&mut self, digest: &str, names: &[String], settings: &Settings) {
+    pub fn set_settings(&mut self, digest: &str, names: &[String], settings: &Settings) {
         let class_entry = |(index, class): (usize, &elderstage::Class)| {
             let name = names.get(index).cloned().unwrap_or_else(|| index.to_string());
-            let key =
-                Key { class: name, release: self.release.clone(), settings: digest.into(), ..Key::default() };
-            (key, class.ttft_aim, class.ttft_aim_per_1000 / 1000.0)
+            let key = GroupKey {
+                class: name,
+                release: self.release.clone(),
+                settings: digest.into(),
+                ..GroupKey::default()
+            };
+            (key, class.ttft_target, class.ttft_target_per_1000_tokens / 1000.0)
         };
         self.classes = settings.classes.iter().enumerate().map(class_entry).collect();
     }
@@ -72,13 +76,13 @@
     }
 
     /// Returns the counts of a class.
-    fn counts(&mut self, class: usize) -> &mut Counts {
-        let rest = Key::rest();
-        self.tally.of(self.classes.get(class).map_or(&rest, |(key, ..)| key))
+    fn counts(&mut self, class: usize) -> &mut OutcomeCounts {
+        let rest = GroupKey::overflow();
+        self.tally.counts_mut(self.classes.get(class).map_or(&rest, |(key, ..)| key))
     }
 
     /// Records the arrival of a request.
-    pub fn record_arrival(&mut self, now: Time, id: ReqId, class: usize, prompt: f64) {
+    pub fn record_arrival(&mut self, now: Time, id: RequestId, class: usize, prompt: f64) {
         let first_token_aim =
             self.classes.get(class).map_or(0, |(_, aim, per)| aim + (per * prompt.max(0.0)) as Time);
         self.counts(class).asked += 1;
@@ -86,14 +90,14 @@
     }
 
     /// Records the first event of a request's stream; later calls have no effect.
-    pub fn record_first_event(&mut self, now: Time, id: ReqId) {
+    pub fn record_first_event(&mut self, now: Time, id: RequestId) {
         if let Some(request) = self.open.get_mut(&id) {
             request.first_token_at.get_or_insert(now);
         }
     }
 
     /// Records the end of a request; further ends of the same request are not counted.
-    pub fn record_end(&mut self, now: Time, id: ReqId, end: RequestEnd) {
+    pub fn record_end(&mut self, now: Time, id: RequestId, end: RequestEnd) {
         let Some(request) = self.open.remove(&id) else { return };
         let counts = self.counts(request.class);
         let wait = request.first_token_at.map(|first| first.saturating_sub(request.arrived_at));
--- a/crates/platform/src/hub/requests.rs
+++ b/crates/platform/src/hub/requests.rs
@@ -1,16 +1,16 @@
 //! The lifecycle of requests and their attempts, from the last byte of the client's request until the request is
 //! forgotten.
 
-use elderstage::{Arrival, Event, Outcome, ReqId, ServerId, Time};
+use elderstage::{Arrival, Event, Outcome, RequestId, ServerId, Time};
 
-use super::{Command, Hub, InFlightAttempt, Last, OpenRequest};
-use crate::ask::Ask;
+use super::{Command, FinalAnswer, Hub, InFlightAttempt, OpenRequest};
+use crate::ask::ClientRequest;
 use crate::counting::RequestEnd;
 use crate::report;
 
 /// How an attempt ended.
 pub(super) struct AttemptEnd {
-    pub(super) id: ReqId,
+    pub(super) id: RequestId,
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
     pub(super) note: u64,
@@ -22,27 +22,39 @@
 
 impl AttemptEnd {
     /// The end of an attempt that brought no answer.
-    fn without_answer(id: ReqId, attempt: u32, outcome: Outcome) -> AttemptEnd {
+    fn without_answer(id: RequestId, attempt: u32, outcome: Outcome) -> AttemptEnd {
         AttemptEnd { id, attempt, outcome, note: 0, report: None, events: 0 }
     }
 }
 
 impl Hub {
     /// Opens a request, unless another request with the same id is open.
-    pub(super) fn handle_arrival(&mut self, now: Time, id: ReqId, ask: Ask, commands: &mut Vec<Command>) {
-        if self.ids_by_trace.contains_key(&ask.trace) {
-            commands.push(Command::Answer { id, last: Last::Open, attempts: 0, last_outcome: None });
-            commands.push(Command::Forget { id });
+    pub(super) fn handle_arrival(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        client_request: ClientRequest,
+        commands: &mut Vec<Command>,
+    ) {
+        if self.ids_by_trace.contains_key(&client_request.request_id) {
+            commands.push(Command::Answer { id, last: FinalAnswer::Open, attempts: 0, last_outcome: None });
+            commands.push(Command::RemoveRequest { id });
             return;
         }
         self.counts.taken += 1;
         if let Some(counting) = &mut self.counting {
-            counting.record_arrival(now, id, ask.arrival.class, ask.arrival.prompt);
+            counting.record_arrival(
+                now,
+                id,
+                client_request.arrival.class,
+                client_request.arrival.prompt_tokens,
+            );
         }
-        self.ids_by_trace.insert(ask.trace.clone(), id);
-        let is_repeatable = self.repeatable_classes.get(ask.arrival.class).copied().unwrap_or(false);
+        self.ids_by_trace.insert(client_request.request_id.clone(), id);
+        let is_repeatable =
+            self.repeatable_classes.get(client_request.arrival.class).copied().unwrap_or(false);
         let request = OpenRequest {
-            trace: ask.trace,
+            trace: client_request.request_id,
             is_repeatable,
             attempts: 0,
             last_outcome: None,
@@ -51,11 +63,11 @@
             is_finished: false,
         };
         self.open_requests.insert(id, request);
-        self.events.push_back(Event::Arrived(Arrival { id, ..ask.arrival }));
+        self.events.push_back(Event::Arrived(Arrival { id, ..client_request.arrival }));
     }
 
     /// Handles the first stream event of an attempt: from here on the request is bound to it.
-    pub(super) fn handle_first_event(&mut self, now: Time, id: ReqId, attempt: u32) {
+    pub(super) fn handle_first_event(&mut self, now: Time, id: RequestId, attempt: u32) {
         let Some(request) = self.open_requests.get_mut(&id) else { return };
         let Some(in_flight) = request.in_flight.as_ref().filter(|in_flight| in_flight.attempt == attempt)
         else {
@@ -70,7 +82,7 @@
         self.events.push_back(Event::Streaming { id, attempt, server, took });
     }
 
-    /// Handles the end of an attempt: settles the request if it is finished and reports the outcome to the module.
+    /// Handles the end of an attempt: settles the request if it is finished and reports the outcome to the router.
     pub(super) fn handle_attempt_end(&mut self, now: Time, end: AttemptEnd) {
         let AttemptEnd { id, attempt, outcome, note, report, events } = end;
         let Some(request) = self.open_requests.get_mut(&id) else { return };
@@ -114,7 +126,7 @@
             server: in_flight.server,
             outcome,
             took: now.saturating_sub(in_flight.sent_at),
-            settled,
+            is_settled: settled,
             note,
             load,
         });
@@ -124,7 +136,7 @@
     pub(super) fn send_attempt(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         server: ServerId,
         timeout: Time,
         commands: &mut Vec<Command>,
@@ -141,7 +153,14 @@
         // A read creates KV state of its own and fetches none.
         self.leases.start_attempt(id, !is_prompt_read);
         match address {
-            Some(dial) => commands.push(Command::Send { id, attempt, server, dial, timeout, harmless }),
+            Some(dial) => commands.push(Command::Send {
+                id,
+                attempt,
+                server,
+                address: dial,
+                timeout,
+                is_repeatable: harmless,
+            }),
             None => {
                 self.handle_attempt_end(now, AttemptEnd::without_answer(id, attempt, Outcome::NoConnection))
             }
@@ -149,16 +168,22 @@
     }
 
     /// Sends the final answer to a client that has neither a final answer yet nor disconnected.
-    pub(super) fn answer_client(&mut self, now: Time, id: ReqId, last: Last, commands: &mut Vec<Command>) {
+    pub(super) fn answer_client(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        last: FinalAnswer,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(request) = self.open_requests.get_mut(&id) else { return };
         if !request.is_finished {
             request.is_finished = true;
             match last {
-                Last::Refused { .. } => self.counts.refused += 1,
+                FinalAnswer::Refused { .. } => self.counts.refused += 1,
                 _ => self.counts.failed += 1,
             }
             if let Some(counting) = &mut self.counting {
-                let refused = matches!(last, Last::Refused { .. });
+                let refused = matches!(last, FinalAnswer::Refused { .. });
                 counting.record_end(now, id, if refused { RequestEnd::Refused } else { RequestEnd::Failed });
             }
             let (attempts, last_outcome) = (request.attempts, request.last_outcome);
@@ -168,7 +193,7 @@
     }
 
     /// Forgets a request that is finished and has no attempt in flight.
-    pub(super) fn forget_if_finished(&mut self, id: ReqId, commands: &mut Vec<Command>) {
+    pub(super) fn forget_if_finished(&mut self, id: RequestId, commands: &mut Vec<Command>) {
         if self
             .open_requests
             .get(&id)
@@ -176,7 +201,7 @@
             && let Some(request) = self.open_requests.remove(&id)
         {
             self.ids_by_trace.remove(&request.trace);
-            commands.push(Command::Forget { id });
+            commands.push(Command::RemoveRequest { id });
         }
     }
 }
