--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -5,8 +5,10 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use elderstage::{Arrival, Entry, Listed, Outcome, ReqId, ServerId, Settings, Time, example_settings};
-use elderstage_platform::ask::Ask;
+use elderstage::{
+    Arrival, Outcome, RequestId, ServerEntry, ServerId, ServerStatus, Settings, Time, example_settings,
+};
+use elderstage_platform::ask::ClientRequest;
 use elderstage_platform::hub::{Command, Hub, Input};
 use elderstage_platform::list::{Host, List};
 
@@ -41,12 +43,23 @@
 fn list() -> List {
     let host = |n: usize, name: &str, kind: usize| {
         let server = ServerId(name.into());
-        let entry =
-            Entry { server, listed: Listed::Running, kind, zone: 0, cell: 0, weight: 1.0, ready_at: 0 };
+        let entry = ServerEntry {
+            server,
+            listed: ServerStatus::Running,
+            kind,
+            zone: 0,
+            cell: 0,
+            weight: 1.0,
+            ready_at: 0,
+        };
         Host { entry, address: Some(SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))) }
     };
     let names = [("reader", 0), ("writer-1", 1), ("writer-2", 1), ("writer-3", 1)];
-    List { seq: 1, whole: true, hosts: names.iter().enumerate().map(|(n, of)| host(n, of.0, of.1)).collect() }
+    List {
+        version: 1,
+        is_complete: true,
+        hosts: names.iter().enumerate().map(|(n, of)| host(n, of.0, of.1)).collect(),
+    }
 }
 
 /// Simulates one request whose prompt is read and whose further attempts all have the same result. Returns the longest time
@@ -54,11 +67,20 @@
 /// that had arrived, to the next answered release or the arrival of the next attempt.
 fn longest_hold(settings: Settings, result: FetchResult) -> Time {
     let (mut hub, mut now, mut out) = (Hub::new(settings, 7), 1_000_000 * MS, Vec::new());
-    hub.handle(now, Input::Listed { list: list(), restored: false }, &mut out);
-    let id = ReqId(1);
-    let arrival =
-        Arrival { id, time_left: 9_000 * MS, prompt: 1_000.0, max_out: 100.0, ..Arrival::default() };
-    hub.handle(now, Input::Arrived { id, ask: Ask { trace: "a".into(), arrival } }, &mut out);
+    hub.handle(now, Input::ListReceived { list: list(), restored: false }, &mut out);
+    let id = RequestId(1);
+    let arrival = Arrival {
+        id,
+        time_left: 9_000 * MS,
+        prompt_tokens: 1_000.0,
+        max_output_tokens: 100.0,
+        ..Arrival::default()
+    };
+    hub.handle(
+        now,
+        Input::Arrived { id, client_request: ClientRequest { request_id: "a".into(), arrival } },
+        &mut out,
+    );
     let mut events: BinaryHeap<Reverse<(Time, SimulatedEvent)>> = BinaryHeap::new();
     let (mut held_since, mut has_arrived, mut longest) = (None, false, 0);
     loop {
@@ -81,7 +103,7 @@
                         SimulatedEvent::AttemptEnded(attempt, u8::from(is_prompt_read)),
                     )));
                 }
-                Command::Release { holder, round, engine, .. } => {
+                Command::Release { holder, release_number: round, engine, .. } => {
                     events.push(Reverse((
                         now + ANSWERED_CALL,
                         SimulatedEvent::ReleaseAnswered(holder, round, engine),
@@ -94,7 +116,7 @@
         let Some(at) = hub.next_timer().into_iter().chain(next_event).min() else { break };
         now = now.max(at);
         if next_event != Some(at) {
-            hub.wake(now, &mut out);
+            hub.run_due_timers(now, &mut out);
             continue;
         }
         match events.pop() {
@@ -109,20 +131,24 @@
                     held_since = held_since.filter(|_| prompt_read > 0).or(Some(now));
                 }
                 has_arrived = false;
-                let ended = Input::Ended { id, attempt, outcome, note: 0, report: None, events: 0 };
+                let ended = Input::AttemptEnded { id, attempt, outcome, note: 0, report: None, events: 0 };
                 hub.handle(now, ended, &mut out);
             }
             Some(Reverse((_, SimulatedEvent::ReleaseAnswered(holder, round, engine)))) => {
                 if !has_arrived && let Some(since) = held_since.take() {
                     longest = longest.max(now - since);
                 }
-                hub.handle(now, Input::Said { id, holder, round, engine, heard: true }, &mut out);
+                hub.handle(
+                    now,
+                    Input::ReleaseCallEnded { id, holder, release_number: round, engine, acknowledged: true },
+                    &mut out,
+                );
             }
             None => break,
         }
     }
     assert_eq!(held_since, None, "{result:?}: held state was never released");
-    assert_eq!(hub.held(), (0, 0), "{result:?}: nothing is kept of a finished request");
+    assert_eq!(hub.open_and_held_counts(), (0, 0), "{result:?}: nothing is kept of a finished request");
     longest
 }
 
@@ -131,10 +157,10 @@
     let slow_connects = Settings { connect_timeout: 2_000 * MS, ..example_settings() };
     // Attempts that are abandoned one after the other, each before the time limit on the state has passed.
     let mut short_attempts = example_settings();
-    short_attempts.classes[0].ttft_aim = 20 * MS;
-    short_attempts.most_tries = 9;
-    short_attempts.classes[0].ttft_aim_per_1000 = 0.0;
-    let two_attempts = Settings { most_tries: 2, ..example_settings() };
+    short_attempts.classes[0].ttft_target = 20 * MS;
+    short_attempts.max_attempts = 9;
+    short_attempts.classes[0].ttft_target_per_1000_tokens = 0.0;
+    let two_attempts = Settings { max_attempts: 2, ..example_settings() };
     for (settings, result) in [
         (example_settings(), FetchResult::Silent),
         (two_attempts, FetchResult::Silent),
@@ -144,7 +170,7 @@
         (example_settings(), FetchResult::Rejected(50 * MS)),
         (example_settings(), FetchResult::Rejected(1_500 * MS)),
     ] {
-        let limit = settings.let_go_by + RELEASE_GRACE;
+        let limit = settings.release_time_limit + RELEASE_GRACE;
         let longest = longest_hold(settings, result);
         assert!(longest <= limit, "{result:?}: held for {longest} us, the limit is {limit} us");
     }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -9,11 +9,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use elderstage_net::{Conn, Endpoint, NetError, exchange, open, send, sleep};
-use elderstage_protocol::http::Body;
+use elderstage_net::{Conn, EndpointPath, NetError, connect, exchange, send, sleep};
+use elderstage_protocol::http::BodyDecoder;
 use elderstage_protocol::jsonrpc::{self, Id, Message};
 use elderstage_protocol::{mcp, sse};
-use elderstage_standin::traffic::{Log, Seen};
+use elderstage_standin::traffic::{Log, TrafficEvent};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -61,7 +61,7 @@
     pub starts_at: Duration,
     /// Route that it calls as an MCP tool.
     pub route: String,
-    /// Text of the prompt, with the stand-ins' directives at its end.
+    /// Text of the prompt, with the mock engines' directives at its end.
     pub prompt: String,
     /// Conversation that it continues, if any.
     pub session: Option<String>,
@@ -259,7 +259,7 @@
 
     /// Sends the MCP `initialize` request to a front and returns the session that it gives, if any.
     pub fn initialize(addr: SocketAddr) -> Result<Option<String>, NetError> {
-        let to = Endpoint::new(addr, "/mcp");
+        let to = EndpointPath::new(addr, "/mcp");
         let body = mcp::initialize_request(&Id::Number(0), "rehearsal", "0.1.0");
         let headers =
             [("content-type", "application/json"), ("accept", "application/json, text/event-stream")];
@@ -326,7 +326,7 @@
                 None => break,
             }
         }
-        open(addr, Duration::from_secs(1))
+        connect(addr, Duration::from_secs(1))
     }
 
     /// Sends the request once. `None` if nothing was sent.
@@ -350,7 +350,7 @@
         }
         let started = Instant::now();
         let total = timeout.total.as_micros() as u64;
-        let log = |event| self.log.see(LOG_SOURCE, event);
+        let log = |event| self.log.record(LOG_SOURCE, event);
         let request = InFlightRequest {
             addr: front.addr,
             session: front.session.clone(),
@@ -358,8 +358,13 @@
             behavior: planned.behavior,
         };
         lock(&self.in_flight).insert(rid.into(), request);
-        log(Seen::Sent { rid: rid.into(), class: timeout.class.clone(), front: front.name.clone(), total });
-        let to = Endpoint::new(front.addr, "/mcp");
+        log(TrafficEvent::Sent {
+            rid: rid.into(),
+            class: timeout.class.clone(),
+            front: front.name.clone(),
+            total,
+        });
+        let to = EndpointPath::new(front.addr, "/mcp");
         let sent = send(&mut conn, "POST", &to, &headers, body.as_bytes());
         let end = match sent {
             Ok(()) => self.read_answer(planned, rid, &mut conn, started, timeout),
@@ -367,7 +372,7 @@
         };
         lock(&self.in_flight).remove(rid);
         match &end {
-            RequestEnd::Lost => log(Seen::Lost { rid: rid.into() }),
+            RequestEnd::Lost => log(TrafficEvent::Lost { rid: rid.into() }),
             RequestEnd::Left | RequestEnd::Missing => {}
             RequestEnd::Served | RequestEnd::Refused(_) | RequestEnd::Failed
                 if planned.behavior == ClientBehavior::ReadToEnd =>
@@ -378,7 +383,7 @@
             }
             _ => {}
         }
-        conn.socket().shut();
+        conn.socket().shutdown();
         Some(end)
     }
 
@@ -391,23 +396,23 @@
         started: Instant,
         timeout: &RouteTimeout,
     ) -> RequestEnd {
-        let log = |event| self.log.see(LOG_SOURCE, event);
+        let log = |event| self.log.record(LOG_SOURCE, event);
         let deadline = started + timeout.total + ANSWER_GRACE;
         let (mut read_until, mut is_cancelled) = match planned.behavior {
             ClientBehavior::Disconnect(after) | ClientBehavior::Cancel(after) => (started + after, false),
             _ => (deadline, false),
         };
-        let (mut parser, mut events, mut bytes) = (sse::Parser::default(), Vec::new(), Vec::new());
+        let (mut parser, mut events, mut bytes) = (sse::EventParser::default(), Vec::new(), Vec::new());
         let (mut body, mut first, mut text) = (None, None, String::new());
         loop {
             conn.set_deadline(Some(read_until));
             bytes.clear();
             let read = match &mut body {
-                None => conn.response().map(|head| {
-                    body = Some(Body::new(head.framing));
+                None => conn.receive_response().map(|head| {
+                    body = Some(BodyDecoder::new(head.framing));
                     true
                 }),
-                Some(body) => conn.body_piece(body, &mut bytes),
+                Some(body) => conn.receive_body_piece(body, &mut bytes),
             };
             match read {
                 Ok(true) => {}
@@ -416,7 +421,7 @@
                 Ok(false) => return RequestEnd::Lost,
                 Err(NetError::TimedOut) if read_until < deadline => match planned.behavior {
                     ClientBehavior::Disconnect(_) => {
-                        log(Seen::Left { rid: rid.into() });
+                        log(TrafficEvent::Left { rid: rid.into() });
                         return RequestEnd::Left;
                     }
                     _ => {
@@ -436,7 +441,7 @@
                     Ok(Message::Notification { params, .. }) => {
                         if first.is_none() {
                             first = Some(started.elapsed());
-                            log(Seen::First { rid: rid.into() });
+                            log(TrafficEvent::First { rid: rid.into() });
                             if let ClientBehavior::PauseReading(time) = planned.behavior {
                                 sleep(time);
                             }
@@ -465,7 +470,7 @@
         let (outcome, retry_after_ms, end) = match &result {
             Ok(result) => {
                 // The streamed pieces must add up to the text of the result.
-                let full_text = mcp::tool_text(result).map(|result| result.text).unwrap_or_default();
+                let full_text = mcp::parse_tool_result(result).map(|result| result.text).unwrap_or_default();
                 if full_text == text {
                     ("served", None, RequestEnd::Served)
                 } else {
@@ -482,7 +487,10 @@
                 }
             }
         };
-        self.log.see(LOG_SOURCE, Seen::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms });
+        self.log.record(
+            LOG_SOURCE,
+            TrafficEvent::Final { rid: rid.into(), outcome: outcome.into(), retry_after_ms },
+        );
         if matches!(end, RequestEnd::Served) {
             let mut tallies = lock(&self.tallies);
             let tally = tallies.entry(planned.route.clone()).or_insert_with(RouteTally::new);
@@ -505,9 +513,9 @@
             return;
         };
         let Some(session) = session else { return };
-        self.log.see(LOG_SOURCE, Seen::Left { rid: rid.into() });
+        self.log.record(LOG_SOURCE, TrafficEvent::Left { rid: rid.into() });
         let body = jsonrpc::notification("notifications/cancelled", json!({"requestId": id}));
-        let to = Endpoint::new(addr, "/mcp");
+        let to = EndpointPath::new(addr, "/mcp");
         let headers = [("content-type", "application/json"), (mcp::SESSION_HEADER, session.as_str())];
         // The front may have died meanwhile, and its requests with it.
         let _ = exchange("POST", &to, &headers, body.as_bytes(), Duration::from_secs(1));
@@ -520,7 +528,7 @@
             .is_some_and(|request| request.behavior == ClientBehavior::CancelDuringToolCall);
         if cancels {
             let (clients, rid) = (self.clone(), rid.to_owned());
-            elderstage_net::go(move || clients.cancel(&rid));
+            elderstage_net::spawn(move || clients.cancel(&rid));
         }
     }
 
@@ -528,7 +536,7 @@
     pub fn start_request(self: &Arc<Self>, planned: PlannedRequest) {
         self.active.fetch_add(1, Ordering::SeqCst);
         let clients = self.clone();
-        elderstage_net::go(move || {
+        elderstage_net::spawn(move || {
             clients.run_request(&planned);
             clients.active.fetch_sub(1, Ordering::SeqCst);
         });
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of stand-in engines and a tool server on loopback, and the configuration of a front that uses it.
+//! A fleet of mock engines and a tool server on loopback, and the configuration of a front that uses it.
 //!
 //! The fleet lives in this process. Fronts are started elsewhere, from the configuration and the server list that
 //! this module writes. All TCP ports are assigned by the operating system, so that fleets do not collide.
@@ -9,10 +9,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use elderstage_net::Place;
-use elderstage_protocol::place::Family;
-use elderstage_standin::host::{Control, DoorFault, Host, Options};
-use elderstage_standin::model::{Role, Spec};
+use elderstage_net::Endpoint;
+use elderstage_protocol::place::AddressFamily;
+use elderstage_standin::host::{AddressFault, Control, EngineHost, HostOptions};
+use elderstage_standin::model::{EngineSpec, Role};
 use elderstage_standin::tool::ToolServer;
 use elderstage_standin::traffic::Log;
 
@@ -21,8 +21,8 @@
 pub struct Kind {
     /// Its name in the configuration.
     pub name: String,
-    /// Capacity and speed of the stand-in.
-    pub spec: Spec,
+    /// Capacity and speed of the mock engine.
+    pub spec: EngineSpec,
 }
 
 /// One engine to start.
@@ -37,7 +37,7 @@
     /// Its cell within the zone.
     pub cell: u32,
     /// Kinds of its addresses, in the order of preference.
-    pub ways: Vec<Family>,
+    pub address_families: Vec<AddressFamily>,
 }
 
 /// The description of a fleet, from which it is started and its fronts are configured.
@@ -50,7 +50,7 @@
     /// Engines to start.
     pub engines: Vec<Engine>,
     /// Further directives of the configuration: classes, rules and routes. The tools' directives are added to them.
-    pub rest: String,
+    pub extra_directives: String,
     /// Tokens of state that move a second: inside a cell, between cells of a zone, and between zones.
     pub link_tokens_per_s: [f64; 3],
 }
@@ -60,11 +60,11 @@
     /// What it was started from.
     pub site: Site,
     /// The engines by name.
-    pub hosts: BTreeMap<String, Host>,
+    pub hosts: BTreeMap<String, EngineHost>,
     /// The tool server.
     pub tools: ToolServer,
     /// State of each server in the first server list.
-    pub listed: BTreeMap<String, &'static str>,
+    pub initial_states: BTreeMap<String, &'static str>,
     /// Directory of the Unix sockets.
     dir: PathBuf,
 }
@@ -83,16 +83,16 @@
 
 /// The places of an engine besides its IPv4 address. Every engine has that one, because other engines fetch states
 /// through it.
-fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Place>> {
-    let mut places = Vec::new();
-    for family in &engine.ways {
+fn additional_places(engine: &Engine, dir: &Path) -> std::io::Result<Vec<Endpoint>> {
+    let mut endpoints = Vec::new();
+    for family in &engine.address_families {
         match family {
-            Family::V4 => {}
-            Family::V6 => places.push(Place::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
-            Family::Unix => places.push(Place::Unix(dir.join(format!("{}.sock", engine.name)))),
+            AddressFamily::V4 => {}
+            AddressFamily::V6 => endpoints.push(Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, 0).into())),
+            AddressFamily::Unix => endpoints.push(Endpoint::Unix(dir.join(format!("{}.sock", engine.name)))),
         }
     }
-    Ok(places)
+    Ok(endpoints)
 }
 
 impl Fleet {
@@ -101,34 +101,39 @@
         let mut hosts = BTreeMap::new();
         let dir = create_socket_dir()?;
         for engine in &site.engines {
-            let options = Options {
+            let options = HostOptions {
                 name: engine.name.clone(),
                 spec: site.kinds[engine.kind].spec.clone(),
                 listen: ANY_PORT,
                 zone: engine.zone.clone(),
                 cell: engine.cell,
-                links: site.link_tokens_per_s,
-                also: additional_places(engine, &dir)?,
+                link_tokens_per_s: site.link_tokens_per_s,
+                additional_endpoints: additional_places(engine, &dir)?,
             };
-            hosts.insert(engine.name.clone(), Host::start(options, false, log.clone())?);
+            hosts.insert(engine.name.clone(), EngineHost::start(options, false, log.clone())?);
         }
         let tools = ToolServer::start("tools", ANY_PORT, true, log.clone())?;
         let listed = hosts.keys().map(|name| (name.clone(), "running")).collect();
-        Ok(Fleet { site, hosts, tools, listed, dir })
+        Ok(Fleet { site, hosts, tools, initial_states: listed, dir })
     }
 
-    /// Index of the engine's first place of this family, as [`Control::Door`] takes it.
-    pub fn place_index(&self, engine: &str, family: Family) -> Option<usize> {
-        self.hosts.get(engine)?.places().iter().position(|place| place.family() == family)
+    /// Index of the engine's first place of this family, as [`Control::AddressFault`] takes it.
+    pub fn endpoint_index(&self, engine: &str, family: AddressFamily) -> Option<usize> {
+        self.hosts.get(engine)?.listen_endpoints().iter().position(|endpoint| endpoint.family() == family)
     }
 
     /// Sets the fault of one kind of address, at one engine or at all engines that have it.
-    pub fn fault(&self, engine: Option<&str>, family: Family, fault: DoorFault) -> std::io::Result<()> {
+    pub fn set_address_fault(
+        &self,
+        engine: Option<&str>,
+        family: AddressFamily,
+        fault: AddressFault,
+    ) -> std::io::Result<()> {
         for (name, host) in &self.hosts {
             if engine.is_none_or(|engine| engine == name)
-                && let Some(index) = self.place_index(name, family)
+                && let Some(index) = self.endpoint_index(name, family)
             {
-                host.control(Control::Door(index, fault))?;
+                host.control(Control::AddressFault(index, fault))?;
             }
         }
         Ok(())
@@ -136,14 +141,15 @@
 
     /// The engine's addresses in the order of preference, as the server list has them.
     fn addresses(&self, engine: &Engine) -> String {
-        let places = self.hosts.get(&engine.name).map(Host::places).unwrap_or_default();
-        let address =
-            |family: &Family| places.iter().find(|place| place.family() == *family).map(ToString::to_string);
-        engine.ways.iter().filter_map(address).collect::<Vec<_>>().join(" ")
+        let endpoints = self.hosts.get(&engine.name).map(EngineHost::listen_endpoints).unwrap_or_default();
+        let address = |family: &AddressFamily| {
+            endpoints.iter().find(|endpoint| endpoint.family() == *family).map(ToString::to_string)
+        };
+        engine.address_families.iter().filter_map(address).collect::<Vec<_>>().join(" ")
     }
 
     /// The text of the server list with these states. A server without a state is listed as gone.
-    pub fn servers(&self, listed: &BTreeMap<String, &'static str>) -> String {
+    pub fn server_list_text(&self, listed: &BTreeMap<String, &'static str>) -> String {
         let mut text = String::new();
         for engine in &self.site.engines {
             let Some(host) = self.hosts.get(&engine.name) else { continue };
@@ -165,7 +171,7 @@
     }
 
     /// The text of a front's configuration. `front_section` holds the directives of its `front` section.
-    pub fn config(&self, front_section: &str, servers_file: &str) -> String {
+    pub fn front_config_text(&self, front_section: &str, servers_file: &str) -> String {
         let mut text = format!("zones {}\n", self.site.zones.join(" "));
         let _ = writeln!(text, "front {{\n{front_section}\n}}");
         for kind in &self.site.kinds {
@@ -187,13 +193,13 @@
                 self.tools.addr()
             );
         }
-        let _ = writeln!(text, "{}\nservers {servers_file}", self.site.rest);
+        let _ = writeln!(text, "{}\nservers {servers_file}", self.site.extra_directives);
         text
     }
 
     /// Stops all engines and the tool server.
     pub fn stop(&self) {
-        self.hosts.values().for_each(Host::stop);
+        self.hosts.values().for_each(EngineHost::stop);
         self.tools.kill();
         // The directory holds only the sockets of this run.
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -201,7 +207,7 @@
 }
 
 /// Directives of two classes and their routes: `ask`, which is safe to repeat, and `order`, which must not run twice.
-pub const CLASSES: &str = r#"
+pub const DEFAULT_CLASSES: &str = r#"
 class ask {
     repeat safe
     first-token 1200ms
@@ -233,24 +239,35 @@
 "#;
 
 /// The site of `elderstage demo`: one zone with two readers, two writers and a mixed engine.
-pub fn demo() -> Site {
+pub fn demo_site() -> Site {
     let kind = |name: &str, spec| Kind { name: name.into(), spec };
     let engine = |name: &str, kind| Engine {
         name: name.into(),
         kind,
         zone: "a".into(),
         cell: 0,
-        ways: vec![Family::V4],
+        address_families: vec![AddressFamily::V4],
     };
     Site {
         zones: vec!["a".into()],
         kinds: vec![
-            kind("reader", Spec { role: Role::Prefill, slots: 8, ..Spec::default() }),
-            kind("writer", Spec { role: Role::Decode, read_per_s: 7_000.0, slots: 96, ..Spec::default() }),
-            kind("mixed", Spec { role: Role::Mixed, read_per_s: 10_000.0, ..Spec::default() }),
+            kind("reader", EngineSpec { role: Role::Prefill, max_running: 8, ..EngineSpec::default() }),
+            kind(
+                "writer",
+                EngineSpec {
+                    role: Role::Decode,
+                    read_tokens_per_s: 7_000.0,
+                    max_running: 96,
+                    ..EngineSpec::default()
+                },
+            ),
+            kind(
+                "mixed",
+                EngineSpec { role: Role::Mixed, read_tokens_per_s: 10_000.0, ..EngineSpec::default() },
+            ),
         ],
         engines: vec![engine("r1", 0), engine("r2", 0), engine("w1", 1), engine("w2", 1), engine("m1", 2)],
-        rest: CLASSES.into(),
+        extra_directives: DEFAULT_CLASSES.into(),
         link_tokens_per_s: [300_000.0, 150_000.0, 60_000.0],
     }
 }
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measures a front against a baseline in the same run, with stand-in engines on loopback.
+//! Measures a front against a baseline in the same run, with mock engines on loopback.
 //!
 //! Baseline and front take turns, by request or by round, because the load of a shared machine varies over time.
 //! Figures of rounds are medians. The functions return JSON for `elderstage measure`; nothing is judged here.
@@ -11,21 +11,22 @@
 use std::time::{Duration, Instant};
 
 use elderstage::{
-    Action, Arrival, Entry, Event, ListMode, Listed, Outcome, ReqId, Router, ServerId, example_settings,
+    Action, Arrival, Event, ListMode, Outcome, RequestId, Router, ServerEntry, ServerId, ServerStatus,
+    example_settings,
 };
-use elderstage_net::{Conn, Endpoint, Listener, NetError, go, open, receive, send};
-use elderstage_protocol::engine::{self, Ask, Message, Stage};
-use elderstage_protocol::http::{self, Body};
+use elderstage_net::{Conn, EndpointPath, Listener, NetError, connect, receive, send, spawn};
+use elderstage_protocol::engine::{self, CompletionRequest, Message, Stage};
+use elderstage_protocol::http::{self, BodyDecoder};
 use elderstage_protocol::jsonrpc::{self, Id};
-use elderstage_protocol::place::Family;
+use elderstage_protocol::place::AddressFamily;
 use elderstage_protocol::{mcp, sse};
-use elderstage_standin::model::{Role, Spec};
+use elderstage_standin::model::{EngineSpec, Role};
 use elderstage_standin::traffic::Log;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
 use crate::clients::lock;
-use crate::fleet::{ANY_PORT, CLASSES, Engine, Fleet, Kind, Site};
+use crate::fleet::{ANY_PORT, DEFAULT_CLASSES, Engine, Fleet, Kind, Site};
 
 /// Longest wait for a connection, an answer or the end of all clients.
 const TIMEOUT: Duration = Duration::from_secs(60);
@@ -81,30 +82,33 @@
 /// Starts a front that uses a fleet.
 fn start_front(program: &Path, fleet: &Fleet) -> std::io::Result<ChildProcess> {
     let dir = create_temp_dir()?;
-    std::fs::write(dir.join("servers.conf"), fleet.servers(&fleet.listed))?;
+    std::fs::write(dir.join("servers.conf"), fleet.server_list_text(&fleet.initial_states))?;
     let config = dir.join("front.conf");
-    std::fs::write(&config, fleet.config("listen 127.0.0.1:0\nzone a\nstall 60s", "servers.conf"))?;
+    std::fs::write(
+        &config,
+        fleet.front_config_text("listen 127.0.0.1:0\nzone a\nstall 60s", "servers.conf"),
+    )?;
     let path = config.display().to_string();
     spawn_process(program, &["serve", "--log-level", "warn", "--config", &path], dir)
 }
 
 /// A site in one zone with these kinds of engines, and this many engines of each.
-fn build_site(kinds: Vec<(Role, usize, Spec)>, extra_directives: String) -> Site {
+fn build_site(kinds: Vec<(Role, usize, EngineSpec)>, extra_directives: String) -> Site {
     let mut site = Site {
         zones: vec!["a".into()],
         kinds: Vec::new(),
         engines: Vec::new(),
-        rest: extra_directives,
+        extra_directives: extra_directives,
         link_tokens_per_s: [50_000_000.0; 3],
     };
     for (kind, (role, count, spec)) in kinds.into_iter().enumerate() {
-        site.kinds.push(Kind { name: format!("k{kind}"), spec: Spec { role, ..spec } });
+        site.kinds.push(Kind { name: format!("k{kind}"), spec: EngineSpec { role, ..spec } });
         let engine = |n| Engine {
             name: format!("k{kind}-{n}"),
             kind,
             zone: "a".into(),
             cell: 0,
-            ways: vec![Family::V4],
+            address_families: vec![AddressFamily::V4],
         };
         site.engines.extend((0..count).map(engine));
     }
@@ -128,10 +132,10 @@
 
 /// Reads a stream to its end and passes the events of each read to `on_events`.
 fn read_events(conn: &mut Conn, mut on_events: impl FnMut(&[sse::Event])) -> Result<(), NetError> {
-    let head = conn.response()?;
-    let (mut body, mut parser) = (Body::new(head.framing), sse::Parser::default());
+    let head = conn.receive_response()?;
+    let (mut body, mut parser) = (BodyDecoder::new(head.framing), sse::EventParser::default());
     let (mut bytes, mut events) = (Vec::new(), Vec::new());
-    while conn.body_piece(&mut body, &mut bytes)? {
+    while conn.receive_body_piece(&mut body, &mut bytes)? {
         if parser.push(&bytes, &mut events).is_err() {
             return Err(NetError::Closed);
         }
@@ -152,21 +156,21 @@
     conns: &mut (Conn, Conn),
 ) -> Result<Duration, NetError> {
     let started = Instant::now();
-    let ask = |stage| Ask {
+    let ask = |stage| CompletionRequest {
         model: "ask".into(),
         messages: vec![Message::text("user", prompt)],
         tools: Vec::new(),
         max_tokens: 512,
         stage,
     };
-    let path = engine::COMPLETIONS.to_owned();
+    let path = engine::COMPLETIONS_PATH.to_owned();
     let json = [("content-type", "application/json"), ("x-request-id", "direct/1/0")];
-    let to = Endpoint::new(reader, path.clone());
-    send(&mut conns.0, "POST", &to, &json, &engine::body(&ask(Stage::Read)))?;
+    let to = EndpointPath::new(reader, path.clone());
+    send(&mut conns.0, "POST", &to, &json, &engine::write_request_body(&ask(Stage::Read)))?;
     let answer = receive(&mut conns.0)?;
-    let Some((_, state)) = engine::read_answer(&answer.body) else { return Err(NetError::Closed) };
-    let to = Endpoint::new(writer, path);
-    send(&mut conns.1, "POST", &to, &json, &engine::body(&ask(Stage::Write(state))))?;
+    let Some((_, state)) = engine::parse_reader_response(&answer.body) else { return Err(NetError::Closed) };
+    let to = EndpointPath::new(writer, path);
+    send(&mut conns.1, "POST", &to, &json, &engine::write_request_body(&ask(Stage::Write(state))))?;
     let mut first = None;
     read_events(&mut conns.1, |_| {
         first.get_or_insert_with(|| started.elapsed());
@@ -177,7 +181,7 @@
 /// Time to first token of a request that goes through the front.
 fn time_front_request(front: SocketAddr, prompt: &str, conn: &mut Conn) -> Result<Duration, NetError> {
     let started = Instant::now();
-    let to = Endpoint::new(front, "/mcp");
+    let to = EndpointPath::new(front, "/mcp");
     send(conn, "POST", &to, &HEADERS, &call_body(prompt))?;
     let mut first = None;
     read_events(conn, |_| {
@@ -192,12 +196,17 @@
 /// Time to first token at `rate` requests a second, half of them sent directly and half through the front.
 pub fn first_token(program: &Path, rate: f64, seconds: u64) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let fast =
-        Spec { read_per_s: 4e6, step: 1_000, step_per_answer: 2, kv_tokens: 4_000_000, ..Spec::default() };
-    let reader = Spec { slots: 64, queue: 512, ..fast.clone() };
-    let writer = Spec { slots: 512, queue: 512, ..fast };
+    let fast = EngineSpec {
+        read_tokens_per_s: 4e6,
+        step_time_us: 1_000,
+        step_time_per_answer_us: 2,
+        kv_tokens: 4_000_000,
+        ..EngineSpec::default()
+    };
+    let reader = EngineSpec { max_running: 64, max_waiting: 512, ..fast.clone() };
+    let writer = EngineSpec { max_running: 512, max_waiting: 512, ..fast };
     let fleet = Fleet::start(
-        build_site(vec![(Role::Prefill, 4, reader), (Role::Decode, 4, writer)], CLASSES.into()),
+        build_site(vec![(Role::Prefill, 4, reader), (Role::Decode, 4, writer)], DEFAULT_CLASSES.into()),
         &Log::none(),
     )?;
     let front = start_front(program, &fleet)?;
@@ -218,7 +227,7 @@
             (results.clone(), active.clone(), direct_conns.clone(), front_conns.clone());
         let (readers, writers, front) = (readers.clone(), writers.clone(), front.addr);
         active.fetch_add(1, Ordering::SeqCst);
-        go(move || {
+        spawn(move || {
             let prompt = format!("{} of {number} [words 8]", "a prompt of some length ".repeat(20));
             let elapsed = if number % 2 == 0 {
                 let index = (number / 2) as usize % readers.len();
@@ -228,9 +237,8 @@
                 };
                 let conns = match idle {
                     Some(conns) => Ok(conns),
-                    None => {
-                        open(readers[index], TIMEOUT).and_then(|r| Ok((r, open(writers[index], TIMEOUT)?)))
-                    }
+                    None => connect(readers[index], TIMEOUT)
+                        .and_then(|r| Ok((r, connect(writers[index], TIMEOUT)?))),
                 };
                 conns.and_then(|mut conns| {
                     let took = time_direct_request(readers[index], writers[index], &prompt, &mut conns)?;
@@ -241,7 +249,7 @@
                 let idle = lock(&front_conns).pop();
                 let conn = match idle {
                     Some(conn) => Ok(conn),
-                    None => open(front, TIMEOUT),
+                    None => connect(front, TIMEOUT),
                 };
                 conn.and_then(|mut conn| {
                     let took = time_front_request(front, &prompt, &mut conn)?;
@@ -293,27 +301,27 @@
     let mut chunk = Vec::new();
     for index in 0..64 {
         chunk.clear();
-        sse::write(
+        sse::write_event(
             None,
-            &engine::text_chunk("ask", if index % 2 == 0 { "clay " } else { "glaze " }),
+            &engine::write_text_event("ask", if index % 2 == 0 { "clay " } else { "glaze " }),
             &mut chunk,
         );
         http::write_chunk(&chunk, &mut events);
     }
     let mut last = Vec::new();
     let usage = engine::Usage { prompt: 9, completion: tokens, cached: 0 };
-    sse::write(None, &engine::end_chunk("ask", engine::Finish::Stop, usage), &mut last);
-    sse::write(None, engine::DONE, &mut last);
+    sse::write_event(None, &engine::write_end_event("ask", engine::FinishReason::Stop, usage), &mut last);
+    sse::write_event(None, engine::STREAM_END_DATA, &mut last);
     let mut end = Vec::new();
     http::write_chunk(&last, &mut end);
     end.extend_from_slice(http::LAST_CHUNK);
     let (events, end) = (Arc::new(events), Arc::new(end));
-    go(move || {
+    spawn(move || {
         let on_connection = move |mut conn: Conn| {
             let (events, end) = (events.clone(), end.clone());
-            go(move || {
-                while let Ok(head) = conn.request() {
-                    if conn.body(head.framing).is_err() {
+            spawn(move || {
+                while let Ok(head) = conn.receive_request() {
+                    if conn.receive_body(head.framing).is_err() {
                         return;
                     }
                     let mut out = Vec::new();
@@ -350,12 +358,15 @@
     let part = addr_file.with_extension("part");
     std::fs::write(&part, listener.addr().to_string())?;
     std::fs::rename(&part, addr_file)?;
-    go(move || {
+    spawn(move || {
         let on_connection = move |conn: Conn| {
-            go(move || {
-                let (Ok(upstream), Ok(to_client)) = (open(target, TIMEOUT), conn.writer()) else { return };
-                let Ok(to_upstream) = upstream.writer() else { return };
-                go(move || copy_bytes(conn, to_upstream));
+            spawn(move || {
+                let (Ok(upstream), Ok(to_client)) = (connect(target, TIMEOUT), conn.try_clone_for_writing())
+                else {
+                    return;
+                };
+                let Ok(to_upstream) = upstream.try_clone_for_writing() else { return };
+                spawn(move || copy_bytes(conn, to_upstream));
                 copy_bytes(upstream, to_client);
             });
         };
@@ -375,7 +386,7 @@
             break;
         }
     }
-    to.socket().shut();
+    to.socket().shutdown();
 }
 
 /// Number of bytes at the end of a stream that are checked for its success.
@@ -388,32 +399,33 @@
     let started = Instant::now();
     for _ in 0..streams {
         let (active, received) = (active.clone(), received.clone());
-        go(move || {
-            let done = open(addr, TIMEOUT).and_then(|mut conn| {
+        spawn(move || {
+            let done = connect(addr, TIMEOUT).and_then(|mut conn| {
                 conn.set_read_timeout(Some(TIMEOUT));
                 if through_front {
-                    let to = Endpoint::new(addr, "/mcp");
+                    let to = EndpointPath::new(addr, "/mcp");
                     send(&mut conn, "POST", &to, &HEADERS, &call_body("all of it"))?;
                 } else {
-                    let ask = Ask {
+                    let ask = CompletionRequest {
                         model: "ask".into(),
                         messages: vec![Message::text("user", "all of it")],
                         tools: Vec::new(),
                         max_tokens: 1 << 20,
                         stage: Stage::Whole,
                     };
-                    let to = Endpoint::new(addr, engine::COMPLETIONS);
-                    send(&mut conn, "POST", &to, &HEADERS[..1], &engine::body(&ask))?;
+                    let to = EndpointPath::new(addr, engine::COMPLETIONS_PATH);
+                    send(&mut conn, "POST", &to, &HEADERS[..1], &engine::write_request_body(&ask))?;
                 }
                 // In both cases the bytes are read and discarded; the last chunk marks the end.
-                let head = conn.response()?;
-                let (mut body, mut bytes) = (Body::new(head.framing), Vec::new());
+                let head = conn.receive_response()?;
+                let (mut body, mut bytes) = (BodyDecoder::new(head.framing), Vec::new());
                 // Enough of the end is kept to tell whether the stream was served.
-                while conn.body_piece(&mut body, &mut bytes)? {
+                while conn.receive_body_piece(&mut body, &mut bytes)? {
                     bytes.drain(..bytes.len().saturating_sub(TAIL_BYTES));
                 }
                 let tail = String::from_utf8_lossy(&bytes);
-                let is_served = tail.contains(if through_front { "\"isError\":false" } else { engine::DONE });
+                let is_served =
+                    tail.contains(if through_front { "\"isError\":false" } else { engine::STREAM_END_DATA });
                 if is_served { Ok(()) } else { Err(NetError::Closed) }
             });
             if done.is_ok() {
@@ -433,15 +445,17 @@
     let relay_dir = create_temp_dir()?;
     let target = source.to_string();
     let relay = spawn_process(program, &["measure", "relay-process", "--target", &target], relay_dir)?;
-    let fleet =
-        Fleet::start(build_site(vec![(Role::Mixed, 1, Spec::default())], CLASSES.into()), &Log::none())?;
+    let fleet = Fleet::start(
+        build_site(vec![(Role::Mixed, 1, EngineSpec::default())], DEFAULT_CLASSES.into()),
+        &Log::none(),
+    )?;
     let dir = create_temp_dir()?;
     // The list has the source as one engine for each stream, so that no stream waits for a slot.
     let entry = |n| format!("server k0-{n} {{\n address {source}\n kind k0\n zone a\n}}\n");
     std::fs::write(dir.join("servers.conf"), (0..streams).map(entry).collect::<String>())?;
     let config = dir.join("front.conf");
     let section = "listen 127.0.0.1:0\nzone a\nstall 60s\nanswer 64M";
-    std::fs::write(&config, fleet.config(section, "servers.conf"))?;
+    std::fs::write(&config, fleet.front_config_text(section, "servers.conf"))?;
     let path = config.display().to_string();
     let front = spawn_process(program, &["serve", "--log-level", "warn", "--config", &path], dir)?;
     let io_error = |error: NetError| std::io::Error::other(error.to_string());
@@ -484,20 +498,20 @@
 /// Opens `streams` streams on one front and measures the memory of each, and how many were served.
 pub fn open_streams(program: &Path, streams: usize) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let spec = Spec {
-        slots: streams,
-        queue: streams,
+    let spec = EngineSpec {
+        max_running: streams,
+        max_waiting: streams,
         kv_tokens: 100_000_000,
-        read_per_s: 2e7,
-        step: 400_000,
-        step_per_answer: 1,
-        ..Spec::default()
+        read_tokens_per_s: 2e7,
+        step_time_us: 400_000,
+        step_time_per_answer_us: 1,
+        ..EngineSpec::default()
     };
-    let reader = Spec { step: 1_000, ..spec.clone() };
+    let reader = EngineSpec { step_time_us: 1_000, ..spec.clone() };
     let kinds = vec![(Role::Prefill, 6, reader), (Role::Decode, 8, spec)];
     // Only memory is measured. The limits on the first token are long, so that nothing is refused.
     let long_classes =
-        CLASSES.replace("first-token 1200ms", "first-token 10s").replace("give-up 6s", "give-up 20s");
+        DEFAULT_CLASSES.replace("first-token 1200ms", "first-token 10s").replace("give-up 6s", "give-up 20s");
     let fleet =
         Fleet::start(build_site(kinds, long_classes.replace("total 30s", "total 60s")), &Log::none())?;
     let front = start_front(program, &fleet)?;
@@ -509,10 +523,10 @@
         let (active, open_streams, served, max_open) =
             (active.clone(), open_streams.clone(), served.clone(), max_open.clone());
         let addr = front.addr;
-        go(move || {
-            let done = open(addr, TIMEOUT).and_then(|mut conn| {
+        spawn(move || {
+            let done = connect(addr, TIMEOUT).and_then(|mut conn| {
                 conn.set_read_timeout(Some(TIMEOUT));
-                let to = Endpoint::new(addr, "/mcp");
+                let to = EndpointPath::new(addr, "/mcp");
                 send(&mut conn, "POST", &to, &HEADERS, &call_body(&format!("stream {number} [words 50]")))?;
                 let (mut is_first, mut is_served) = (true, false);
                 read_events(&mut conn, |events| {
@@ -522,7 +536,7 @@
                     for event in events {
                         let message = jsonrpc::parse(event.data.as_bytes());
                         if let Ok(jsonrpc::Message::Response { result: Ok(result), .. }) = message {
-                            is_served = mcp::tool_text(&result).is_some();
+                            is_served = mcp::parse_tool_result(&result).is_some();
                         }
                     }
                 })?;
@@ -556,7 +570,7 @@
 
 /// The front's own counters of ended requests and attempts that are not 0.
 fn request_end_counters(addr: SocketAddr) -> Value {
-    let to = Endpoint::new(addr, "/metrics");
+    let to = EndpointPath::new(addr, "/metrics");
     let answer = elderstage_net::exchange("GET", &to, &[], b"", Duration::from_secs(5));
     let text = answer.map(|answer| String::from_utf8_lossy(&answer.body).into_owned()).unwrap_or_default();
     let lines = text.lines().filter_map(|line| line.split_once(' '));
@@ -570,27 +584,27 @@
 /// and served.
 pub fn decisions(servers: usize, requests: u32) -> Value {
     let mut router = Router::new(example_settings(), 7);
-    let entries = (0..servers).map(|n| Entry {
+    let entries = (0..servers).map(|n| ServerEntry {
         server: ServerId(format!("s{n}").as_str().into()),
-        listed: Listed::Running,
+        listed: ServerStatus::Running,
         kind: n % 2,
         weight: 1.0,
-        ..Entry::default()
+        ..ServerEntry::default()
     });
     let (mut now, mut actions, mut sends) = (1_000_000_000, Vec::new(), 0u64);
     router.handle(now, Event::Servers { mode: ListMode::Full, entries: entries.collect() }, &mut actions);
     let started = Instant::now();
     // Attempts in flight. Up to 64 stay in flight, as if each took a little time.
-    let mut in_flight: std::collections::VecDeque<(ReqId, u32, ServerId)> = Default::default();
+    let mut in_flight: std::collections::VecDeque<(RequestId, u32, ServerId)> = Default::default();
     let mut events = 0u64;
     for number in 1..=requests {
         now += 200;
         actions.clear();
         let arrival = Arrival {
-            id: ReqId(number),
+            id: RequestId(number),
             time_left: 6_000_000,
-            prompt: 800.0,
-            max_out: 200.0,
+            prompt_tokens: 800.0,
+            max_output_tokens: 200.0,
             ..Arrival::default()
         };
         router.handle(now, Event::Arrived(arrival), &mut actions);
@@ -621,15 +635,15 @@
 }
 
 /// The event that an attempt has ended.
-fn attempt_ended(id: ReqId, attempt: u32, server: ServerId, outcome: Outcome, settled: bool) -> Event {
-    Event::Ended { id, attempt, server, outcome, took: 10_000, settled, note: 0, load: None }
+fn attempt_ended(id: RequestId, attempt: u32, server: ServerId, outcome: Outcome, settled: bool) -> Event {
+    Event::Ended { id, attempt, server, outcome, took: 10_000, is_settled: settled, note: 0, load: None }
 }
 
 /// Adds the attempts that the router sent to those in flight.
 fn collect_sends(
     actions: &[Action],
     attempt: u32,
-    in_flight: &mut std::collections::VecDeque<(ReqId, u32, ServerId)>,
+    in_flight: &mut std::collections::VecDeque<(RequestId, u32, ServerId)>,
     sends: &mut u64,
 ) {
     for action in actions {
@@ -646,17 +660,22 @@
 /// of address. Both connections take turns in each round; figures are medians.
 pub fn connects(rounds: u32) -> std::io::Result<Value> {
     elderstage_net::init(2);
-    let mut site = build_site(vec![(Role::Mixed, 1, Spec::default())], CLASSES.into());
-    site.engines[0].ways = vec![Family::Unix, Family::V6, Family::V4];
+    let mut site = build_site(vec![(Role::Mixed, 1, EngineSpec::default())], DEFAULT_CLASSES.into());
+    site.engines[0].address_families = vec![AddressFamily::Unix, AddressFamily::V6, AddressFamily::V4];
     let fleet = Fleet::start(site, &Log::none())?;
-    let places = fleet.hosts.values().next().map(elderstage_standin::host::Host::places).unwrap_or_default();
+    let endpoints = fleet
+        .hosts
+        .values()
+        .next()
+        .map(elderstage_standin::host::EngineHost::listen_endpoints)
+        .unwrap_or_default();
     let mut kinds = serde_json::Map::new();
-    for place in places {
-        let (name, rounds) = (place.family().to_string(), (rounds / 20).max(20));
+    for endpoint in endpoints {
+        let (name, rounds) = (endpoint.family().to_string(), (rounds / 20).max(20));
         let (sender, receiver) = std::sync::mpsc::channel();
-        go(move || {
+        spawn(move || {
             // The receiver may have given up.
-            let _ = sender.send(time_exchanges(&place, rounds));
+            let _ = sender.send(time_exchanges(&endpoint, rounds));
         });
         let (pooled, new) =
             receiver.recv_timeout(TIMEOUT).map_err(std::io::Error::other)?.map_err(std::io::Error::other)?;
@@ -670,10 +689,10 @@
 }
 
 /// Median time in microseconds of an exchange on a pooled connection, and on a new one.
-fn time_exchanges(place: &elderstage_net::Place, rounds: u32) -> Result<(f64, f64), String> {
+fn time_exchanges(endpoint: &elderstage_net::Endpoint, rounds: u32) -> Result<(f64, f64), String> {
     let message = |error: NetError| error.to_string();
-    let to = Endpoint::new(place.clone(), engine::HEALTH);
-    let mut pooled = open(place.clone(), TIMEOUT).map_err(message)?;
+    let to = EndpointPath::new(endpoint.clone(), engine::HEALTH_PATH);
+    let mut pooled = connect(endpoint.clone(), TIMEOUT).map_err(message)?;
     let (mut pooled_us, mut new_us) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
         let started = Instant::now();
@@ -681,7 +700,7 @@
         receive(&mut pooled).map_err(message)?;
         pooled_us.push(started.elapsed().as_nanos() as f64 / 1e3);
         let started = Instant::now();
-        let mut conn = open(place.clone(), TIMEOUT).map_err(message)?;
+        let mut conn = connect(endpoint.clone(), TIMEOUT).map_err(message)?;
         send(&mut conn, "GET", &to, &[], b"").map_err(message)?;
         receive(&mut conn).map_err(message)?;
         new_us.push(started.elapsed().as_nanos() as f64 / 1e3);
@@ -692,36 +711,43 @@
 /// Nanoseconds that the core takes for an attempt that finds an idle connection, with 60 servers of three addresses
 /// each.
 fn address_choice_ns(rounds: u32) -> f64 {
-    use elderstage_core::addresses::{Addresses, Ask, Bounds, Life, Proof, Step};
-    let mut addresses = Addresses::<()>::new(Bounds::default(), 0.0);
+    use elderstage_core::addresses::{
+        Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, RaceStep,
+    };
+    let mut addresses = Addresses::<()>::new(ConnectionLimits::default(), 0.0);
     let names: Vec<ServerId> = (0..60).map(|n| ServerId(format!("s{n}").into())).collect();
-    let places = |n: usize| {
+    let endpoints = |n: usize| {
         ["unix:/run/s", "[::1]:", "127.0.0.1:"]
             .iter()
-            .filter_map(|start| format!("{start}{}", 1000 + n).parse::<elderstage_net::Place>().ok())
+            .filter_map(|start| format!("{start}{}", 1000 + n).parse::<elderstage_net::Endpoint>().ok())
             .collect::<Vec<_>>()
     };
-    addresses.list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), places(n), false)));
+    addresses.apply_list(0, names.iter().enumerate().map(|(n, name)| (name.clone(), endpoints(n), false)));
     for n in 0..60 {
-        for place in places(n) {
-            addresses.heard(1, &place);
-            addresses.free(1, &place, (), Life::new(1));
+        for endpoint in endpoints(n) {
+            addresses.record_other_answer(1, &endpoint);
+            addresses.return_connection(1, &endpoint, (), ConnectionAge::new(1));
         }
     }
-    let ask = Ask { once: false, proof: Proof::Continue, connect: 250_000, time: 1_000_000 };
+    let ask = ConnectionNeeds {
+        must_not_repeat: false,
+        proof: Proof::Continue,
+        connect_limit: 250_000,
+        attempt_limit: 1_000_000,
+    };
     let mut times_ns = Vec::new();
     for batch in 0..20 {
         let started = Instant::now();
         let batch_rounds = (rounds / 20).max(1);
         for round in 0..batch_rounds {
             let server = &names[((batch * batch_rounds + round) % 60) as usize];
-            let mut race = addresses.begin(2, server, ask);
-            let Step::Reuse(lane, (conn, life)) = addresses.poll(2, &mut race) else { continue };
+            let mut race = addresses.start_race(2, server, ask);
+            let RaceStep::Reuse(lane, (conn, life)) = addresses.poll(2, &mut race) else { continue };
             let _ = addresses.poll(2, &mut race);
-            let place = race.place(lane).clone();
-            let number = addresses.sent(2, server, &place, true);
-            addresses.answered(2, number);
-            addresses.free(2, &place, conn, life);
+            let endpoint = race.endpoint(lane).clone();
+            let number = addresses.record_sent(2, server, &endpoint, true);
+            addresses.record_first_byte(2, number);
+            addresses.return_connection(2, &endpoint, conn, life);
         }
         times_ns.push(started.elapsed().as_nanos() as f64 / f64::from(batch_rounds));
     }
--- a/crates/rehearsal/src/paths.rs
+++ b/crates/rehearsal/src/paths.rs
@@ -8,8 +8,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use elderstage::{ServerId, Time};
-use elderstage_core::addresses::{Addresses, Ask, Bounds, Life, Proof, Race, Step, Trial};
-use elderstage_protocol::place::{Family, Place};
+use elderstage_core::addresses::{
+    Addresses, ConnectionAge, ConnectionLimits, ConnectionNeeds, Proof, Race, RaceStep, Trial,
+};
+use elderstage_protocol::place::{AddressFamily, Endpoint};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -86,13 +88,13 @@
     /// Number of servers.
     pub servers: usize,
     /// Families of each server's addresses, in the order of preference.
-    pub families: Vec<Family>,
+    pub families: Vec<AddressFamily>,
     /// Requests a second of each front; arrivals are Poisson.
     pub requests_per_s: f64,
     /// How fronts find a working address.
     pub policy: Policy,
     /// The family of the faulty addresses, or all families, and how these addresses behave during the fault.
-    pub fault: (Option<Family>, AddressBehavior),
+    pub fault: (Option<AddressFamily>, AddressBehavior),
     /// Number of servers that have the fault: the first ones.
     pub faulty_servers: usize,
     /// How long the fault is on, and then off, in turn. 0 for a fault that is always on.
@@ -173,7 +175,7 @@
     /// Names of the servers.
     names: Vec<ServerId>,
     /// Places of each server.
-    places: Vec<Vec<Place>>,
+    endpoints: Vec<Vec<Endpoint>>,
     /// Number of dials in each second.
     dials: BTreeMap<Time, u64>,
     summary: SimulationSummary,
@@ -185,12 +187,12 @@
         .unwrap_or_else(|_| Histogram::new(3).expect("three significant digits are valid"))
 }
 
-fn make_place(server: usize, index: usize, family: Family) -> Place {
+fn make_place(server: usize, index: usize, family: AddressFamily) -> Endpoint {
     let port = 1000 + (server * 8 + index) as u16;
     match family {
-        Family::Unix => Place::Unix(format!("/{server}-{index}").into()),
-        Family::V6 => Place::Tcp((std::net::Ipv6Addr::LOCALHOST, port).into()),
-        Family::V4 => Place::Tcp((std::net::Ipv4Addr::LOCALHOST, port).into()),
+        AddressFamily::Unix => Endpoint::Unix(format!("/{server}-{index}").into()),
+        AddressFamily::V6 => Endpoint::Tcp((std::net::Ipv6Addr::LOCALHOST, port).into()),
+        AddressFamily::V4 => Endpoint::Tcp((std::net::Ipv4Addr::LOCALHOST, port).into()),
     }
 }
 
@@ -199,13 +201,13 @@
     let names: Vec<ServerId> = (0..scenario.servers).map(|n| ServerId(format!("s{n}").into())).collect();
     let server_places =
         |server| scenario.families.iter().enumerate().map(move |(i, family)| make_place(server, i, *family));
-    let places: Vec<Vec<Place>> =
+    let endpoints: Vec<Vec<Endpoint>> =
         (0..scenario.servers).map(|server| server_places(server).collect()).collect();
     let mut seed_rng = ChaCha8Rng::seed_from_u64(scenario.seed);
-    let list = || names.iter().cloned().zip(places.iter().cloned()).map(|(n, p)| (n, p, false));
+    let list = || names.iter().cloned().zip(endpoints.iter().cloned()).map(|(n, p)| (n, p, false));
     let fronts = (0..scenario.fronts).map(|_| {
-        let mut addresses = Addresses::new(Bounds::default(), seed_rng.random());
-        addresses.list(0, list());
+        let mut addresses = Addresses::new(ConnectionLimits::default(), seed_rng.random());
+        addresses.apply_list(0, list());
         Front {
             addresses,
             requests: Vec::new(),
@@ -233,7 +235,7 @@
         now: 0,
         dials: BTreeMap::new(),
         names,
-        places,
+        endpoints,
         summary,
         scenario,
     };
@@ -248,10 +250,12 @@
     }
 
     /// How an address behaves now.
-    fn behavior(&self, place: &Place) -> AddressBehavior {
+    fn behavior(&self, endpoint: &Endpoint) -> AddressBehavior {
         let (family, behavior) = self.scenario.fault;
-        let has_fault = family.is_none_or(|family| place.family() == family)
-            && self.places[..self.scenario.faulty_servers].iter().any(|places| places.contains(place));
+        let has_fault = family.is_none_or(|family| endpoint.family() == family)
+            && self.endpoints[..self.scenario.faulty_servers]
+                .iter()
+                .any(|endpoints| endpoints.contains(endpoint));
         let is_in_fault =
             has_fault && (self.scenario.fault_start..self.scenario.fault_end).contains(&self.now);
         let is_on = self.scenario.flap_interval == 0
@@ -305,15 +309,16 @@
                 self.start_request(front);
             }
             EventKind::DialEnded { race, lane, since, ok } => {
-                let place = self.fronts[front].requests[race].race.place(lane).clone();
+                let endpoint = self.fronts[front].requests[race].race.endpoint(lane).clone();
                 let state = &mut self.fronts[front];
-                state.addresses.dialed(self.now, &place, since, ok);
+                state.addresses.record_dial(self.now, &endpoint, since, ok);
                 let request = &mut state.requests[race];
-                let is_wanted = if ok { request.race.connected(lane) } else { request.race.failed(lane) };
+                let is_wanted =
+                    if ok { request.race.record_connected(lane) } else { request.race.record_failure(lane) };
                 if !ok {
-                    state.addresses.closed(&place);
+                    state.addresses.record_closed(&endpoint);
                 } else if !is_wanted {
-                    state.addresses.free(self.now, &place, (), Life::new(self.now));
+                    state.addresses.return_connection(self.now, &endpoint, (), ConnectionAge::new(self.now));
                 }
                 self.advance_race(front, race);
             }
@@ -324,27 +329,32 @@
                     return;
                 }
                 if ok {
-                    state.addresses.proven(self.now, &mut request.race, lane);
+                    state.addresses.record_proof(self.now, &mut request.race, lane);
                 } else {
-                    let place = request.race.place(lane).clone();
-                    state.addresses.not_proven(self.now, &mut request.race, lane);
-                    state.addresses.closed(&place);
+                    let endpoint = request.race.endpoint(lane).clone();
+                    state.addresses.record_proof_failure(self.now, &mut request.race, lane);
+                    state.addresses.record_closed(&endpoint);
                 }
                 self.advance_race(front, race);
             }
             EventKind::WaitEnded { race } => self.advance_race(front, race),
             EventKind::ConnectionFreed { server, address, opened } => {
-                let place = self.places[server][address].clone();
+                let endpoint = self.endpoints[server][address].clone();
                 let state = &mut self.fronts[front];
-                state.addresses.heard(self.now, &place);
-                state.addresses.free(self.now, &place, (), Life { born: opened, uses: 1 });
+                state.addresses.record_other_answer(self.now, &endpoint);
+                state.addresses.return_connection(
+                    self.now,
+                    &endpoint,
+                    (),
+                    ConnectionAge { opened_at: opened, uses: 1 },
+                );
                 self.close_returned(front);
             }
             EventKind::TrialEnded { trial, since, ok } => {
                 let state = &mut self.fronts[front];
                 let trial = state.trials[trial].clone();
-                state.addresses.tried(self.now, &trial, since, ok);
-                state.addresses.closed(&trial.place);
+                state.addresses.record_trial(self.now, &trial, since, ok);
+                state.addresses.record_closed(&trial.endpoint);
             }
             EventKind::Maintain => self.maintain(front),
         }
@@ -353,11 +363,12 @@
     /// Closes the connections that the pool gave back. Which ones they were matters only for the count of open ones.
     fn close_returned(&mut self, front: usize) {
         let state = &mut self.fronts[front];
-        for () in state.addresses.closing() {
+        for () in state.addresses.take_closing() {
             // The count is by address. Any open address will do, since the limits are over all servers.
-            if let Some(place) = self.places.iter().flatten().find(|place| state.addresses.open_at(place) > 0)
+            if let Some(endpoint) =
+                self.endpoints.iter().flatten().find(|endpoint| state.addresses.open_to(endpoint) > 0)
             {
-                state.addresses.closed(place);
+                state.addresses.record_closed(endpoint);
             }
         }
     }
@@ -371,16 +382,22 @@
         match self.scenario.policy {
             Policy::Sequential => return self.connect_sequentially(server),
             Policy::Race => {
-                let mut addresses = Addresses::new(Bounds::default(), 0.0);
-                addresses.list(0, [(self.names[server].clone(), self.places[server].clone(), false)]);
+                let mut addresses = Addresses::new(ConnectionLimits::default(), 0.0);
+                addresses
+                    .apply_list(0, [(self.names[server].clone(), self.endpoints[server].clone(), false)]);
                 self.fronts[front].addresses = addresses;
             }
             Policy::Learned => {}
         }
-        let ask = Ask { once: true, proof: Proof::Continue, connect: CONNECT_TIMEOUT, time: 10 * SECOND };
+        let ask = ConnectionNeeds {
+            must_not_repeat: true,
+            proof: Proof::Continue,
+            connect_limit: CONNECT_TIMEOUT,
+            attempt_limit: 10 * SECOND,
+        };
         let lanes = self.scenario.families.len();
         let state = &mut self.fronts[front];
-        let race = state.addresses.begin(self.now, &self.names[server], ask);
+        let race = state.addresses.start_race(self.now, &self.names[server], ask);
         state.requests.push(PendingRequest {
             race,
             server,
@@ -396,8 +413,8 @@
     fn connect_sequentially(&mut self, server: usize) {
         let share = CONNECT_TIMEOUT / self.scenario.families.len() as Time;
         let mut elapsed = 0;
-        for place in &self.places[server] {
-            let behavior = self.behavior(place);
+        for endpoint in &self.endpoints[server] {
+            let behavior = self.behavior(endpoint);
             let (connects, answers) = (behavior.connects(), behavior.answers());
             let needed = behavior.round_trip() * if connects == Some(true) { 2 } else { 1 };
             match (connects, answers) {
@@ -430,10 +447,10 @@
             }
             let (server, started) = (request.server, request.started);
             match state.addresses.poll(now, &mut request.race) {
-                Step::Reuse(..) => {}
-                Step::Dial(lane, until) => {
-                    let place = request.race.place(lane).clone();
-                    let behavior = self.behavior(&place);
+                RaceStep::Reuse(..) => {}
+                RaceStep::Dial(lane, until) => {
+                    let endpoint = request.race.endpoint(lane).clone();
+                    let behavior = self.behavior(&endpoint);
                     *self.dials.entry(now / SECOND).or_default() += 1;
                     self.summary.dials_into_fault += u64::from(behavior != AddressBehavior::Healthy);
                     let (at, ok) = match behavior.connects() {
@@ -442,12 +459,12 @@
                     };
                     self.schedule(at, front, EventKind::DialEnded { race, lane, since: now, ok });
                 }
-                Step::Prove(lane, _) => {
+                RaceStep::Prove(lane, _) => {
                     request.proof_numbers[lane] += 1;
                     let number = request.proof_numbers[lane];
                     let behavior = {
-                        let place = request.race.place(lane).clone();
-                        self.behavior(&place)
+                        let endpoint = request.race.endpoint(lane).clone();
+                        self.behavior(&endpoint)
                     };
                     if let Some(ok) = behavior.answers() {
                         self.schedule(
@@ -457,19 +474,19 @@
                         );
                     }
                 }
-                Step::Drop(lane) => {
+                RaceStep::Drop(lane) => {
                     request.proof_numbers[lane] += 1;
-                    let place = request.race.place(lane).clone();
-                    state.addresses.closed(&place);
+                    let endpoint = request.race.endpoint(lane).clone();
+                    state.addresses.record_closed(&endpoint);
                 }
-                Step::Send(lane, _) => {
+                RaceStep::Send(lane, _) => {
                     request.is_finished = true;
-                    let place = request.race.place(lane).clone();
-                    let address = self.places[server].iter().position(|p| *p == place).unwrap_or(0);
-                    let unused: Vec<Place> =
-                        request.race.unused().map(|lane| request.race.place(lane).clone()).collect();
-                    for place in unused {
-                        state.addresses.free(now, &place, (), Life::new(now));
+                    let endpoint = request.race.endpoint(lane).clone();
+                    let address = self.endpoints[server].iter().position(|p| *p == endpoint).unwrap_or(0);
+                    let unused: Vec<Endpoint> =
+                        request.race.unused_lanes().map(|lane| request.race.endpoint(lane).clone()).collect();
+                    for endpoint in unused {
+                        state.addresses.return_connection(now, &endpoint, (), ConnectionAge::new(now));
                     }
                     self.schedule(
                         now + CONNECTION_USE,
@@ -479,12 +496,12 @@
                     self.record_delay(started, now - started);
                     return self.close_returned(front);
                 }
-                Step::Lost(_) => {
+                RaceStep::Lost(_) => {
                     request.is_finished = true;
                     self.summary.failed += 1;
                     return;
                 }
-                Step::Wait(until) => return self.schedule(until, front, EventKind::WaitEnded { race }),
+                RaceStep::Wait(until) => return self.schedule(until, front, EventKind::WaitEnded { race }),
             }
         }
     }
@@ -497,27 +514,29 @@
             return;
         }
         let state = &mut self.fronts[front];
-        let due = state.addresses.tend(now, CONNECT_TIMEOUT);
-        let is_down =
-            state.addresses.down().any(|family| self.scenario.fault.0.is_none_or(|fault| family == fault));
+        let due = state.addresses.run_maintenance(now, CONNECT_TIMEOUT);
+        let is_down = state
+            .addresses
+            .down_families()
+            .any(|family| self.scenario.fault.0.is_none_or(|fault| family == fault));
         if is_down && state.demoted_at.is_none() {
             state.demoted_at = Some(now);
         }
         if now >= self.scenario.fault_end
             && state.recovered_at.is_none()
             && !is_down
-            && state.addresses.book.failing() == 0
+            && state.addresses.book.failing_count() == 0
         {
             state.recovered_at = Some(now);
         }
         for trial in due.trials {
             *self.dials.entry(now / SECOND).or_default() += 1;
-            let behavior = self.behavior(&trial.place);
+            let behavior = self.behavior(&trial.endpoint);
             self.summary.dials_into_fault += u64::from(behavior != AddressBehavior::Healthy);
             let (at, ok) = match (behavior.connects(), behavior.answers()) {
                 (Some(true), Some(true)) => (now + 2 * behavior.round_trip(), true),
                 (Some(_), Some(_)) => (now + 2 * behavior.round_trip(), false),
-                _ => (now + trial.time, false),
+                _ => (now + trial.time_limit, false),
             };
             let state = &mut self.fronts[front];
             state.trials.push(trial);
@@ -543,10 +562,10 @@
     Scenario {
         fronts,
         servers,
-        families: vec![Family::V6, Family::V4, Family::Unix],
+        families: vec![AddressFamily::V6, AddressFamily::V4, AddressFamily::Unix],
         requests_per_s: 200.0,
         policy: Policy::Learned,
-        fault: (Some(Family::V6), AddressBehavior::Silent),
+        fault: (Some(AddressFamily::V6), AddressBehavior::Silent),
         faulty_servers: servers,
         flap_interval: 0,
         fault_start: 10 * SECOND,
@@ -557,7 +576,7 @@
 }
 
 /// The outage, and a restart of half the servers, for several numbers of fronts, as JSON.
-pub fn outages(servers: usize, seed: u64) -> Value {
+pub fn outage_table(servers: usize, seed: u64) -> Value {
     let rows = [1, 4, 16, 64].map(|fronts| {
         let summary = outage(fronts, servers, seed);
         json!({
@@ -604,7 +623,7 @@
 
 /// One server with two addresses, of which the preferred one has a fault: the time until the body is sent, for each
 /// fault and policy, as JSON.
-pub fn by_fault(seed: u64) -> Value {
+pub fn delay_table(seed: u64) -> Value {
     let mut rows = Vec::new();
     let faults = [
         ("refuses", AddressBehavior::Refuses, 0),
@@ -646,10 +665,10 @@
     simulate(Scenario {
         fronts: 1,
         servers: 1,
-        families: vec![Family::V6, Family::V4],
+        families: vec![AddressFamily::V6, AddressFamily::V4],
         requests_per_s: 50.0,
         policy,
-        fault: (Some(Family::V6), behavior),
+        fault: (Some(AddressFamily::V6), behavior),
         faulty_servers: 1,
         flap_interval,
         fault_start: 10 * SECOND,
--- a/crates/rehearsal/src/rules/answered.rs
+++ b/crates/rehearsal/src/rules/answered.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict, client_request_id, kill_times};
+use super::{RuleLimits, RuleResult, client_request_id, kill_times};
 
 /// A front that exits may close a connection on which a client has just written a request. A connection that is lost
 /// within this time of the exit is not a violation, as long as no attempt was sent for the request.
@@ -26,29 +26,29 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("answered once");
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("answered once");
     let kill_times = kill_times(records);
     let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
     let mut exit_times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
         match &record.what {
-            Seen::Sent { rid, front, total, .. } => {
+            TrafficEvent::Sent { rid, front, total, .. } => {
                 let request =
                     Request { front, sent_at: record.at, answer_timeout: *total, ..Request::default() };
                 requests.insert(rid, request);
             }
-            Seen::Final { rid, .. } => {
+            TrafficEvent::Final { rid, .. } => {
                 requests.entry(rid).or_default().final_answers.push(record.at);
             }
-            Seen::Left { rid } => requests.entry(rid).or_default().left_at = Some(record.at),
-            Seen::Lost { rid } => requests.entry(rid).or_default().lost_at = Some(record.at),
-            Seen::Received { rid, .. } | Seen::ToolReceived { rid, .. } => {
+            TrafficEvent::Left { rid } => requests.entry(rid).or_default().left_at = Some(record.at),
+            TrafficEvent::Lost { rid } => requests.entry(rid).or_default().lost_at = Some(record.at),
+            TrafficEvent::Received { rid, .. } | TrafficEvent::ToolReceived { rid, .. } => {
                 if let Some(request) = requests.get_mut(client_request_id(rid)) {
                     request.last_received_at = Some(record.at);
                 }
             }
-            Seen::Front { front, what } if what == "ended" => {
+            TrafficEvent::Front { front, what } if what == "ended" => {
                 exit_times.entry(front).or_default().push(record.at)
             }
             _ => {}
@@ -56,7 +56,7 @@
     }
     for (rid, request) in &requests {
         verdict.cases_judged += 1;
-        let deadline = request.sent_at + request.answer_timeout + figures.answer_slack_us;
+        let deadline = request.sent_at + request.answer_timeout + rule_limits.answer_slack_us;
         match (request.final_answers.as_slice(), request.left_at, request.lost_at) {
             ([], Some(_), _) => {}
             ([], None, Some(lost_at)) => {
@@ -81,7 +81,7 @@
                     );
                 }
                 if let Some(received_at) =
-                    request.last_received_at.filter(|at| *at > answered_at + figures.answer_slack_us)
+                    request.last_received_at.filter(|at| *at > answered_at + rule_limits.answer_slack_us)
                 {
                     verdict.add_violation(
                         received_at,
--- a/crates/rehearsal/src/rules/cold.rs
+++ b/crates/rehearsal/src/rules/cold.rs
@@ -5,9 +5,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict};
+use super::{RuleLimits, RuleResult};
 
 /// Arrivals are random: the work in a window may exceed its budget by this share.
 const BUDGET_TOLERANCE: f64 = 0.1;
@@ -29,13 +29,19 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("no cold server pushed over");
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("no cold server pushed over");
     let mut cold_servers: BTreeMap<&str, ColdServer> = BTreeMap::new();
     for record in records {
         let source = record.who.as_str();
         match &record.what {
-            Seen::Up { cold: true, cold_from, cold_for, fall_multiple, tip_after } => {
+            TrafficEvent::Up {
+                cold: true,
+                cold_start_share: cold_from,
+                cold_duration: cold_for,
+                overload_multiple: fall_multiple,
+                overload_window: tip_after,
+            } => {
                 verdict.cases_judged += 1;
                 let server = ColdServer {
                     started_at: record.at,
@@ -49,20 +55,20 @@
                 };
                 cold_servers.insert(source, server);
             }
-            Seen::Up { cold: false, .. } | Seen::Down => {
+            TrafficEvent::Up { cold: false, .. } | TrafficEvent::Down => {
                 cold_servers.remove(source);
             }
-            Seen::Listed { servers } => {
+            TrafficEvent::Listed { servers } => {
                 for (name, state) in servers {
                     if let Some(server) = cold_servers.get_mut(name.as_str())
                         && state == "running"
                     {
-                        server.informed_at.get_or_insert(record.at + figures.list_delay_us);
+                        server.informed_at.get_or_insert(record.at + rule_limits.list_delay_us);
                     }
                 }
             }
-            Seen::FellOver => verdict.add_violation(record.at, source, "the server fell over"),
-            Seen::Received { work, .. } => {
+            TrafficEvent::FellOver => verdict.add_violation(record.at, source, "the server fell over"),
+            TrafficEvent::Received { work, .. } => {
                 let Some(server) = cold_servers.get_mut(source) else { continue };
                 let age = record.at.saturating_sub(server.started_at);
                 if age > server.warmup_us {
--- a/crates/rehearsal/src/rules/drains.rs
+++ b/crates/rehearsal/src/rules/drains.rs
@@ -3,18 +3,18 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict};
+use super::{RuleLimits, RuleResult};
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("drains kept");
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("drains kept");
     // By server: since when it is listed as draining or gone.
     let mut closed_since: BTreeMap<&str, u64> = BTreeMap::new();
     for record in records {
         match &record.what {
-            Seen::Listed { servers } => {
+            TrafficEvent::Listed { servers } => {
                 for (server, state) in servers {
                     if state == "running" {
                         closed_since.remove(server.as_str());
@@ -24,9 +24,9 @@
                     }
                 }
             }
-            Seen::Received { rid, .. } => {
+            TrafficEvent::Received { rid, .. } => {
                 if let Some(since) = closed_since.get(record.who.as_str())
-                    && record.at > since + figures.drain_grace_us
+                    && record.at > since + rule_limits.drain_grace_us
                 {
                     let description =
                         format!("sent to {} {} ms after its drain", record.who, (record.at - since) / 1000);
--- a/crates/rehearsal/src/rules/mod.rs
+++ b/crates/rehearsal/src/rules/mod.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
 /// Whether a request of a class may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// The configured limits that the rules are checked against. Times are in microseconds.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleLimits {
     /// Repeat policy of each class, by the class's name.
     pub classes: BTreeMap<String, RepeatPolicy>,
     /// How much later than the class's timeout an answer may come.
@@ -58,33 +58,33 @@
 
 /// The result of the check of one rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RuleResult {
     /// The rule's name in reports.
     pub rule: &'static str,
     /// Number of cases that the check applied to. With 0 cases, the absence of violations proves nothing.
     pub cases_judged: u64,
     /// All violations, in no particular order.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
-impl Verdict {
-    fn new(rule: &'static str) -> Verdict {
-        Verdict { rule, cases_judged: 0, broken: Vec::new() }
+impl RuleResult {
+    fn new(rule: &'static str) -> RuleResult {
+        RuleResult { rule, cases_judged: 0, violations: Vec::new() }
     }
 
     fn add_violation(&mut self, at_us: u64, subject: &str, description: impl Into<String>) {
-        self.broken.push(Violation { at_us, subject: subject.into(), description: description.into() });
+        self.violations.push(Violation { at_us, subject: subject.into(), description: description.into() });
     }
 }
 
 /// Checks all five rules. The records must be ordered by time.
-pub fn judge(records: &[Record], figures: &Figures) -> [Verdict; 5] {
+pub fn check_rules(records: &[Record], rule_limits: &RuleLimits) -> [RuleResult; 5] {
     [
-        answered::judge(records, figures),
-        effects::judge(records, figures),
-        drains::judge(records, figures),
-        cold::judge(records, figures),
-        pinned::judge(records, figures),
+        answered::check(records, rule_limits),
+        effects::check(records, rule_limits),
+        drains::check(records, rule_limits),
+        cold::check(records, rule_limits),
+        pinned::check(records, rule_limits),
     ]
 }
 
@@ -107,7 +107,7 @@
 pub(crate) fn kill_times(records: &[Record]) -> BTreeMap<&str, Vec<u64>> {
     let mut kill_times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
-        if let Seen::Front { front, what } = &record.what
+        if let TrafficEvent::Front { front, what } = &record.what
             && what == "killed"
         {
             kill_times.entry(front).or_default().push(record.at);
@@ -120,7 +120,7 @@
 pub(crate) fn fronts_by_request(records: &[Record]) -> BTreeMap<&str, (&str, u64)> {
     let mut fronts = BTreeMap::new();
     for record in records {
-        if let Seen::Sent { rid, front, .. } = &record.what {
+        if let TrafficEvent::Sent { rid, front, .. } = &record.what {
             fronts.insert(rid.as_str(), (front.as_str(), record.at));
         }
     }
--- a/crates/rehearsal/src/rules/pinned.rs
+++ b/crates/rehearsal/src/rules/pinned.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elderstage_standin::traffic::{Record, Seen};
+use elderstage_standin::traffic::{Record, TrafficEvent};
 
-use super::{Figures, Verdict, client_request_id, fronts_by_request, kill_times, turn_id};
+use super::{RuleLimits, RuleResult, client_request_id, fronts_by_request, kill_times, turn_id};
 
 struct HeldState {
     held_since: u64,
@@ -17,8 +17,8 @@
 }
 
 /// Checks the rule on all records.
-pub(super) fn judge(records: &[Record], figures: &Figures) -> Verdict {
-    let mut verdict = Verdict::new("nothing left pinned");
+pub(super) fn check(records: &[Record], rule_limits: &RuleLimits) -> RuleResult {
+    let mut verdict = RuleResult::new("nothing left pinned");
     let (kill_times, fronts) = (kill_times(records), fronts_by_request(records));
     // A front that was killed cannot release what it held.
     let is_exempt = |rid: &str, at: u64| {
@@ -26,7 +26,7 @@
             kill_times.get(front).is_some_and(|times| times.iter().any(|time| (*sent_at..=at).contains(time)))
         })
     };
-    let limit_us = figures.release_deadline_us + figures.connect_timeout_us;
+    let limit_us = rule_limits.release_deadline_us + rule_limits.connect_timeout_us;
     let mut held_states: BTreeMap<&str, HeldState> = BTreeMap::new();
     // Attempts in flight, by turn.
     let mut in_flight: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
@@ -41,7 +41,7 @@
     };
     for record in records {
         match &record.what {
-            Seen::Received { rid, task, .. } if task != "read" => {
+            TrafficEvent::Received { rid, task, .. } if task != "read" => {
                 in_flight.entry(turn_id(rid)).or_default().insert(rid);
                 // The attempt ends the current idle time of the turn's states.
                 let waiting: Vec<&str> =
@@ -56,7 +56,7 @@
                     }
                 }
             }
-            Seen::Answered { rid, .. } => {
+            TrafficEvent::Answered { rid, .. } => {
                 let has_attempts = in_flight.get_mut(turn_id(rid)).is_some_and(|attempts| {
                     attempts.remove(rid.as_str());
                     !attempts.is_empty()
@@ -69,15 +69,15 @@
                     }
                 }
             }
-            Seen::StateHeld { rid } => {
+            TrafficEvent::StateHeld { rid } => {
                 let idle_since =
                     in_flight.get(turn_id(rid)).is_none_or(BTreeSet::is_empty).then_some(record.at);
                 held_states.insert(rid, HeldState { held_since: record.at, idle_since });
             }
-            Seen::StateTaken { rid }
-            | Seen::StateReleased { rid }
-            | Seen::ReleaseAsked { rid }
-            | Seen::StateLost { rid } => {
+            TrafficEvent::StateTaken { rid }
+            | TrafficEvent::StateReleased { rid }
+            | TrafficEvent::ReleaseAsked { rid }
+            | TrafficEvent::StateLost { rid } => {
                 if let Some(state) = held_states.remove(rid.as_str()) {
                     judge_state(rid, state, record.at);
                 }
--- a/crates/standin/src/host/door.rs
+++ b/crates/standin/src/host/door.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use elderstage_net::{Listener, Place, Stop, go};
+use elderstage_net::{Endpoint, Listener, ListenerHandle, spawn};
 
 use super::{OpenConnection, Shared, lock, serve};
 
@@ -19,7 +19,7 @@
 
 /// A fault of a listen address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DoorFault {
+pub enum AddressFault {
     #[default]
     None,
     /// Connects are refused because nothing listens. The file of a Unix socket remains, as after a crash.
@@ -49,37 +49,37 @@
     Unexpected,
 }
 
-/// Delay before a new connection is served under [`DoorFault::Slow`].
+/// Delay before a new connection is served under [`AddressFault::Slow`].
 pub(super) const SLOW_HANDSHAKE: Duration = Duration::from_millis(120);
 
 /// A listen address, its fault and its listener.
 pub(super) struct ListenAddress {
-    place: Place,
-    fault: DoorFault,
+    endpoint: Endpoint,
+    fault: AddressFault,
     /// A listener bound before the engine starts, so that its port is known.
     prebound: Option<Listener>,
-    listener_stop: Option<Stop>,
+    listener_stop: Option<ListenerHandle>,
     /// The socket whose backlog is full, and the connections that fill it.
     backlog_fill: Option<(socket2::Socket, Vec<socket2::Socket>)>,
 }
 
 impl ListenAddress {
     pub fn new(listener: Listener) -> ListenAddress {
-        let place = listener.place().clone();
+        let endpoint = listener.endpoint().clone();
         ListenAddress {
-            place,
-            fault: DoorFault::None,
+            endpoint,
+            fault: AddressFault::None,
             prebound: Some(listener),
             listener_stop: None,
             backlog_fill: None,
         }
     }
 
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn endpoint(&self) -> &Endpoint {
+        &self.endpoint
     }
 
-    pub fn fault(&self) -> DoorFault {
+    pub fn fault(&self) -> AddressFault {
         self.fault
     }
 
@@ -95,28 +95,28 @@
     pub fn listen(&mut self, shared: &Arc<Shared>, index: usize) -> std::io::Result<()> {
         self.stop_listening();
         match self.fault {
-            DoorFault::Refuses => {
-                if let Place::Unix(path) = &self.place {
+            AddressFault::Refuses => {
+                if let Endpoint::Unix(path) = &self.endpoint {
                     leave_stale_socket_file(path)?;
                 }
                 Ok(())
             }
-            DoorFault::Missing => {
-                if let Place::Unix(path) = &self.place {
+            AddressFault::Missing => {
+                if let Endpoint::Unix(path) = &self.endpoint {
                     remove_socket_file(path)?;
                 }
                 Ok(())
             }
-            DoorFault::Silent => self.fill_backlog(),
+            AddressFault::Silent => self.fill_backlog(),
             _ => {
                 let listener = match self.prebound.take() {
                     Some(listener) => listener,
-                    None => bind_listener(&self.place)?,
+                    None => bind_listener(&self.endpoint)?,
                 };
-                if let (DoorFault::Denied, Place::Unix(path)) = (self.fault, &self.place) {
+                if let (AddressFault::Denied, Endpoint::Unix(path)) = (self.fault, &self.endpoint) {
                     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o000))?;
                 }
-                self.listener_stop = Some(listener.stopper());
+                self.listener_stop = Some(listener.handle());
                 spawn_accept_loop(shared, listener, index);
                 Ok(())
             }
@@ -128,7 +128,7 @@
         &mut self,
         shared: &Arc<Shared>,
         index: usize,
-        fault: DoorFault,
+        fault: AddressFault,
         is_running: bool,
     ) -> std::io::Result<()> {
         if self.fault == fault {
@@ -138,10 +138,10 @@
         self.prebound = None;
         // Idle connections are closed if the fault also refuses new ones; otherwise the fault applies to
         // their next request. Requests in progress continue, because the engine itself has no fault.
-        if matches!(fault, DoorFault::Refuses | DoorFault::Missing | DoorFault::Closes) {
+        if matches!(fault, AddressFault::Refuses | AddressFault::Missing | AddressFault::Closes) {
             for connection in lock(&shared.connections).values() {
                 if connection.address_index == index && !connection.is_busy.load(Ordering::SeqCst) {
-                    connection.socket.shut();
+                    connection.socket.shutdown();
                 }
             }
         }
@@ -151,9 +151,9 @@
     /// Listens with a full backlog and accepts nothing.
     fn fill_backlog(&mut self) -> std::io::Result<()> {
         use socket2::{Domain, SockAddr, Socket, Type};
-        let (domain, addr) = match &self.place {
-            Place::Tcp(addr) => (Domain::for_address(*addr), SockAddr::from(*addr)),
-            Place::Unix(path) => {
+        let (domain, addr) = match &self.endpoint {
+            Endpoint::Tcp(addr) => (Domain::for_address(*addr), SockAddr::from(*addr)),
+            Endpoint::Unix(path) => {
                 remove_socket_file(path)?;
                 (Domain::UNIX, SockAddr::unix(path)?)
             }
@@ -192,12 +192,12 @@
 }
 
 /// Binds a listener, over the socket file of an earlier process if there is one.
-fn bind_listener(place: &Place) -> std::io::Result<Listener> {
-    if let Place::Unix(path) = place {
+fn bind_listener(endpoint: &Endpoint) -> std::io::Result<Listener> {
+    if let Endpoint::Unix(path) = endpoint {
         // A starting process removes the socket file that an earlier one left.
         remove_socket_file(path)?;
     }
-    retry_while_in_use(|| Listener::at(place))
+    retry_while_in_use(|| Listener::bind_endpoint(endpoint))
 }
 
 fn remove_socket_file(path: &Path) -> std::io::Result<()> {
@@ -217,7 +217,7 @@
 /// Accepts connections and serves each in its own coroutine.
 fn spawn_accept_loop(shared: &Arc<Shared>, listener: Listener, address_index: usize) {
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let on_connection = {
             let shared = shared.clone();
             move |conn: elderstage_net::Conn| {
@@ -227,7 +227,7 @@
                     OpenConnection { address_index, socket: conn.socket(), is_busy: is_busy.clone() };
                 lock(&shared.connections).insert(connection_id, open_connection);
                 let shared = shared.clone();
-                go(move || {
+                spawn(move || {
                     serve::serve_connection(&shared, conn, address_index, &is_busy);
                     lock(&shared.connections).remove(&connection_id);
                 });
--- a/crates/standin/src/host/serve.rs
+++ b/crates/standin/src/host/serve.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 use elderstage_net::channel::{Receiver, channel};
-use elderstage_net::{Conn, Endpoint, NetError, exchange, sleep};
+use elderstage_net::{Conn, EndpointPath, NetError, exchange, sleep};
 use elderstage_protocol::{engine, http, orca, sse};
 use serde_json::{Value, json};
 
-use super::door::{DoorFault, SLOW_HANDSHAKE};
+use super::door::{AddressFault, SLOW_HANDSHAKE};
 use super::machine::{Command, JobUpdate};
-use super::{Faults, Shared, lock};
+use super::{Shared, SocketFaults, lock};
 use crate::model::{Job, JobId, Load, RejectReason, Task, block_hashes};
 use crate::script;
-use crate::traffic::Seen;
+use crate::traffic::TrafficEvent;
 
 /// A connection that sends no request for this time is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -27,7 +27,7 @@
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How often a connection that a fault holds checks whether the fault has ended.
 const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Tokens sent before a stream stalls under [`DoorFault::StallsInBody`].
+/// Tokens sent before a stream stalls under [`AddressFault::StallsInBody`].
 const TOKENS_BEFORE_STALL: u64 = 2;
 /// Timeout of a request to another engine about a KV state.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
@@ -45,11 +45,11 @@
 
 /// Receives and sends nothing until the peer closes or the fault of the listen address ends, then closes the
 /// connection.
-fn hold_until_fault_ends(shared: &Shared, conn: &Conn, address_index: usize, fault: DoorFault) {
+fn hold_until_fault_ends(shared: &Shared, conn: &Conn, address_index: usize, fault: AddressFault) {
     while !conn.is_closed() && lock(&shared.addresses[address_index]).fault() == fault {
         sleep(FAULT_CHECK_INTERVAL);
     }
-    conn.socket().shut();
+    conn.socket().shutdown();
 }
 
 /// Serves a connection until it is closed, with the faults of its listen address and of the host.
@@ -61,29 +61,29 @@
 ) {
     let fault = lock(&shared.addresses[address_index]).fault();
     match fault {
-        DoorFault::Closes => return conn.socket().shut(),
-        DoorFault::Slow => sleep(SLOW_HANDSHAKE),
+        AddressFault::Closes => return conn.socket().shutdown(),
+        AddressFault::Slow => sleep(SLOW_HANDSHAKE),
         _ => {}
     }
     let faults = lock(&shared.faults).clone();
-    if faults.table_full {
-        conn.socket().shut();
+    if faults.closes_new_connections {
+        conn.socket().shutdown();
         return;
     }
-    if !faults.handshake.is_zero() {
-        sleep(faults.handshake);
+    if !faults.handshake_delay.is_zero() {
+        sleep(faults.handshake_delay);
     }
     conn.set_write_timeout(Some(SOCKET_WRITE_TIMEOUT));
     loop {
         conn.set_read_timeout(Some(IDLE_TIMEOUT));
-        let head = match conn.request() {
+        let head = match conn.receive_request() {
             Ok(head) => head,
             Err(NetError::Http(error)) => {
                 let _ = send_response(
                     &mut conn,
                     error.status(),
                     &[],
-                    &engine::error_body("bad_request", &error.to_string()),
+                    &engine::write_error_body("bad_request", &error.to_string()),
                 );
                 return;
             }
@@ -92,49 +92,51 @@
         let fault = lock(&shared.addresses[address_index]).fault();
         let expects_continue = head.headers.get("expect").is_some();
         match fault {
-            DoorFault::Unexpected if expects_continue => {
+            AddressFault::Unexpected if expects_continue => {
                 if send_response(&mut conn, 417, &[], b"").is_err() {
                     return;
                 }
                 continue;
             }
-            DoorFault::Stalls | DoorFault::Silent => {
+            AddressFault::Stalls | AddressFault::Silent => {
                 // A request whose body was sent is logged as received, because the rules check what was sent.
-                let is_body_sent = head.target == engine::COMPLETIONS && !expects_continue;
-                let body = if is_body_sent { conn.body(head.framing).ok() } else { None };
+                let is_body_sent = head.target == engine::COMPLETIONS_PATH && !expects_continue;
+                let body = if is_body_sent { conn.receive_body(head.framing).ok() } else { None };
                 let rid = body.map(|body| shared.log_request(&head, &body));
                 hold_until_fault_ends(shared, &conn, address_index, fault);
                 if let Some(rid) = rid {
-                    shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
+                    shared
+                        .log
+                        .record(&shared.options.name, TrafficEvent::Answered { rid, how: "stalled".into() });
                 }
                 return;
             }
-            DoorFault::ClosesOnRequest => return conn.socket().shut(),
+            AddressFault::ClosesOnRequest => return conn.socket().shutdown(),
             _ => {}
         }
-        if conn.take_body(&head).is_err() {
+        if conn.send_continue(&head).is_err() {
             return;
         }
-        let Ok(body) = conn.body(head.framing) else { return };
-        let is_completion = head.target == engine::COMPLETIONS;
-        if fault == DoorFault::StallsAfterContinue && is_completion {
+        let Ok(body) = conn.receive_body(head.framing) else { return };
+        let is_completion = head.target == engine::COMPLETIONS_PATH;
+        if fault == AddressFault::StallsAfterContinue && is_completion {
             // Logged as received: the body was sent, and the rules check what was sent.
             let rid = shared.log_request(&head, &body);
             hold_until_fault_ends(shared, &conn, address_index, fault);
-            shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
+            shared.log.record(&shared.options.name, TrafficEvent::Answered { rid, how: "stalled".into() });
             return;
         }
-        if fault == DoorFault::StallsAfterHead && is_completion {
+        if fault == AddressFault::StallsAfterHead && is_completion {
             let rid = shared.log_request(&head, &body);
             let mut out = Vec::new();
             http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
             let _ = conn.write(&out);
             hold_until_fault_ends(shared, &conn, address_index, fault);
-            shared.log.see(&shared.options.name, Seen::Answered { rid, how: "stalled".into() });
+            shared.log.record(&shared.options.name, TrafficEvent::Answered { rid, how: "stalled".into() });
             return;
         }
         let keep_alive = head.keep_alive;
-        let stalls_in_body = fault == DoorFault::StallsInBody && is_completion;
+        let stalls_in_body = fault == AddressFault::StallsInBody && is_completion;
         let request = EngineRequest {
             head: &head,
             body: &body,
@@ -146,7 +148,7 @@
         match outcome {
             Ok(AfterRequest::KeepOpen) if keep_alive => {}
             _ => {
-                conn.socket().shut();
+                conn.socket().shutdown();
                 return;
             }
         }
@@ -190,46 +192,46 @@
     let EngineRequest { head, body, .. } = *request;
     let faults = lock(&shared.faults).clone();
     let (front, zone) = parse_via(head);
-    if faults.cut.contains(&zone) {
+    if faults.partitioned_zones.contains(&zone) {
         // The zones are partitioned: the peer gets no response and gives up by itself. Its request is logged
         // nevertheless, because the rules check what was sent.
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
         match head.target.as_str() {
-            engine::COMPLETIONS => drop(shared.log_request(head, body)),
-            engine::ABORT => shared.log_release(body),
+            engine::COMPLETIONS_PATH => drop(shared.log_request(head, body)),
+            engine::ABORT_PATH => shared.log_release(body),
             _ => {}
         }
         while conn.is_idle() {
             sleep(PEER_CHECK_INTERVAL);
         }
-        if head.target == engine::COMPLETIONS {
-            shared.log.see(&shared.options.name, Seen::Answered { rid, how: "cut".into() });
+        if head.target == engine::COMPLETIONS_PATH {
+            shared.log.record(&shared.options.name, TrafficEvent::Answered { rid, how: "cut".into() });
         }
         return Ok(AfterRequest::Close);
     }
     let json_headers = [("content-type", "application/json")];
     match (head.method.as_str(), head.target.as_str()) {
-        ("GET", engine::HEALTH) => {
+        ("GET", engine::HEALTH_PATH) => {
             let report = current_report(shared, &faults);
-            let headers = [(orca::HEADER, report.as_str())];
+            let headers = [(orca::REPORT_HEADER, report.as_str())];
             send_response(conn, 200, &headers, b"")?;
         }
-        ("POST", engine::COMPLETIONS) => {
+        ("POST", engine::COMPLETIONS_PATH) => {
             return serve_completion(shared, conn, request, &front, &faults);
         }
-        ("POST", engine::ABORT | CLAIM_PATH | TAKEN_PATH) => {
+        ("POST", engine::ABORT_PATH | CLAIM_PATH | TAKEN_PATH) => {
             let json_body: Value = serde_json::from_slice(body).unwrap_or_default();
             let Some(rid) = json_body.get("rid").and_then(Value::as_str).map(str::to_owned) else {
                 send_response(
                     conn,
                     400,
                     &json_headers,
-                    &engine::error_body("bad_request", "expected a rid"),
+                    &engine::write_error_body("bad_request", "expected a rid"),
                 )?;
                 return Ok(AfterRequest::KeepOpen);
             };
             let (status, reply_body) = match head.target.as_str() {
-                engine::ABORT => {
+                engine::ABORT_PATH => {
                     shared.log_release(body);
                     let (reply, replies) = channel();
                     shared.inbox.send(Command::ReleaseState { rid, reply });
@@ -251,22 +253,22 @@
             };
             send_response(conn, status, &json_headers, reply_body.to_string().as_bytes())?;
         }
-        (_, engine::HEALTH | engine::COMPLETIONS | engine::ABORT) => {
+        (_, engine::HEALTH_PATH | engine::COMPLETIONS_PATH | engine::ABORT_PATH) => {
             send_response(
                 conn,
                 405,
                 &json_headers,
-                &engine::error_body("method_not_allowed", "wrong method"),
+                &engine::write_error_body("method_not_allowed", "wrong method"),
             )?;
         }
-        _ => send_response(conn, 404, &json_headers, &engine::error_body("not_found", "no such path"))?,
+        _ => send_response(conn, 404, &json_headers, &engine::write_error_body("not_found", "no such path"))?,
     }
     Ok(AfterRequest::KeepOpen)
 }
 
 /// Returns the task name for the log of a completion request that is not served.
 fn task_name(body: &[u8]) -> &'static str {
-    let completion_request: Option<engine::Asked> = serde_json::from_slice(body).ok();
+    let completion_request: Option<engine::ParsedCompletionRequest> = serde_json::from_slice(body).ok();
     let is_read = completion_request
         .and_then(|completion_request| completion_request.kv_transfer_params)
         .is_some_and(|params| params.do_remote_decode);
@@ -274,8 +276,8 @@
 }
 
 /// Returns the formatted load report: the current one, or the last one while reports are frozen.
-fn current_report(shared: &Shared, faults: &Faults) -> String {
-    if !faults.frozen {
+fn current_report(shared: &Shared, faults: &SocketFaults) -> String {
+    if !faults.reports_frozen {
         let (reply, replies) = channel();
         shared.inbox.send(Command::Load { reply });
         if let Ok((load, _)) = replies.recv() {
@@ -287,12 +289,12 @@
 
 fn build_report(load: &Load, started_at: f64) -> orca::Report {
     let metrics = [
-        (orca::RUNNING, load.running as f64),
-        (orca::WAITING, load.waiting as f64),
-        (orca::KV_USAGE, load.kv_usage),
-        (orca::PENDING_TOKENS, load.pending_tokens as f64),
-        (orca::LATENCY_MS, load.recent_latency as f64 / 1e3),
-        (orca::STARTED, started_at),
+        (orca::RUNNING_METRIC, load.running as f64),
+        (orca::WAITING_METRIC, load.waiting as f64),
+        (orca::KV_USAGE_METRIC, load.kv_usage),
+        (orca::PENDING_TOKENS_METRIC, load.pending_tokens as f64),
+        (orca::LATENCY_MS_METRIC, load.recent_latency as f64 / 1e3),
+        (orca::STARTED_METRIC, started_at),
     ];
     orca::Report {
         application_utilization: load.slot_usage,
@@ -306,15 +308,20 @@
     conn: &mut Conn,
     request: &EngineRequest<'_>,
     front: &str,
-    faults: &Faults,
+    faults: &SocketFaults,
 ) -> Result<AfterRequest, NetError> {
     let EngineRequest { head, body, stall_address } = *request;
     let json_headers = [("content-type", "application/json")];
     let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
-    let completion_request: engine::Asked = match serde_json::from_slice(body) {
+    let completion_request: engine::ParsedCompletionRequest = match serde_json::from_slice(body) {
         Ok(completion_request) => completion_request,
         Err(error) => {
-            send_response(conn, 400, &json_headers, &engine::error_body("bad_request", &error.to_string()))?;
+            send_response(
+                conn,
+                400,
+                &json_headers,
+                &engine::write_error_body("bad_request", &error.to_string()),
+            )?;
             return Ok(AfterRequest::KeepOpen);
         }
     };
@@ -336,9 +343,9 @@
         Task::Write => "write",
         Task::ReadAndWrite => "whole",
     };
-    shared.log.see(
+    shared.log.record(
         name,
-        Seen::Received {
+        TrafficEvent::Received {
             rid: rid.clone(),
             front: front.into(),
             class: completion_request.model.clone(),
@@ -346,11 +353,17 @@
             work,
         },
     );
-    let log_outcome =
-        |outcome: &str| shared.log.see(name, Seen::Answered { rid: rid.clone(), how: outcome.into() });
-    if faults.full {
+    let log_outcome = |outcome: &str| {
+        shared.log.record(name, TrafficEvent::Answered { rid: rid.clone(), how: outcome.into() })
+    };
+    if faults.rejects_as_full {
         log_outcome("full");
-        send_response(conn, 429, &json_headers, &engine::error_body("rate_limit", "too many requests"))?;
+        send_response(
+            conn,
+            429,
+            &json_headers,
+            &engine::write_error_body("rate_limit", "too many requests"),
+        )?;
         return Ok(AfterRequest::KeepOpen);
     }
     let id = JobId(shared.next_id.fetch_add(1, Ordering::Relaxed));
@@ -391,7 +404,7 @@
     updates: Receiver<JobUpdate>,
     id: JobId,
     rid: &'a str,
-    completion_request: &'a engine::Asked,
+    completion_request: &'a engine::ParsedCompletionRequest,
     turn: &'a script::Turn,
     prompt_tokens: u64,
     /// Index of the listen address whose fault stalls the stream.
@@ -416,11 +429,11 @@
         let (outcome, status, code) = match reason {
             RejectReason::Full => ("full", 429, "rate_limit"),
             RejectReason::WrongRole => ("wrong-role", 400, "wrong_role"),
-            RejectReason::NoState => ("no-state", 424, engine::NO_STATE),
+            RejectReason::NoState => ("no-state", 424, engine::KV_STATE_MISSING_CODE),
             RejectReason::Down => ("down", 500, "engine_dead"),
         };
         let json_headers = [("content-type", "application/json")];
-        let sent = send_response(self.conn, status, &json_headers, &engine::error_body(code, outcome));
+        let sent = send_response(self.conn, status, &json_headers, &engine::write_error_body(code, outcome));
         (outcome, sent.map(|()| AfterRequest::KeepOpen))
     }
 
@@ -432,7 +445,7 @@
     fn run(
         &mut self,
         params: &engine::KvParams,
-        faults: &Faults,
+        faults: &SocketFaults,
     ) -> (&'static str, Result<AfterRequest, NetError>) {
         loop {
             match self.next_update() {
@@ -465,11 +478,12 @@
             remote_request_id: Some(self.rid.to_owned()),
             ..engine::KvParams::default()
         };
-        let body = engine::read_body(&self.completion_request.model, self.usage(1, cached_tokens), &kv);
+        let body =
+            engine::write_reader_response(&self.completion_request.model, self.usage(1, cached_tokens), &kv);
         // The faults are copied first: no lock is held while this waits for the report.
         let faults = lock(&self.shared.faults).clone();
         let report = current_report(self.shared, &faults);
-        let headers = [("content-type", "application/json"), (orca::HEADER, report.as_str())];
+        let headers = [("content-type", "application/json"), (orca::REPORT_HEADER, report.as_str())];
         send_response(self.conn, 200, &headers, &body)?;
         Ok(AfterRequest::KeepOpen)
     }
@@ -478,19 +492,19 @@
     fn stream_answer(
         &mut self,
         first_index: u64,
-        faults: &Faults,
+        faults: &SocketFaults,
     ) -> (&'static str, Result<AfterRequest, NetError>) {
         let break_at = {
             let mut faults = lock(&self.shared.faults);
-            let breaks = faults.break_next > 0;
-            faults.break_next = faults.break_next.saturating_sub(1);
-            breaks.then_some(faults.break_after)
+            let breaks = faults.streams_to_break > 0;
+            faults.streams_to_break = faults.streams_to_break.saturating_sub(1);
+            breaks.then_some(faults.break_after_tokens)
         };
         let report = current_report(self.shared, faults);
         let (mut out, mut event) = (Vec::with_capacity(1024), Vec::with_capacity(256));
         let headers = [
             ("content-type", "text/event-stream"),
-            (orca::HEADER, report.as_str()),
+            (orca::REPORT_HEADER, report.as_str()),
             ("cache-control", "no-store"),
         ];
         http::write_stream_head(200, &headers, &mut out);
@@ -500,7 +514,12 @@
                 Some(JobUpdate::Token(index)) => {
                     if let Some(address_index) = self.stall_address.filter(|_| index == TOKENS_BEFORE_STALL) {
                         let _ = self.conn.write(&out);
-                        hold_until_fault_ends(self.shared, self.conn, address_index, DoorFault::StallsInBody);
+                        hold_until_fault_ends(
+                            self.shared,
+                            self.conn,
+                            address_index,
+                            AddressFault::StallsInBody,
+                        );
                         return ("stalled", Ok(AfterRequest::Close));
                     }
                     if break_at == Some(index) {
@@ -508,9 +527,11 @@
                         return ("broken", Ok(AfterRequest::Close));
                     }
                     event.clear();
-                    let data =
-                        engine::text_chunk(&self.completion_request.model, &self.turn.token_text(index));
-                    sse::write(None, &data, &mut event);
+                    let data = engine::write_text_event(
+                        &self.completion_request.model,
+                        &self.turn.token_text(index),
+                    );
+                    sse::write_event(None, &data, &mut event);
                     http::write_chunk(&event, &mut out);
                 }
                 Some(JobUpdate::AnswerDone { cached_tokens }) => {
@@ -544,18 +565,26 @@
     fn write_last_events(&self, cached_tokens: u64, out: &mut Vec<u8>) {
         let mut event = Vec::new();
         let finish = match &self.turn.call {
-            None => engine::Finish::Stop,
+            None => engine::FinishReason::Stop,
             Some((name, arguments)) => {
-                let function = engine::Function { name: name.clone(), arguments: arguments.clone() };
+                let function = engine::FunctionCall { name: name.clone(), arguments: arguments.clone() };
                 let call =
                     engine::ToolCall { id: format!("call-{}", self.id.0), kind: "function".into(), function };
-                sse::write(None, &engine::call_chunk(&self.completion_request.model, &call), &mut event);
-                engine::Finish::ToolCalls
+                sse::write_event(
+                    None,
+                    &engine::write_tool_call_event(&self.completion_request.model, &call),
+                    &mut event,
+                );
+                engine::FinishReason::ToolCalls
             }
         };
         let usage = self.usage(self.turn.token_count, cached_tokens);
-        sse::write(None, &engine::end_chunk(&self.completion_request.model, finish, usage), &mut event);
-        sse::write(None, engine::DONE, &mut event);
+        sse::write_event(
+            None,
+            &engine::write_end_event(&self.completion_request.model, finish, usage),
+            &mut event,
+        );
+        sse::write_event(None, engine::STREAM_END_DATA, &mut event);
         http::write_chunk(&event, out);
         out.extend_from_slice(http::LAST_CHUNK);
     }
@@ -572,7 +601,7 @@
     let Ok(addr) = format!("{host}:{port}").parse::<SocketAddr>() else { return false };
     let via = format!("1.1 {} ({})", shared.options.name, shared.options.zone);
     let post_to_reader = |path: &str| {
-        let endpoint = Endpoint::new(addr, path);
+        let endpoint = EndpointPath::new(addr, path);
         exchange(
             "POST",
             &endpoint,
@@ -587,7 +616,7 @@
     else {
         return false;
     };
-    let slowdown = lock(&shared.faults).slow_links.max(1.0);
+    let slowdown = lock(&shared.faults).link_slowdown.max(1.0);
     let tokens_per_s = shared.link_tokens_per_s(params.remote_engine_id.as_deref().unwrap_or_default());
     sleep(Duration::from_secs_f64(tokens / tokens_per_s.max(1.0) * slowdown));
     post_to_reader(TAKEN_PATH).is_ok_and(|response| response.head.status == 200)
@@ -599,7 +628,10 @@
         let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
         let (front, _) = parse_via(head);
         let (class, task) = ("?".into(), task_name(body).into());
-        self.log.see(&self.options.name, Seen::Received { rid: rid.clone(), front, class, task, work: 0.0 });
+        self.log.record(
+            &self.options.name,
+            TrafficEvent::Received { rid: rid.clone(), front, class, task, work: 0.0 },
+        );
         rid
     }
 
@@ -607,13 +639,13 @@
     fn log_release(&self, body: &[u8]) {
         let json_body: Value = serde_json::from_slice(body).unwrap_or_default();
         if let Some(rid) = json_body.get("rid").and_then(Value::as_str) {
-            self.log.see(&self.options.name, Seen::ReleaseAsked { rid: rid.to_owned() });
+            self.log.record(&self.options.name, TrafficEvent::ReleaseAsked { rid: rid.to_owned() });
         }
     }
 
     /// Transfer rate in tokens per second from an engine, by the location in its id `zone.cell.name`.
     fn link_tokens_per_s(&self, reader_id: &str) -> f64 {
-        let [within_cell, within_zone, between_zones] = self.options.links;
+        let [within_cell, within_zone, between_zones] = self.options.link_tokens_per_s;
         let mut parts = reader_id.split('.');
         let same_zone = parts.next() == Some(self.options.zone.as_str());
         let same_cell = parts.next() == Some(self.options.cell.to_string().as_str());
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use elderstage_net::{Conn, Listener, NetError, Socket, Stop, go, sleep};
+use elderstage_net::{Conn, Listener, ListenerHandle, NetError, ShutdownHandle, sleep, spawn};
 use elderstage_protocol::jsonrpc::{self, Id, Message, RpcError};
 use elderstage_protocol::{http, mcp, sse};
 use serde_json::{Value, json};
 
 use crate::host::lock;
-use crate::traffic::{Log, Seen};
+use crate::traffic::{Log, TrafficEvent};
 
 /// A connection that sends no request for this time is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -47,8 +47,8 @@
     addr: SocketAddr,
     log: Log,
     fault: Mutex<ToolFault>,
-    connections: Mutex<HashMap<u64, Socket>>,
-    listener_stop: Mutex<Option<Stop>>,
+    connections: Mutex<HashMap<u64, ShutdownHandle>>,
+    listener_stop: Mutex<Option<ListenerHandle>>,
     next_id: AtomicU64,
     order_count: AtomicU64,
     answers_by_stream: bool,
@@ -85,12 +85,12 @@
     }
 
     /// Number of orders placed so far.
-    pub fn orders(&self) -> u64 {
+    pub fn order_count(&self) -> u64 {
         self.shared.order_count.load(Ordering::SeqCst)
     }
 
     /// Sets the fault; it applies to later calls.
-    pub fn fault(&self, fault: ToolFault) {
+    pub fn set_fault(&self, fault: ToolFault) {
         *lock(&self.shared.fault) = fault;
     }
 
@@ -99,13 +99,13 @@
         if let Some(stop) = lock(&self.shared.listener_stop).take() {
             stop.stop();
             for connection in lock(&self.shared.connections).drain() {
-                connection.1.shut();
+                connection.1.shutdown();
             }
         }
     }
 
     /// Listens again at the same address if it was killed.
-    pub fn revive(&self) -> std::io::Result<()> {
+    pub fn restart(&self) -> std::io::Result<()> {
         if lock(&self.shared.listener_stop).is_none() {
             start_listening(&self.shared, Listener::bind(self.shared.addr)?);
         }
@@ -115,16 +115,16 @@
 
 /// Accepts connections and serves each in its own coroutine.
 fn start_listening(shared: &Arc<Shared>, listener: Listener) {
-    *lock(&shared.listener_stop) = Some(listener.stopper());
+    *lock(&shared.listener_stop) = Some(listener.handle());
     let shared = shared.clone();
-    go(move || {
+    spawn(move || {
         let on_connection = {
             let shared = shared.clone();
             move |conn: Conn| {
                 let connection_id = shared.next_id.fetch_add(1, Ordering::Relaxed);
                 lock(&shared.connections).insert(connection_id, conn.socket());
                 let shared = shared.clone();
-                go(move || {
+                spawn(move || {
                     serve_connection(&shared, conn);
                     lock(&shared.connections).remove(&connection_id);
                 });
@@ -138,13 +138,13 @@
 fn serve_connection(shared: &Arc<Shared>, mut conn: Conn) {
     loop {
         conn.set_read_timeout(Some(IDLE_TIMEOUT));
-        let Ok(head) = conn.request() else { return };
-        if conn.take_body(&head).is_err() {
+        let Ok(head) = conn.receive_request() else { return };
+        if conn.send_continue(&head).is_err() {
             return;
         }
-        let Ok(body) = conn.body(head.framing) else { return };
+        let Ok(body) = conn.receive_body(head.framing) else { return };
         if !matches!(serve_request(shared, &mut conn, &head, &body), Ok(true)) {
-            conn.socket().shut();
+            conn.socket().shutdown();
             return;
         }
     }
@@ -221,7 +221,7 @@
 ) -> Result<bool, NetError> {
     let json_headers = [("content-type", "application/json")];
     let rid = head.headers.get("x-request-id").unwrap_or("?").to_owned();
-    let call = match mcp::call(params) {
+    let call = match mcp::parse_tool_call(params) {
         Ok(call) => call,
         Err(error) => {
             send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
@@ -233,9 +233,10 @@
         send_response(conn, 200, &json_headers, jsonrpc::response(Some(id), Err(error)).as_bytes())?;
         return Ok(true);
     };
-    let log_event = |event| shared.log.see(&shared.name, event);
-    let log_outcome = |outcome: &str| log_event(Seen::ToolAnswered { rid: rid.clone(), how: outcome.into() });
-    log_event(Seen::ToolReceived { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
+    let log_event = |event| shared.log.record(&shared.name, event);
+    let log_outcome =
+        |outcome: &str| log_event(TrafficEvent::ToolAnswered { rid: rid.clone(), how: outcome.into() });
+    log_event(TrafficEvent::ToolReceived { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
     let fault = lock(&shared.fault).clone();
     match fault {
         ToolFault::Hang => {
@@ -253,7 +254,7 @@
         }
         _ => {}
     }
-    log_event(Seen::ToolRan { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
+    log_event(TrafficEvent::ToolRan { rid: rid.clone(), tool: call.name.clone(), effect: has_effect });
     let result_text = if has_effect {
         format!("order {} placed", shared.order_count.fetch_add(1, Ordering::SeqCst) + 1)
     } else {
@@ -275,7 +276,7 @@
     let reply = jsonrpc::response(Some(id), Ok(mcp::text_result(&result_text, false)));
     let sent = if shared.answers_by_stream {
         let mut event = Vec::new();
-        sse::write(Some("message"), &reply, &mut event);
+        sse::write_event(Some("message"), &reply, &mut event);
         let mut out = Vec::new();
         http::write_stream_head(200, &[("content-type", "text/event-stream")], &mut out);
         http::write_chunk(&event, &mut out);
--- a/fuzz/fuzz_targets/address.rs
+++ b/fuzz/fuzz_targets/address.rs
@@ -2,8 +2,8 @@
 //! after it was written, and an error in a list names the line and the field.
 #![no_main]
 
-use elderstage_config::{directives, parse};
-use elderstage_protocol::place::Place;
+use elderstage_config::{parse, parse_directives};
+use elderstage_protocol::place::Endpoint;
 use libfuzzer_sys::fuzz_target;
 
 /// The part of a valid configuration before its servers.
@@ -11,10 +11,10 @@
                     route r {\n class c\n}\nkind k {\n role mixed\n kv-tokens 1000\n}\n";
 
 fuzz_target!(|text: &str| {
-    let place = text.parse::<Place>();
-    if let Ok(place) = &place {
-        assert_eq!(place.to_string().parse::<Place>().as_ref(), Ok(place));
-        let _ = (place.family(), place.host());
+    let endpoint = text.parse::<Endpoint>();
+    if let Ok(endpoint) = &endpoint {
+        assert_eq!(endpoint.to_string().parse::<Endpoint>().as_ref(), Ok(endpoint));
+        let _ = (endpoint.family(), endpoint.host());
     }
     // The text as one quoted word in a list.
     let word = text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
@@ -22,16 +22,16 @@
         return;
     }
     let file = format!("{PREAMBLE}server s {{\n kind k\n zone a\n address \"{word}\"\n}}\n");
-    assert!(directives("f", &file).is_ok(), "the quoted word does not stay on its line");
+    assert!(parse_directives("f", &file).is_ok(), "the quoted word does not stay on its line");
     match parse("f", &file) {
         Ok(config) => {
-            assert_eq!(config.servers[0].places, [place.expect("the list accepted an invalid address")])
+            assert_eq!(config.servers[0].endpoints, [endpoint.expect("the list accepted an invalid address")])
         }
         Err(errors) => {
             let line = PREAMBLE.lines().count() + 4;
-            assert!(place.is_err(), "{errors}");
+            assert!(endpoint.is_err(), "{errors}");
             assert!(
-                errors.0.iter().any(|e| e.at.line == line && e.what.starts_with("address: value 1")),
+                errors.0.iter().any(|e| e.position.line == line && e.message.starts_with("address: value 1")),
                 "{errors}"
             );
         }
--- a/src/policy/index.rs
+++ b/src/policy/index.rs
@@ -93,9 +93,9 @@
     pub(super) fn most_cached_tokens(&self, arrival: &Arrival) -> f64 {
         let cached =
             |key: &Option<TextKey>, limit: f64| Some(self.0.get(key.as_ref()?)?.max_tokens.min(limit));
-        cached(&arrival.session, arrival.prompt)
+        cached(&arrival.session, arrival.prompt_tokens)
             .unwrap_or(0.0)
-            .max(cached(&arrival.prefix, arrival.shared).unwrap_or(0.0))
+            .max(cached(&arrival.prefix, arrival.shared_tokens).unwrap_or(0.0))
     }
 }
 
@@ -108,16 +108,16 @@
 
 /// KV states that wait for the link out of a cell: by cell and request, since when.
 #[derive(Default)]
-pub(super) struct PendingTransfers(BTreeMap<Option<u32>, BTreeMap<ReqId, Time>>);
+pub(super) struct PendingTransfers(BTreeMap<Option<u32>, BTreeMap<RequestId, Time>>);
 
 impl PendingTransfers {
     /// Adds the KV state of a request that waits to leave a cell.
-    pub(super) fn insert(&mut self, source_cell: Option<u32>, id: ReqId, since: Time) {
+    pub(super) fn insert(&mut self, source_cell: Option<u32>, id: RequestId, since: Time) {
         self.0.entry(source_cell).or_default().insert(id, since);
     }
 
     /// Removes the KV state of a request.
-    pub(super) fn remove(&mut self, source_cell: Option<u32>, id: ReqId) {
+    pub(super) fn remove(&mut self, source_cell: Option<u32>, id: RequestId) {
         let Some(waits) = self.0.get_mut(&source_cell) else { return };
         waits.remove(&id);
         if waits.is_empty() {
@@ -153,7 +153,7 @@
     pub(super) fn rebuild_server_index(&mut self) {
         let mut index = ServerIndex { version: self.server_index.version + 1, ..ServerIndex::default() };
         let (mut weight_by_role, mut readers, mut writers) = ([0.0; 3], BTreeMap::new(), BTreeMap::new());
-        for view in self.views.values().filter(|v| v.entry.listed == Listed::Running) {
+        for view in self.views.values().filter(|v| v.entry.listed == ServerStatus::Running) {
             let entry = &view.entry;
             let weight_by_cell = if view.role == Role::Prefill { &mut readers } else { &mut writers };
             *weight_by_cell.entry(entry.cell).or_insert(0.0) += entry.weight;
@@ -162,7 +162,7 @@
                 index.writers.entry(entry.cell).or_default().push(entry.server.clone());
             }
         }
-        for view in self.views.values().filter(|v| v.entry.listed == Listed::Running) {
+        for view in self.views.values().filter(|v| v.entry.listed == ServerStatus::Running) {
             let entry = &view.entry;
             if view.role == Role::Prefill {
                 let cell_weights = writers.get(&entry.cell).zip(readers.get(&entry.cell));
@@ -193,12 +193,14 @@
     }
 
     /// Records that a server caches the texts of a request after it has read or answered it.
-    pub(super) fn record_cached_texts(&mut self, server: &ServerId, id: ReqId, found: f64, now: Time) {
+    pub(super) fn record_cached_texts(&mut self, server: &ServerId, id: RequestId, found: f64, now: Time) {
         let (Some(view), Some(request)) = (self.views.get_mut(server), self.requests.get(&id)) else {
             return;
         };
         let arrival = &request.arrival;
-        for (key, tokens) in [(&arrival.session, arrival.prompt), (&arrival.prefix, arrival.shared)] {
+        for (key, tokens) in
+            [(&arrival.session, arrival.prompt_tokens), (&arrival.prefix, arrival.shared_tokens)]
+        {
             if let Some(key) = key.as_ref().filter(|_| tokens > 0.0) {
                 view.cached_texts.insert(key.clone(), (tokens, now));
                 self.cache_index.insert(key, server, tokens);
@@ -206,7 +208,7 @@
         }
         // A shared prefix that the server did not find has been evicted; older entries are then no longer
         // relied on.
-        if found < MIN_PREFIX_FOUND * arrival.shared || view.cached_texts.len() > MAX_CACHED_TEXTS {
+        if found < MIN_PREFIX_FOUND * arrival.shared_tokens || view.cached_texts.len() > MAX_CACHED_TEXTS {
             view.cached_texts.retain(|key, (_, at)| {
                 let is_kept = *at == now;
                 if !is_kept {
--- a/src/policy/monitor.rs
+++ b/src/policy/monitor.rs
@@ -1,7 +1,7 @@
 //! The monitor: the list of servers, load reports, latency predictions and the health of servers. It takes no
 //! decision about a request.
 //!
-//! Health is kept by class: a failure for one class suspends the server for the others only until it answers
+//! Health is kept by class: a failure for one class ejects the server for the others only until it answers
 //! them.
 use super::*;
 
@@ -11,14 +11,14 @@
         &mut self,
         now: Time,
         mode: ListMode,
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
         actions: &mut Vec<Action>,
     ) {
         if self.settings.discovery == Discovery::Asked {
             match mode {
                 ListMode::Restored => actions.push(Action::Subscribe),
                 ListMode::Failed => {
-                    self.subscribe_retry_at = Some(now + self.settings.ask_within / SUBSCRIBE_RETRIES)
+                    self.subscribe_retry_at = Some(now + self.settings.resubscribe_within / SUBSCRIBE_RETRIES)
                 }
                 _ => self.subscribe_retry_at = None,
             }
@@ -27,7 +27,7 @@
             return;
         }
         for view in self.views.values_mut().filter(|_| mode != ListMode::Changes) {
-            view.entry.listed = Listed::Gone;
+            view.entry.listed = ServerStatus::Gone;
         }
         for entry in entries {
             let role = self.settings.roles.get(entry.kind).copied().unwrap_or(Role::Mixed);
@@ -42,7 +42,8 @@
                 (name_hash(&server.0), entry, role, kv_capacity);
             self.views.insert(server, view);
         }
-        let has_left = |view: &ServerView| view.entry.listed == Listed::Gone && view.attempts.is_empty();
+        let has_left =
+            |view: &ServerView| view.entry.listed == ServerStatus::Gone && view.attempts.is_empty();
         let gone: Vec<ServerId> =
             self.views.iter().filter(|(_, view)| has_left(view)).map(|(server, _)| server.clone()).collect();
         for server in gone {
@@ -133,7 +134,7 @@
         } else {
             0.0
         };
-        reads_per_front * f64::from(self.settings.fronts - 1) / readers
+        reads_per_front * f64::from(self.settings.front_count - 1) / readers
     }
 
     /// Age of the oldest KV state of this front that waits for the link out of a cell; detects congested
@@ -162,15 +163,15 @@
         fit.add_sample(work_tokens, latency / (1.0 + *slowdown));
     }
 
-    /// Records a failure and suspends the server for a class. The suspension is long enough that all fronts
+    /// Records a failure and ejects the server for a class. The ejection is long enough that all fronts
     /// together send little to a server that answers nothing.
     pub(super) fn record_failure(&mut self, server: &ServerId, class: usize, now: Time) {
         let base =
-            (SUSPENSION_TARGETS * self.shortest_ttft_target()).max(self.mean_arrival_gap / MAX_TRIAL_SHARE);
+            (EJECTION_TARGETS * self.shortest_ttft_target()).max(self.mean_arrival_gap / MAX_TRIAL_SHARE);
         if let Some(health) = self.views.get_mut(server).map(|view| view.health.entry(class).or_default()) {
-            let suspension = base * f64::from(1u32 << health.failures.min(MAX_DOUBLINGS));
-            (health.failures, health.last_failure, health.suspended_until) =
-                (health.failures + 1, now, now + suspension as Time);
+            let ejection = base * f64::from(1u32 << health.failures.min(MAX_DOUBLINGS));
+            (health.failures, health.last_failure, health.ejected_until) =
+                (health.failures + 1, now, now + ejection as Time);
             self.failed_servers.insert(server.clone());
         }
     }
@@ -199,15 +200,15 @@
     pub(super) fn suspect_health(view: &ServerView, class: usize) -> Option<&ClassHealth> {
         let answered_at = view.health.get(&class).map_or(0, |health| health.answered_at);
         let is_current = |health: &&ClassHealth| health.failures > 0 && health.last_failure >= answered_at;
-        view.health.values().filter(is_current).max_by_key(|h| h.suspended_until)
+        view.health.values().filter(is_current).max_by_key(|h| h.ejected_until)
     }
 
     /// Whether a running server is no suspect, or is a suspect that is due for a single trial.
     pub(super) fn is_healthy(view: &ServerView, class: usize, now: Time) -> bool {
         let may_try = |health: &ClassHealth| {
-            now >= health.suspended_until && view.awaiting_first_token().next().is_none()
+            now >= health.ejected_until && view.awaiting_first_token().next().is_none()
         };
-        view.entry.listed == Listed::Running && Self::suspect_health(view, class).is_none_or(may_try)
+        view.entry.listed == ServerStatus::Running && Self::suspect_health(view, class).is_none_or(may_try)
     }
 
     /// Whether this front reaches each server so rarely that its own answers do not show how the servers are
@@ -250,7 +251,7 @@
                     .filter(|attempt| attempt.sent_at > at)
                     .map(|attempt| attempt.kv_tokens);
                 share * view.kv_capacity
-                    + sent_since.sum::<f64>() * f64::from(self.settings.fronts.min(MAX_HERD_FRONTS))
+                    + sent_since.sum::<f64>() * f64::from(self.settings.front_count.min(MAX_HERD_FRONTS))
             }
             None => view.outstanding_tokens().max(self.mean_writer_tokens),
         }
@@ -276,8 +277,8 @@
         salt: &mut TurnSalt,
     ) -> bool {
         let slot = now / (read_time / (1.0 - NOMINAL_TPOT_SHARE)).max(1.0) as Time;
-        let draw = hash(view.name_hash, salt.for_slot(self.settings.me, slot));
-        unit_interval(draw) * f64::from(self.settings.fronts) <= COMBINED_TURNS
+        let draw = hash(view.name_hash, salt.for_slot(self.settings.front_number, slot));
+        unit_interval(draw) * f64::from(self.settings.front_count) <= COMBINED_TURNS
     }
 
     /// The least time that any stream of a writer has gained on its TPOT target at the nominal pace.
--- a/src/policy/views.rs
+++ b/src/policy/views.rs
@@ -61,7 +61,7 @@
     /// Connections that broke since the server last answered the class.
     pub(super) broken_connections: u32,
     /// No attempts before this time, and afterwards a single trial at a time.
-    pub(super) suspended_until: Time,
+    pub(super) ejected_until: Time,
     /// When the last failure was recorded.
     pub(super) last_failure: Time,
     /// When the server last answered the class; 0 if never.
@@ -88,13 +88,13 @@
 /// What the router knows about one server.
 #[derive(Default)]
 pub(super) struct ServerView {
-    pub(super) entry: Entry,
+    pub(super) entry: ServerEntry,
     /// Hash of the server's name, see [`name_hash`].
     pub(super) name_hash: u64,
     pub(super) role: Role,
     /// KV memory in tokens.
     pub(super) kv_capacity: f64,
-    pub(super) attempts: BTreeMap<ReqId, Attempt>,
+    pub(super) attempts: BTreeMap<RequestId, Attempt>,
     /// By kind of attempt: relative slowdown against the shared fit; 0 means equally fast.
     pub(super) slowdown: [f64; 4],
     /// Cached texts: number of tokens, and when they were last recorded.
@@ -127,16 +127,16 @@
 
     /// Prompt tokens that the server is assumed not to cache.
     pub(super) fn uncached_tokens(&self, arrival: &Arrival) -> f64 {
-        (arrival.prompt - self.cached_tokens(arrival)).max(0.0)
+        (arrival.prompt_tokens - self.cached_tokens(arrival)).max(0.0)
     }
 
     /// Prompt tokens that the server is assumed to cache, of the session or of the shared prefix.
     pub(super) fn cached_tokens(&self, arrival: &Arrival) -> f64 {
         let cached =
             |key: &Option<TextKey>, limit: f64| Some(self.cached_texts.get(key.as_ref()?)?.0.min(limit));
-        cached(&arrival.session, arrival.prompt)
+        cached(&arrival.session, arrival.prompt_tokens)
             .unwrap_or(0.0)
-            .max(cached(&arrival.prefix, arrival.shared).unwrap_or(0.0))
+            .max(cached(&arrival.prefix, arrival.shared_tokens).unwrap_or(0.0))
     }
 }
 
