--- a/crates/platform/tests/hub.rs
+++ b/crates/platform/tests/hub.rs
@@ -99,13 +99,7 @@
         let (holder, engine) = (ServerId(holder.into()), ServerId(engine.into()));
         let id = RequestId(id);
         let round = self.last_rounds.get(&(id, holder.clone())).copied().unwrap_or_default();
-        self.handle(Input::ReleaseCallEnded {
-            id,
-            holder,
-            release_number: round,
-            engine,
-            acknowledged: acknowledged,
-        })
+        self.handle(Input::ReleaseCallEnded { id, holder, release_number: round, engine, acknowledged })
     }
 
     /// Advances the clock and runs the timers that are due.
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 messages (RFC 9112): heads parsed by `httparse`, bodies framed by length, chunks or connection close.
 //!
-//! This module reads no sockets: its callers pass the bytes in. A peer can make us buffer at most [`Limits::head_bytes`]
-//! bytes of a head and [`Limits::body_bytes`] bytes of a body that is collected whole. A message whose length is
-//! ambiguous is refused (RFC 9112, 6.3), since a proxy in front of us may have interpreted it differently.
+//! This module reads no sockets: its callers pass the bytes in. A peer can make us buffer at most
+//! [`Limits::head_bytes`] bytes of a head and [`Limits::body_bytes`] bytes of a body that is collected whole. A
+//! message whose length is ambiguous is refused (RFC 9112, 6.3), since a proxy in front of us may have interpreted it differently.
 
 use thiserror::Error;
 
--- a/crates/rehearsal/src/day.rs
+++ b/crates/rehearsal/src/day.rs
@@ -55,7 +55,7 @@
         engine: Option<String>,
         /// Family of the address.
         way: AddressFamily,
-        /// The fault, or [`DoorFault::None`] to end it.
+        /// The fault, or [`AddressFault::None`] to end it.
         fault: AddressFault,
     },
     /// No traffic passes between this zone and the others.
@@ -565,7 +565,7 @@
         Some(load) if parser.errors.is_empty() => Ok(Day {
             name,
             seed,
-            site: Site { zones, kinds, engines, extra_directives: extra_directives, link_tokens_per_s },
+            site: Site { zones, kinds, engines, extra_directives, link_tokens_per_s },
             fronts,
             load,
             outcome_limits,
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/rehearsal/src/measure.rs
@@ -98,7 +98,7 @@
         zones: vec!["a".into()],
         kinds: Vec::new(),
         engines: Vec::new(),
-        extra_directives: extra_directives,
+        extra_directives,
         link_tokens_per_s: [50_000_000.0; 3],
     };
     for (kind, (role, count, spec)) in kinds.into_iter().enumerate() {
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -1,7 +1,7 @@
 //! Runs a day and reports on it.
 //!
-//! The mock servers and the clients run in this process, each front in a process of its own. The steps of the script are
-//! applied at their times, while all traffic is logged. After the last request, the fronts are told to drain and the
+//! The mock servers and the clients run in this process, each front in a process of its own. The steps of the script
+//! are applied at their times, while all traffic is logged. After the last request, the fronts are told to drain and the
 //! log is checked against the rules. No process is left behind, whatever fails.
 
 use std::collections::{BTreeMap, HashSet};
