--- a/crates/cli/tests/node/outcomes.rs
+++ b/crates/cli/tests/node/outcomes.rs
@@ -112,6 +112,14 @@
         clients.into_iter().flat_map(|client| client.join().unwrap()).collect()
     });
     assert_eq!(answers.len(), 200);
+    // An engine records the end of an attempt after its last byte, so the client may have its answer earlier.
+    let all_ended = || {
+        let events = platform.traffic.events();
+        let count = |is: fn(&EngineEvent) -> bool| events.iter().filter(|seen| is(&seen.pass)).count();
+        count(|pass| matches!(pass, EngineEvent::Begun { .. }))
+            == count(|pass| matches!(pass, EngineEvent::Ended { .. }))
+    };
+    assert!(Platform::wait_until(LONG, all_ended), "an attempt at an engine has not ended");
     let mut served = 0;
     for (trace, answer) in &answers {
         match answer.status {
